--- a/src/group/primarykeeper.cpp
+++ b/src/group/failovercontroller.cpp
@@ -1,4 +1,4 @@
-#include "group/primarykeeper.h"
+#include "group/failovercontroller.h"
 
 #include <algorithm>
 
@@ -15,16 +15,16 @@
 // From one probe to the next. The answer of the first has to be in when the silence is long enough.
 constexpr Duration probePeriod = std::chrono::milliseconds(400);
 // Silence after which a primary counts as lost if the probe was not answered either.
-constexpr Duration lostAfter = std::chrono::milliseconds(420);
+constexpr Duration silenceTimeout = std::chrono::milliseconds(420);
 // A write that waits this long makes the replicas be looked at; the longest statements in use take
 // less.
-constexpr Duration unconfirmedAfter = std::chrono::milliseconds(250);
+constexpr Duration commitProgressTimeout = std::chrono::milliseconds(250);
 // A quiet primary is asked for a report this often, so that its loss is seen without traffic.
-constexpr Duration quietPeriod = std::chrono::milliseconds(800);
+constexpr Duration idleReportInterval = std::chrono::milliseconds(800);
 // Somebody else was heard within this time: this process is not the one that is cut off.
-constexpr Duration othersWithin = std::chrono::milliseconds(500);
+constexpr Duration contactWindow = std::chrono::milliseconds(500);
 // A listed primary that can't be reached is given this long before it counts as lost.
-constexpr Duration lookFor = std::chrono::milliseconds(450);
+constexpr Duration searchTimeout = std::chrono::milliseconds(450);
 
 const char *stepName(int step)
 {
@@ -50,24 +50,24 @@
 
 } // namespace
 
-PrimaryKeeper::PrimaryKeeper(const Parts &parts, const GroupName &group, GroupServers &servers,
-                             PrimaryEvents &events)
+FailoverController::FailoverController(const Parts &parts, const GroupName &group,
+                                       GroupServers &servers, PrimaryEvents &events)
     : parts_(parts), group_(group), servers_(servers), events_(events)
 { }
 
-PrimaryKeeper::~PrimaryKeeper()
+FailoverController::~FailoverController()
 {
     *alive_ = false;
     parts_.timers.cancel(timer_);
 }
 
-void PrimaryKeeper::enter(Step step)
+void FailoverController::enterStep(Step step)
 {
     step_ = step;
     stepSince_ = parts_.timers.now();
-    ++change_;
-    if (step == Step::Looking)
-        saidReplica_.clear();
+    ++stepNumber_;
+    if (step == Step::Searching)
+        reportedReplicas_.clear();
     parts_.log.info("primary_step", stepName(static_cast<int>(step)))
         .with("group", group_)
         .with("primary", primary_)
@@ -76,65 +76,65 @@
 }
 
 // Of this process's ownership; zero when it has none.
-OwnerEpoch PrimaryKeeper::epoch() const
+OwnerEpoch FailoverController::epoch() const
 {
     const OwnershipRecord *record = parts_.ownership.record(group_);
     return record == nullptr ? 0 : record->epoch;
 }
 
-GroupServer *PrimaryKeeper::find(const ServerName &id)
+GroupServer *FailoverController::find(const ServerName &id)
 {
     const auto found = servers_.find(id);
     return found == servers_.end() ? nullptr : found->second.get();
 }
 
-void PrimaryKeeper::start()
+void FailoverController::start()
 {
     // What was known under an earlier ownership may be long past.
     primary_.clear();
     candidate_.clear();
-    toSettle_.clear();
-    replacing_ = false;
-    knowsAll_ = false;
-    aloneSince_ = Instant();
-    acknowledgedAtMost_.reset();
-    acknowledgedAtLeast_.reset();
-    candidateIdle_ = false;
-    leadUnrecorded_ = false;
+    unreconciledServers_.clear();
+    replacingStalled_ = false;
+    sawAllAcknowledgements_ = false;
+    soleOwnerSince_ = Instant();
+    acknowledgedUpperBound_.reset();
+    acknowledgedLowerBound_.reset();
+    candidateNeverLeads_ = false;
+    primaryUnrecorded_ = false;
     term_ = 0;
     if (const OwnershipRecord *record = parts_.ownership.record(group_)) {
         noteTerm(record->term);
         holders_.begin(record->holders, parts_.timers.now());
     }
-    enter(Step::Looking);
-    look();
+    enterStep(Step::Searching);
+    findPrimary();
     parts_.timers.cancel(timer_);
     timer_ = parts_.timers.subscribeEvery(tickPeriod, [this] { tick(); });
 }
 
-void PrimaryKeeper::stop()
+void FailoverController::stop()
 {
-    enter(Step::Stopped);
+    enterStep(Step::Stopped);
     parts_.timers.cancel(timer_);
-    if (held_) {
-        held_ = false;
+    if (writesHeld_) {
+        writesHeld_ = false;
         events_.onWritesHeld(false);
     }
 }
 
-void PrimaryKeeper::tick()
+void FailoverController::tick()
 {
     const Instant now = parts_.timers.now();
-    if (aloneSince_ == Instant() && parts_.ownership.isAlone(group_))
-        aloneSince_ = now;
+    if (soleOwnerSince_ == Instant() && parts_.ownership.isSoleOwner(group_))
+        soleOwnerSince_ = now;
     switch (step_) {
     case Step::Stopped:
     case Step::Recording:
-    case Step::Calling:
+    case Step::Promoting:
         break;
-    case Step::Looking:
-        if (now - askedAt_ >= askPeriod)
-            look();
+    case Step::Searching:
+        if (now - queriedAt_ >= queryInterval)
+            findPrimary();
         break;
     case Step::Leading:
         watchPrimary(now);
@@ -149,12 +149,13 @@
         awaitLead(now);
         break;
     }
-    if (!toSettle_.empty() && now - settledAt_ >= askPeriod)
-        settleOthers();
+    if (!unreconciledServers_.empty() && now - reconciledAt_ >= queryInterval)
+        reconcileServers();
 }
 
-void PrimaryKeeper::ask(GroupServer &server, CommandKind kind, Term term, Duration timeout,
-                        std::function<void(const ServerReport &)> callback)
+void FailoverController::sendCommand(GroupServer &server, CommandKind kind, Term term,
+                                     Duration timeout,
+                                     std::function<void(const ServerReport &)> callback)
 {
     ServerCommand command;
     command.kind = kind;
@@ -166,216 +167,222 @@
             .with("term", term)
             .with("epoch", epoch())
             .with("step", stepName(static_cast<int>(step_)));
-    const std::uint64_t change = change_;
+    const std::uint64_t stepNumber = stepNumber_;
     server.control(command, timeout,
-                   [this, alive = alive_, change, id = server.id(),
+                   [this, alive = alive_, stepNumber, id = server.id(),
                     callback = std::move(callback)](BatchResult result) {
                        if (!*alive || result.results.empty() || !result.results[0].report)
                            return;
                        const ServerReport report = *result.results[0].report;
                        noteTerm(std::max(report.term, report.stoppedUnder));
-                       if (change == change_ && step_ != Step::Stopped)
+                       if (stepNumber == stepNumber_ && step_ != Step::Stopped)
                            callback(report);
                    });
 }
 
 // Finding the primary
 
-void PrimaryKeeper::look()
+void FailoverController::findPrimary()
 {
-    askedAt_ = parts_.timers.now();
+    queriedAt_ = parts_.timers.now();
     for (const auto &[id, server] : servers_)
-        ask(*server, CommandKind::Report, 0, reportTimeout,
-            [this, id = id](const ServerReport &report) { onLookReport(id, report); });
+        sendCommand(*server, CommandKind::Report, 0, reportTimeout,
+                    [this, id = id](const ServerReport &report) { onSearchReport(id, report); });
     const Instant now = parts_.timers.now();
-    if (inStep(now) < lookFor || listedPrimaryMayAnswer(now) || !heardOthers(now))
+    if (timeInStep(now) < searchTimeout || listedPrimaryMayAnswer(now) || !canReachOthers(now))
         return;
     beginChange("none_found", false);
 }
 
 // Whether some server that may lead could still say so.
-bool PrimaryKeeper::listedPrimaryMayAnswer(Instant now) const
+bool FailoverController::listedPrimaryMayAnswer(Instant now) const
 {
     const OwnershipRecord *record = parts_.ownership.record(group_);
-    const bool changing = record != nullptr && !record->candidate.empty() && !callsAreOver();
+    const bool changeInProgress =
+        record != nullptr && !record->candidate.empty() && !noPromotionInFlight();
     for (const auto &[id, server] : servers_) {
-        const bool saidNo = !changing && saidReplica_.count(id) != 0;
-        if (server->listed().primary && !server->isUnreachable() && !saidNo
-            && now - server->lastHeard() < lookFor)
+        const bool reportedReplica = !changeInProgress && reportedReplicas_.count(id) != 0;
+        if (server->listed().primary && !server->isUnreachable() && !reportedReplica
+            && now - server->lastHeard() < searchTimeout)
             return true;
     }
     return false;
 }
 
-void PrimaryKeeper::onLookReport(const ServerName &server, const ServerReport &report)
+void FailoverController::onSearchReport(const ServerName &server, const ServerReport &report)
 {
-    if (step_ != Step::Looking)
+    if (step_ != Step::Searching)
         return;
     if (!report.primary) {
-        saidReplica_.insert(server);
+        reportedReplicas_.insert(server);
         return noteIdleCandidate(server);
     }
-    const MayLead may = mayLead(server, report.term);
-    if (may == MayLead::Yes)
-        return lead(server, report, false);
+    const LeaderEligibility eligibility = leaderEligibility(server, report.term);
+    if (eligibility == LeaderEligibility::Yes)
+        return adoptPrimary(server, report, false);
     // Another one has to be chosen, and this one is not waited for.
-    if (may == MayLead::No)
-        saidReplica_.insert(server);
+    if (eligibility == LeaderEligibility::No)
+        reportedReplicas_.insert(server);
 }
 
 // A candidate of an earlier change that says it does not lead, once no call can take effect any
 // more, never will.
-void PrimaryKeeper::noteIdleCandidate(const ServerName &server)
+void FailoverController::noteIdleCandidate(const ServerName &server)
 {
     const OwnershipRecord *record = parts_.ownership.record(group_);
-    if (record != nullptr && record->candidate == server && callsAreOver())
-        candidateIdle_ = true;
+    if (record != nullptr && record->candidate == server && noPromotionInFlight())
+        candidateNeverLeads_ = true;
 }
 
 // No owner before this one can have sent a call that may still take effect, and this one's last
 // call was long ago.
-bool PrimaryKeeper::callsAreOver() const
+bool FailoverController::noPromotionInFlight() const
 {
     const Instant now = parts_.timers.now();
-    const bool othersOver = aloneSince_ != Instant() && now - aloneSince_ >= leadTimeout;
-    const bool ownOver = calledAt_ == Instant() || now - calledAt_ >= leadTimeout;
-    return othersOver && ownOver;
+    const bool othersDone = soleOwnerSince_ != Instant() && now - soleOwnerSince_ >= leadTimeout;
+    const bool ownDone = promotionSentAt_ == Instant() || now - promotionSentAt_ >= leadTimeout;
+    return othersDone && ownDone;
 }
 
 // Whether everything may go on at a server that says it leads under the term.
-PrimaryKeeper::MayLead PrimaryKeeper::mayLead(const ServerName &server, Term term) const
+FailoverController::LeaderEligibility
+FailoverController::leaderEligibility(const ServerName &server, Term term) const
 {
     const OwnershipRecord *record = parts_.ownership.record(group_);
     // 1. A primary of a lower term than the row's was replaced.
     if (record == nullptr || term < record->term)
-        return MayLead::No;
+        return LeaderEligibility::No;
     if (record->candidate.empty())
-        return MayLead::Yes;
+        return LeaderEligibility::Yes;
     // 2. A change has begun. Its candidate leads if it says so, but for an owner that may still
     // serve at the old primary, so that nobody may acknowledge at another one.
-    if (record->primaryServes && !parts_.ownership.isAlone(group_))
-        return MayLead::NotYet;
+    if (record->primaryServes && !parts_.ownership.isSoleOwner(group_))
+        return LeaderEligibility::NotYet;
     if (server == record->candidate && term > record->term)
-        return MayLead::Yes;
+        return LeaderEligibility::Yes;
     // 3. Any other server only when the candidate never will, nor has: commits may have been
     // acknowledged there.
-    if (!callsAreOver())
-        return MayLead::NotYet;
+    if (!noPromotionInFlight())
+        return LeaderEligibility::NotYet;
     // Of several candidates one that can't be heard now may have led, under a higher term.
     if (record->otherCandidates && term <= record->term)
-        return MayLead::No;
-    return candidateIdle_ ? MayLead::Yes : MayLead::No;
+        return LeaderEligibility::No;
+    return candidateNeverLeads_ ? LeaderEligibility::Yes : LeaderEligibility::No;
 }
 
 // The name is a copy: it may be that of the candidate, which ends here. Taken by reference it was
 // empty from then on, and the row named no primary after any change.
-void PrimaryKeeper::lead(ServerName server, const ServerReport &report, bool isTermsBeginning)
+void FailoverController::adoptPrimary(ServerName server, const ServerReport &report,
+                                      bool isTermStart)
 {
     const Term term = report.term;
     primary_ = std::move(server);
     term_ = term;
     planned_ = false;
-    replacing_ = false;
-    mayLead_ = false;
+    replacingStalled_ = false;
+    candidateMayLead_ = false;
     noteTerm(term);
     candidate_.clear();
-    excluded_.clear();
-    acceptedAt_ = Instant();
-    enter(Step::Leading);
+    failedCandidates_.clear();
+    probeAcceptedAt_ = Instant();
+    enterStep(Step::Leading);
     for (const auto &[id, other] : servers_)
         if (id != primary_)
-            toSettle_.insert(id);
-    settledAt_ = Instant();
+            unreconciledServers_.insert(id);
+    reconciledAt_ = Instant();
     holders_.onPrimary();
     const OwnershipRecord *record = parts_.ownership.record(group_);
-    leadUnrecorded_ = record != nullptr && (record->term != term || record->primary != primary_);
-    if (!isTermsBeginning && record != nullptr && record->term == term) {
+    primaryUnrecorded_ = record != nullptr && (record->term != term || record->primary != primary_);
+    if (!isTermStart && record != nullptr && record->term == term) {
         termBegan_ = record->termBegan;
         firstHeld_ = record->firstHeld;
     } else {
-        termBegan_ = isTermsBeginning ? report.received.offset : 0;
+        termBegan_ = isTermStart ? report.received.offset : 0;
         firstHeld_ = report.received.offset;
     }
-    recordLead();
+    recordPrimary();
     events_.onPrimary(primary_);
-    if (held_) {
-        held_ = false;
+    if (writesHeld_) {
+        writesHeld_ = false;
         events_.onWritesHeld(false);
     }
 }
 
 // Watching it
 
-void PrimaryKeeper::watchPrimary(Instant now)
+void FailoverController::watchPrimary(Instant now)
 {
     GroupServer *server = find(primary_);
     if (server == nullptr)
         return beginChange("not_listed", false);
     // 1. What may have been acknowledged, and who may hold it.
-    watchHolders(now);
+    refreshHolders(now);
     // 2. A leaving primary is replaced while it serves.
-    if (server->listed().leaving && servers_.size() > 1 && now >= plannedAfter_
-        && parts_.ownership.isAlone(group_))
+    if (server->listed().leaving && servers_.size() > 1 && now >= plannedChangeAfter_
+        && parts_.ownership.isSoleOwner(group_))
         return beginChange("leaving", true);
     // 3. One that acknowledges nothing, also after its replicas were looked at.
-    watchConfirmations(now);
-    if (parts_.commitsHang() && mayReplaceHanging(now)) {
-        replacing_ = true;
+    checkCommitProgress(now);
+    if (parts_.commitsStalled() && canReplaceStalledPrimary(now)) {
+        replacingStalled_ = true;
         return beginChange("commits_hang", false);
     }
     // 4. Silence.
     const auto owesSince = server->owesSince();
     if (!owesSince) {
-        if (now - server->lastHeard() >= quietPeriod)
-            ask(*server, CommandKind::Report, 0, hungAfter, [this](const ServerReport &report) {
-                if (!report.primary)
-                    loseLead("not_primary");
-            });
+        if (now - server->lastHeard() >= idleReportInterval)
+            sendCommand(*server, CommandKind::Report, 0, hangTimeout,
+                        [this](const ServerReport &report) {
+                            if (!report.primary)
+                                abandonPrimary("not_primary");
+                        });
         return;
     }
-    const Duration quiet = now - *owesSince;
-    if (quiet < probeAfter)
+    const Duration silence = now - *owesSince;
+    if (silence < probeAfter)
         return;
-    const bool accepted = acceptedAt_ != Instant() && now - acceptedAt_ < lostAfter;
-    if (quiet >= hungAfter || (quiet >= lostAfter && !accepted && !probing_ && heardOthers(now)))
-        return beginChange(quiet >= hungAfter ? "hung" : "silent", false);
+    const bool accepted = probeAcceptedAt_ != Instant() && now - probeAcceptedAt_ < silenceTimeout;
+    if (silence >= hangTimeout
+        || (silence >= silenceTimeout && !accepted && !probing_ && canReachOthers(now)))
+        return beginChange(silence >= hangTimeout ? "hung" : "silent", false);
     if (!probing_ && now - probedAt_ >= probePeriod)
         probePrimary(*server);
 }
 
 // A primary whose replicas receive nothing acknowledges no write, though it answers all else: a
 // command of an earlier owner or change may have stopped them late.
-void PrimaryKeeper::watchConfirmations(Instant now)
+void FailoverController::checkCommitProgress(Instant now)
 {
     const auto oldest = parts_.oldestWrite();
-    if (!oldest || now - *oldest < unconfirmedAfter || !toSettle_.empty())
+    if (!oldest || now - *oldest < commitProgressTimeout || !unreconciledServers_.empty())
         return;
     for (const auto &[id, server] : servers_)
         if (id != primary_)
-            toSettle_.insert(id);
+            unreconciledServers_.insert(id);
 }
 
 // Only when the change can be made at once: all replicas that there are answer here.
-bool PrimaryKeeper::mayReplaceHanging(Instant now)
+bool FailoverController::canReplaceStalledPrimary(Instant now)
 {
-    if (now < replaceAfter_ || servers_.size() < 2 || !parts_.ownership.leaseHolds(group_)
-        || !parts_.ownership.isAlone(group_))
+    if (now < replaceAfter_ || servers_.size() < 2 || !parts_.ownership.hasLease(group_)
+        || !parts_.ownership.isSoleOwner(group_))
         return false;
-    const bool ask = now - askedAt_ >= askPeriod;
-    if (ask)
-        askedAt_ = now;
+    const bool queryDue = now - queriedAt_ >= queryInterval;
+    if (queryDue)
+        queriedAt_ = now;
     bool allHeard = true;
     for (const auto &[id, server] : servers_) {
-        if (id == primary_ || now - server->lastHeard() < othersWithin)
+        if (id == primary_ || now - server->lastHeard() < contactWindow)
             continue;
         allHeard = false;
-        if (ask)
-            this->ask(*server, CommandKind::Report, 0, reportTimeout, [](const ServerReport &) {});
+        if (queryDue)
+            this->sendCommand(*server, CommandKind::Report, 0, reportTimeout,
+                              [](const ServerReport &) {});
     }
     return allHeard;
 }
 
-void PrimaryKeeper::probePrimary(GroupServer &server)
+void FailoverController::probePrimary(GroupServer &server)
 {
     probing_ = true;
     probedAt_ = parts_.timers.now();
@@ -386,39 +393,40 @@
                  });
 }
 
-void PrimaryKeeper::onProbed(const ServerName &server, ProbeOutcome outcome)
+void FailoverController::onProbed(const ServerName &server, ProbeOutcome outcome)
 {
     probing_ = false;
     if (step_ != Step::Leading || server != primary_)
         return;
     if (outcome == ProbeOutcome::Accepted)
-        acceptedAt_ = parts_.timers.now();
+        probeAcceptedAt_ = parts_.timers.now();
     if (outcome == ProbeOutcome::Refused)
         beginChange("refused", false);
 }
 
 // Whether this process can reach anybody; asks when it does not know.
-bool PrimaryKeeper::heardOthers(Instant now)
+bool FailoverController::canReachOthers(Instant now)
 {
     bool heard = false;
     for (const auto &[id, server] : servers_) {
         if (id == primary_)
             continue;
-        if (now - server->lastHeard() < othersWithin)
+        if (now - server->lastHeard() < contactWindow)
             heard = true;
-        else if (now - askedAt_ >= askPeriod)
-            ask(*server, CommandKind::Report, 0, reportTimeout, [](const ServerReport &) {});
+        else if (now - queriedAt_ >= queryInterval)
+            sendCommand(*server, CommandKind::Report, 0, reportTimeout,
+                        [](const ServerReport &) {});
     }
-    if (!heard && now - askedAt_ >= askPeriod)
-        askedAt_ = now;
+    if (!heard && now - queriedAt_ >= queryInterval)
+        queriedAt_ = now;
     return heard;
 }
 
-void PrimaryKeeper::onTrouble(const ServerName &server, ConnectOutcome outcome)
+void FailoverController::onTrouble(const ServerName &server, ConnectOutcome outcome)
 {
     // A replica whose connection ended may have started again, and then it receives.
     const bool mayReceive = planned_ && step_ == Step::StoppingReplicas && server != oldPrimary_;
-    if (mayReceive && stopped_.erase(server) != 0)
+    if (mayReceive && stopReports_.erase(server) != 0)
         othersStoppedAt_ = Instant();
     if (step_ != Step::Leading || server != primary_)
         return;
@@ -431,63 +439,64 @@
         probePrimary(*primary);
 }
 
-void PrimaryKeeper::onReadOnly(const ServerName &server)
+void FailoverController::onReadOnly(const ServerName &server)
 {
     if (step_ == Step::Leading && server == primary_)
-        loseLead("read_only");
+        abandonPrimary("read_only");
 }
 
-void PrimaryKeeper::loseLead(const std::string &why)
+void FailoverController::abandonPrimary(const std::string &reason)
 {
-    parts_.log.warning("primary_lost", why).with("group", group_).with("primary", primary_);
+    parts_.log.warning("primary_lost", reason).with("group", group_).with("primary", primary_);
     const ServerName lost = primary_;
     primary_.clear();
-    enter(Step::Looking);
+    enterStep(Step::Searching);
     events_.onPrimaryLost(lost);
-    look();
+    findPrimary();
 }
 
-void PrimaryKeeper::onServersChanged()
+void FailoverController::onServersChanged()
 {
     holders_.onListed(listedHolders(), parts_.timers.now());
-    for (auto id = toSettle_.begin(); id != toSettle_.end();)
-        id = servers_.count(*id) == 0 ? toSettle_.erase(id) : std::next(id);
-    if (step_ == Step::Looking)
-        look();
+    for (auto id = unreconciledServers_.begin(); id != unreconciledServers_.end();)
+        id = servers_.count(*id) == 0 ? unreconciledServers_.erase(id) : std::next(id);
+    if (step_ == Step::Searching)
+        findPrimary();
 }
 
 // An old primary steps down, and replicas receive again.
-void PrimaryKeeper::settleOthers()
+void FailoverController::reconcileServers()
 {
-    settledAt_ = parts_.timers.now();
+    reconciledAt_ = parts_.timers.now();
     if (step_ != Step::Leading)
         return;
-    const std::set<ServerName> servers = toSettle_;
+    const std::set<ServerName> servers = unreconciledServers_;
     for (const ServerName &id : servers) {
         GroupServer *server = find(id);
         if (server == nullptr || id == primary_) {
-            toSettle_.erase(id);
+            unreconciledServers_.erase(id);
             continue;
         }
-        ask(*server, CommandKind::Report, 0, reportTimeout, [this, id](const ServerReport &report) {
-            GroupServer *server = find(id);
-            if (server == nullptr || step_ != Step::Leading || id == primary_)
-                return;
-            if (report.primary && report.term < term_)
-                return ask(*server, CommandKind::StepDown, term_, reportTimeout,
-                           [](const ServerReport &) {});
-            if (report.primary && report.term > term_)
-                return loseLead("newer_primary");
-            if (report.stoppedUnder != 0)
-                return ask(*server, CommandKind::ResumeReceiving, report.stoppedUnder,
-                           reportTimeout, [](const ServerReport &) {});
-            toSettle_.erase(id);
-            parts_.log.info("replica_settled")
-                .with("group", group_)
-                .with("server", id)
-                .with("term", report.term)
-                .with("received", report.received);
-        });
+        sendCommand(
+            *server, CommandKind::Report, 0, reportTimeout, [this, id](const ServerReport &report) {
+                GroupServer *server = find(id);
+                if (server == nullptr || step_ != Step::Leading || id == primary_)
+                    return;
+                if (report.primary && report.term < term_)
+                    return sendCommand(*server, CommandKind::StepDown, term_, reportTimeout,
+                                       [](const ServerReport &) {});
+                if (report.primary && report.term > term_)
+                    return abandonPrimary("newer_primary");
+                if (report.stoppedUnder != 0)
+                    return sendCommand(*server, CommandKind::ResumeReceiving, report.stoppedUnder,
+                                       reportTimeout, [](const ServerReport &) {});
+                unreconciledServers_.erase(id);
+                parts_.log.info("replica_settled")
+                    .with("group", group_)
+                    .with("server", id)
+                    .with("term", report.term)
+                    .with("received", report.received);
+            });
     }
 }
 
--- a/src/group/primarykeeper.h
+++ b/src/group/failovercontroller.h
@@ -32,12 +32,12 @@
     // and held this position: what the old primary had acknowledged by then, and the candidate
     // holds, counts. A replica that was stopped and has started again confirms commits that the
     // candidate lacks.
-    virtual void onNotReplacedYet(Instant asked, Position held) = 0;
+    virtual void onCandidateNotLeading(Instant queriedAt, Position held) = 0;
 };
 
 // Finds the primary of a group that this process owns, watches it, and replaces it when it is lost
 // or leaves.
-class PrimaryKeeper
+class FailoverController
 {
 public:
     using Prober = std::function<void(const std::string &endpoint, Duration timeout,
@@ -54,12 +54,12 @@
         // Since when the oldest write has waited for its server's answer; nothing when none does.
         std::function<std::optional<Instant>()> oldestWrite;
         // The primary answers, but has acknowledged no commit for so long that another should lead.
-        std::function<bool()> commitsHang;
+        std::function<bool()> commitsStalled;
     };
 
-    PrimaryKeeper(const Parts &parts, const GroupName &group, GroupServers &servers,
-                  PrimaryEvents &events);
-    ~PrimaryKeeper();
+    FailoverController(const Parts &parts, const GroupName &group, GroupServers &servers,
+                       PrimaryEvents &events);
+    ~FailoverController();
 
     // This process owns the group from now on, or not any more.
     void start();
@@ -70,7 +70,10 @@
 
     // The platform has been told to promote another server while this one serves, so that what it
     // acknowledges may come from a primary that has been replaced.
-    bool mayBeReplaced() const { return planned_ && (mayLead_ || step_ == Step::Confirming); }
+    bool mayBeReplaced() const
+    {
+        return planned_ && (candidateMayLead_ || step_ == Step::Confirming);
+    }
 
     // A connection to the server ended or could not be opened.
     void onTrouble(const ServerName &server, ConnectOutcome outcome);
@@ -82,21 +85,21 @@
     void onRestarted(const ServerName &server);
     // The primary acknowledged a commit and showed this position; above the commit there may be so
     // many in its log that are not acknowledged and never will be.
-    void onAcknowledged(Position shown, int beside);
+    void onAcknowledged(Position logPosition, int maxUnacknowledged);
 
 private:
     // Of one question to a server, which takes some 4 ms; and how often one without an answer is
     // asked again. Chosen, not measured.
     static constexpr Duration reportTimeout = std::chrono::milliseconds(300);
-    static constexpr Duration askPeriod = std::chrono::milliseconds(100);
+    static constexpr Duration queryInterval = std::chrono::milliseconds(100);
     // A primary whose machine accepts connections but which answers nothing.
-    static constexpr Duration hungAfter = std::chrono::milliseconds(2500);
+    static constexpr Duration hangTimeout = std::chrono::milliseconds(2500);
     // The candidate leads some hundred ms after the call; longer means that the call was lost.
     static constexpr Duration leadTimeout = std::chrono::milliseconds(3000);
 
     enum class Step {
         Stopped,
-        Looking,
+        Searching,
         Leading,
         // Replicas are told to receive nothing more from the old primary.
         StoppingReplicas,
@@ -104,13 +107,13 @@
         Recording,
         // In a planned change: whether the candidate holds all that was acknowledged meanwhile.
         Confirming,
-        Calling,
+        Promoting,
         AwaitingLead,
     };
 
     void tick();
-    void look();
-    enum class MayLead {
+    void findPrimary();
+    enum class LeaderEligibility {
         Yes,
         // Perhaps later.
         NotYet,
@@ -118,60 +121,60 @@
         No,
     };
 
-    void onLookReport(const ServerName &server, const ServerReport &report);
+    void onSearchReport(const ServerName &server, const ServerReport &report);
     void noteIdleCandidate(const ServerName &server);
-    bool callsAreOver() const;
-    MayLead mayLead(const ServerName &server, Term term) const;
+    bool noPromotionInFlight() const;
+    LeaderEligibility leaderEligibility(const ServerName &server, Term term) const;
     bool listedPrimaryMayAnswer(Instant now) const;
-    void lead(ServerName server, const ServerReport &report, bool isTermsBeginning);
+    void adoptPrimary(ServerName server, const ServerReport &report, bool isTermStart);
     void watchPrimary(Instant now);
     void probePrimary(GroupServer &server);
     void onProbed(const ServerName &server, ProbeOutcome outcome);
-    bool heardOthers(Instant now);
-    void loseLead(const std::string &why);
+    bool canReachOthers(Instant now);
+    void abandonPrimary(const std::string &reason);
 
-    void beginChange(const std::string &why, bool planned);
+    void beginChange(const std::string &reason, bool planned);
     ServerName lastLeader() const;
     void stopReplicas(Instant now);
-    void onStopped(const ServerName &server, const ServerReport &report, Instant asked,
-                   bool toldToStop);
+    void onStopReport(const ServerName &server, const ServerReport &report, Instant queriedAt,
+                      bool stopRequested);
     void chooseCandidate(Instant now);
     void chooseForPlannedChange();
     decision::ChoiceState choiceState(Instant now) const;
-    std::optional<Position> surelyAcknowledged() const;
-    void noteWaiting(const decision::ReplicaChoice &choice, Instant now);
-    void askForHearing();
+    std::optional<Position> knownAcknowledged() const;
+    void logPromotionWait(const decision::ReplicaChoice &choice, Instant now);
+    void requestTakeOverForReplica();
     void onOtherLeader(GroupServer &server, const ServerReport &report);
     bool othersHaveStopped() const;
-    void askForReach(Instant now);
-    void abandonPlanned();
-    void cancelChange(const std::string &why);
-    std::string unheard() const;
+    void requestTakeOverForPrimary(Instant now);
+    void abandonPlannedChange();
+    void cancelChange(const std::string &leader);
+    std::string describeMissingReports() const;
     void recordCandidate(const char *rule);
-    void recordLead();
-    void askWhatIsHeld(Instant now);
-    void watchHolders(Instant now);
-    void onHeld(const ServerName &server, const ServerReport &report, Instant asked);
+    void recordPrimary();
+    void queryPositions(Instant now);
+    void refreshHolders(Instant now);
+    void onPositionReport(const ServerName &server, const ServerReport &report, Instant queriedAt);
     void recordHolders(Instant now);
-    void tellHolders(OwnershipRecord &row) const;
+    void writeHolders(OwnershipRecord &row) const;
     std::vector<decision::LogHolder> listedHolders() const;
     void confirmCandidate(Instant now);
-    void call();
+    void promoteCandidate();
     void awaitLead(Instant now);
-    void loseCandidate();
+    void discardCandidate();
     void onPrimaryRestarted();
-    void onCandidateReport(const ServerReport &report, Instant asked);
-    void settleOthers();
-    void watchConfirmations(Instant now);
-    bool mayReplaceHanging(Instant now);
-    void endReplacement();
-    void ask(GroupServer &server, CommandKind kind, Term term, Duration timeout,
-             std::function<void(const ServerReport &)> callback);
+    void onCandidateReport(const ServerReport &report, Instant queriedAt);
+    void reconcileServers();
+    void checkCommitProgress(Instant now);
+    bool canReplaceStalledPrimary(Instant now);
+    void abandonReplacement();
+    void sendCommand(GroupServer &server, CommandKind kind, Term term, Duration timeout,
+                     std::function<void(const ServerReport &)> callback);
     void noteTerm(Term term) { highestTerm_ = std::max(highestTerm_, term); }
     OwnerEpoch epoch() const;
     GroupServer *find(const ServerName &id);
-    void enter(Step step);
-    Duration inStep(Instant now) const { return now - stepSince_; }
+    void enterStep(Step step);
+    Duration timeInStep(Instant now) const { return now - stepSince_; }
 
     const Parts parts_;
     const GroupName group_;
@@ -185,17 +188,17 @@
     Term highestTerm_ = 0;
     // Every acknowledgement since the owner before this one has passed here, and the primary's log
     // was seen after that.
-    bool knowsAll_ = false;
-    Instant aloneSince_ {};
+    bool sawAllAcknowledgements_ = false;
+    Instant soleOwnerSince_ {};
     // The candidate that the row names does not lead and never will.
-    bool candidateIdle_ = false;
+    bool candidateNeverLeads_ = false;
     // Servers that have said since the search for a primary began that they are none, or that may
     // not lead any more.
-    std::set<ServerName> saidReplica_;
+    std::set<ServerName> reportedReplicas_;
     // Nothing above the first position has been acknowledged, if it knows all, and all up to the
     // second one has been.
-    std::optional<Position> acknowledgedAtMost_;
-    std::optional<Position> acknowledgedAtLeast_;
+    std::optional<Position> acknowledgedUpperBound_;
+    std::optional<Position> acknowledgedLowerBound_;
     // See OwnershipRecord; of the term of the primary.
     LogOffset termBegan_ = 0;
     LogOffset firstHeld_ = 0;
@@ -203,19 +206,19 @@
     decision::LogHolders holders_;
     Instant holdersWatchedAt_ {};
     // The row does not name the present primary yet; and when it was written last.
-    bool leadUnrecorded_ = false;
+    bool primaryUnrecorded_ = false;
     Instant rowWrittenAt_ {};
     // Since the log last told why nothing is promoted.
-    Instant waitingNotedAt_ {};
+    Instant waitLoggedAt_ {};
     // The change under way.
     bool planned_ = false;
-    bool held_ = false;
+    bool writesHeld_ = false;
     Term stopTerm_ = 0;
-    std::map<ServerName, ServerReport> stopped_;
-    std::set<ServerName> excluded_;
+    std::map<ServerName, ServerReport> stopReports_;
+    std::set<ServerName> failedCandidates_;
     // Candidate of the planned change that came to nothing last, and when the next may begin.
-    ServerName avoided_;
-    Instant plannedAfter_ {};
+    ServerName avoidedCandidate_;
+    Instant plannedChangeAfter_ {};
     // The row could not be written; not before then again.
     Instant recordAfter_ {};
     ServerName oldPrimary_;
@@ -223,29 +226,29 @@
     bool oldIsReplica_ = false;
     // The change replaces a primary that goes on answering, so that its word is no reason to stop;
     // and when the next such change may begin.
-    bool replacing_ = false;
+    bool replacingStalled_ = false;
     Instant replaceAfter_ {};
     ServerName candidate_;
     // When the replicas other than the candidate had all stopped, in a planned change.
     Instant othersStoppedAt_ {};
-    Instant calledAt_ {};
+    Instant promotionSentAt_ {};
     // Not again before then: the platform has turned a call away.
-    Instant callAfter_ {};
+    Instant promoteAfter_ {};
     // From the call to the lead, in the last change.
-    Duration leadTook_ {0};
+    Duration measuredLeadTime_ {0};
     // The platform has been told to promote in this change, and may do or have done so.
-    bool called_ = false;
-    bool mayLead_ = false;
-    Instant askedAt_ {};
-    Instant settledAt_ {};
+    bool promotionSent_ = false;
+    bool candidateMayLead_ = false;
+    Instant queriedAt_ {};
+    Instant reconciledAt_ {};
     bool probing_ = false;
     Instant probedAt_ {};
-    Instant acceptedAt_ {};
+    Instant probeAcceptedAt_ {};
     // Servers that must learn of the new primary.
-    std::set<ServerName> toSettle_;
+    std::set<ServerName> unreconciledServers_;
     TimerId timer_ = 0;
     // Counts steps, so that late answers are told apart.
-    std::uint64_t change_ = 0;
+    std::uint64_t stepNumber_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/group/grouphost.cpp
+++ b/src/group/grouphost.cpp
@@ -385,7 +385,7 @@
         }
         if (mine.offeredAt == Instant()) {
             mine.offeredAt = now;
-            ownership_.askTakeOver(group, std::string(), "stopping");
+            ownership_.requestTakeOver(group, std::string(), "stopping");
         }
         if (now - mine.offeredAt < offerTime)
             continue;
--- a/src/group/grouphost.h
+++ b/src/group/grouphost.h
@@ -28,7 +28,7 @@
         EventLog &log;
         Metrics &metrics;
         session::StageTimes &times;
-        PrimaryKeeper::Prober probe;
+        FailoverController::Prober probe;
         ProcessId self;
         ZoneName zone;
         // Processor cores that this host may use.
--- a/src/group/grouprunner.cpp
+++ b/src/group/grouprunner.cpp
@@ -189,7 +189,7 @@
 int GroupRunner::commitsBeside(const JobPtr &job)
 {
     const Instant now = parts_.timers.now();
-    if (!parts_.ownership.isAlone(group_))
+    if (!parts_.ownership.isSoleOwner(group_))
         strangersAt_ = now;
     const GroupServer *server = find(job->server);
     if (server != nullptr && now - strangersAt_ < strangersStay)
@@ -299,7 +299,7 @@
     dropServer(server);
 }
 
-void GroupRunner::onNotReplacedYet(Instant asked, Position held)
+void GroupRunner::onCandidateNotLeading(Instant asked, Position held)
 {
     while (!unverified_.empty() && unverified_.front().came <= asked) {
         const std::optional<Position> &position = unverified_.front().done.position;
@@ -505,7 +505,7 @@
     if (job->quota == Job::Quota::Asked)
         return false;
     // 2. Nothing is sent without the lease: the primary may have been replaced.
-    if (!parts_.ownership.leaseHolds(group_))
+    if (!parts_.ownership.hasLease(group_))
         return false;
     // 3. A transaction that is open stays on its connection.
     if (continuesTransaction(job->statement)) {
--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -8,7 +8,7 @@
 #include "decision/slotadmission.h"
 #include "decision/statementretry.h"
 #include "group/connectionstate.h"
-#include "group/primarykeeper.h"
+#include "group/failovercontroller.h"
 #include "group/quotabook.h"
 #include "session/catalogue.h"
 
@@ -35,7 +35,7 @@
         EventLog &log;
         Metrics &metrics;
         session::StageTimes &times;
-        PrimaryKeeper::Prober probe;
+        FailoverController::Prober probe;
         ZoneName zone;
         // See GroupServer::Parts.
         std::function<void(Instant since)> onSilence;
@@ -69,7 +69,7 @@
     void onPrimary(const ServerName &server) override;
     void onPrimaryLost(const ServerName &server) override;
     void onWritesHeld(bool held) override;
-    void onNotReplacedYet(Instant asked, Position held) override;
+    void onCandidateNotLeading(Instant asked, Position held) override;
 
     // As operators see it.
     inner::GroupStatus status() const;
@@ -191,7 +191,7 @@
     session::GroupOptions options_;
     Duration serverLeaveTime_ {std::chrono::seconds(7)};
     GroupServers servers_;
-    PrimaryKeeper keeper_;
+    FailoverController keeper_;
     decision::PositionLog positions_;
     decision::CommitWatch commits_;
     decision::ServiceTimes serviceTimes_;
--- a/src/group/grouprunnerwork.cpp
+++ b/src/group/grouprunnerwork.cpp
@@ -168,13 +168,13 @@
     // that of a replaced one, and whoever replaces it does not know of it.
     const auto transaction = transactions_.find(job->origin);
     const bool onlyRead = transaction != transactions_.end() && transaction->second.readOnly;
-    const bool leaseHolds = parts_.ownership.leaseHolds(group_);
+    const bool hasLease = parts_.ownership.hasLease(group_);
     const bool givenUp = !onlyRead && job->server != keeper_.primary();
-    if (keeps && (!leaseHolds || givenUp)) {
-        done.reason = leaseHolds ? Reason::Unconfirmed : Reason::LeaseLost;
+    if (keeps && (!hasLease || givenUp)) {
+        done.reason = hasLease ? Reason::Unconfirmed : Reason::LeaseLost;
         done.executed = Executed::Unknown;
-        done.detail = leaseHolds ? "its server was given up as the primary before the answer came"
-                                 : "the owner's lease ended before the answer came";
+        done.detail = hasLease ? "its server was given up as the primary before the answer came"
+                               : "the owner's lease ended before the answer came";
         release(job, false);
         if (job->statement.inTransaction)
             forgetTransaction(job->origin, true);
--- a/src/group/ownership.cpp
+++ b/src/group/ownership.cpp
@@ -10,97 +10,98 @@
 namespace {
 
 // Longest that one question for changes of owners stays open. Owners are also learnt on the way.
-constexpr Duration feedWait = std::chrono::seconds(20);
+constexpr Duration feedPollTimeout = std::chrono::seconds(20);
 // The row is read this often, so that a lost answer or two leave most of the lease.
-constexpr Duration renewPeriod = std::chrono::milliseconds(2500);
+constexpr Duration renewInterval = std::chrono::milliseconds(2500);
 // After a claim its guard is cut to what is needed. Owners before mostly say within 0.2 s that they
 // have ended, and then one write serves for both.
-constexpr Duration guardCut = std::chrono::milliseconds(300);
+constexpr Duration guardClearDelay = std::chrono::milliseconds(300);
 // Questions about one group, to the store or to peers, are this far apart.
-constexpr Duration askPause = std::chrono::milliseconds(150);
+constexpr Duration queryInterval = std::chrono::milliseconds(150);
 
 } // namespace
 
 OwnershipTable::OwnershipTable(const Parts &parts, OwnershipEvents &events)
     : parts_(parts), visits_(parts.metrics.visits("owners")), events_(events),
-      follower_({parts.timers, parts.feed, parts.log}, table, feedWait,
-                {[this](const services::TableRow &row) { apply(row); },
-                 [this](const std::string &key) { unreadable_.insert(key); }, [this] { onRead(); }})
+      follower_({parts.timers, parts.feed, parts.log}, table, feedPollTimeout,
+                {[this](const services::TableRow &row) { applyRow(row); },
+                 [this](const std::string &key) { unreadableRows_.insert(key); },
+                 [this] { onTableRead(); }})
 { }
 
 void OwnershipTable::start()
 {
     follower_.start();
-    parts_.timers.subscribeEvery(renewPeriod, [this] { renew(); });
+    parts_.timers.subscribeEvery(renewInterval, [this] { renewLeases(); });
 }
 
 // Knowing the rows
 
-void OwnershipTable::onRead()
+void OwnershipTable::onTableRead()
 {
-    asOf_ = follower_.position();
-    const std::set<GroupName> wanted = std::move(wanted_);
-    wanted_.clear();
-    for (const GroupName &group : wanted)
+    knownVersion_ = follower_.position();
+    const std::set<GroupName> wantedGroups = std::move(wantedGroups_);
+    wantedGroups_.clear();
+    for (const GroupName &group : wantedGroups)
         wantOwner(group);
-    const std::map<GroupName, std::size_t> prepared = std::move(prepared_);
-    prepared_.clear();
-    for (const auto &[group, groups] : prepared)
-        prepareOwner(group, groups);
+    const std::map<GroupName, std::size_t> proactiveClaims = std::move(pendingProactiveClaims_);
+    pendingProactiveClaims_.clear();
+    for (const auto &[group, groups] : proactiveClaims)
+        claimProactively(group, groups);
 }
 
 // The owner that was asked is none: the feed is late or hears nothing.
 void OwnershipTable::refreshOwner(const GroupName &group)
 {
-    if (!mayAsk(group))
+    if (!admitQuery(group))
         return;
-    parts_.askPeers(group);
+    parts_.queryPeers(group);
     parts_.table.read(table, group, [this](auto row) {
         if (row.ok() && *row)
-            apply(**row);
+            applyRow(**row);
     });
 }
 
 // One question to the service itself for whatever has changed since the last one.
-void OwnershipTable::look(std::function<void(const Look &)> callback)
+void OwnershipTable::queryChanges(std::function<void(const ChangeQueryResult &)> callback)
 {
     const Instant sent = parts_.timers.now();
-    parts_.direct.changes(table, asOf_.value_or(0), Duration(0),
-                          [this, sent, callback = std::move(callback)](const auto &changes) {
-                              Look seen;
-                              seen.sent = sent;
-                              seen.status = changes.status();
-                              // Without the history in between nothing is proven; the next snapshot
-                              // begins anew.
-                              if (absl::IsOutOfRange(changes.status()))
-                                  asOf_.reset();
-                              if (!changes.ok())
-                                  return callback(seen);
-                              for (const services::RowChange &change : changes->changes) {
-                                  if (change.removed)
-                                      unreadable_.insert(change.row.key);
-                                  else if (apply(change.row))
-                                      seen.changed[change.row.key] = change.row.etag;
-                              }
-                              seen.unreadable = unreadable_;
-                              if (asOf_)
-                                  asOf_ = std::max(*asOf_, changes->next);
-                              seen.serviceTime = changes->serviceTime.value_or(Duration(0));
-                              if (changes->serviceTime) {
-                                  serviceTime_ = changes->serviceTime;
-                                  serviceTimeAsked_ = sent;
-                              }
-                              callback(seen);
-                          });
+    parts_.directFeed.changes(table, knownVersion_.value_or(0), Duration(0),
+                              [this, sent, callback = std::move(callback)](const auto &changes) {
+                                  ChangeQueryResult seen;
+                                  seen.sent = sent;
+                                  seen.status = changes.status();
+                                  // Without the history in between nothing is proven; the next
+                                  // snapshot begins anew.
+                                  if (absl::IsOutOfRange(changes.status()))
+                                      knownVersion_.reset();
+                                  if (!changes.ok())
+                                      return callback(seen);
+                                  for (const services::RowChange &change : changes->changes) {
+                                      if (change.removed)
+                                          unreadableRows_.insert(change.row.key);
+                                      else if (applyRow(change.row))
+                                          seen.changed[change.row.key] = change.row.etag;
+                                  }
+                                  seen.unreadable = unreadableRows_;
+                                  if (knownVersion_)
+                                      knownVersion_ = std::max(*knownVersion_, changes->next);
+                                  seen.serviceTime = changes->serviceTime.value_or(Duration(0));
+                                  if (changes->serviceTime) {
+                                      serviceTime_ = changes->serviceTime;
+                                      serviceTimeQueriedAt_ = sent;
+                                  }
+                                  callback(seen);
+                              });
 }
 
-bool OwnershipTable::mayAsk(const GroupName &group)
+bool OwnershipTable::admitQuery(const GroupName &group)
 {
     Entry &entry = entries_[group];
     const Instant now = parts_.timers.now();
-    if (now < entry.askAfter)
+    if (now < entry.queryAfter)
         return false;
-    entry.askAfter = now + askPause;
+    entry.queryAfter = now + queryInterval;
     return true;
 }
 
@@ -121,17 +122,17 @@
 }
 
 // False when the row can't be read; then what was known before stays.
-bool OwnershipTable::apply(const services::TableRow &row)
+bool OwnershipTable::applyRow(const services::TableRow &row)
 {
     const auto record = decodeOwnership(row.value);
     if (!record.ok()) {
         parts_.log.warning("owner_row_invalid")
             .with("group", row.key)
             .with("cause", record.status().message());
-        unreadable_.insert(row.key);
+        unreadableRows_.insert(row.key);
         return false;
     }
-    unreadable_.erase(row.key);
+    unreadableRows_.erase(row.key);
     applyRecord(row.key, *record, row.etag);
     return true;
 }
@@ -140,17 +141,17 @@
 void OwnershipTable::setRecord(const GroupName &group, Entry &entry, const OwnershipRecord &record)
 {
     if (entry.known)
-        countOwner(entry.record, -1);
+        updateOwnerCount(entry.record, -1);
     entry.known = true;
     entry.record = record;
-    countOwner(record, 1);
+    updateOwnerCount(record, 1);
     if (record.owner == parts_.self)
         owned_.insert(group);
     else
         owned_.erase(group);
 }
 
-void OwnershipTable::countOwner(const OwnershipRecord &record, int change)
+void OwnershipTable::updateOwnerCount(const OwnershipRecord &record, int change)
 {
     const std::string &address = record.owner.address;
     if (address.empty())
@@ -179,7 +180,7 @@
     // The own row is changed by this process alone, which knows what it wrote.
     if (owned && !changed)
         return;
-    const OwnershipRecord before = entry.record;
+    const OwnershipRecord previous = entry.record;
     setRecord(group, entry, record);
     entry.etag = etag;
     if (!changed)
@@ -189,7 +190,7 @@
         .with("epoch", record.epoch)
         .with("owner", record.owner.address);
     if (owned) {
-        parts_.log.warning("ownership_lost").with("group", group).with("epoch", before.epoch);
+        parts_.log.warning("ownership_lost").with("group", group).with("epoch", previous.epoch);
         events_.onLost(group);
     }
     // Also right after the loss of an earlier epoch: the row of the owner between may never have
@@ -198,7 +199,7 @@
         // A hand-over, or a claim whose answer was lost: how old the news are is not known, so the
         // lease begins with the next read.
         entry.leaseUntil = Instant();
-        OwnershipRecord earlier = before;
+        OwnershipRecord earlier = previous;
         earlier.guardedUntil = record.guardedUntil;
         earlier.earlier = record.earlier;
         acquire(group, record, etag, earlier, {});
@@ -206,7 +207,7 @@
     events_.onOwnerChanged(group);
     // A row of an earlier run of this very process: that run is dead.
     if (record.owner.address == parts_.self.address && record.owner != parts_.self)
-        planClaim(group, restarted, Duration(0));
+        scheduleClaim(group, reasonRestarted, Duration(0));
 }
 
 std::optional<session::OwnerRef> OwnershipTable::owner(const GroupName &group) const
@@ -233,7 +234,7 @@
     return found == entries_.end() || !found->second.known ? nullptr : &found->second.record;
 }
 
-bool OwnershipTable::leaseHolds(const GroupName &group) const
+bool OwnershipTable::hasLease(const GroupName &group) const
 {
     return leaseLeft(group) > Duration(0);
 }
@@ -246,7 +247,7 @@
     return found->second.leaseUntil - parts_.timers.now();
 }
 
-bool OwnershipTable::isAlone(const GroupName &group) const
+bool OwnershipTable::isSoleOwner(const GroupName &group) const
 {
     const auto found = entries_.find(group);
     if (found == entries_.end())
@@ -255,60 +256,62 @@
 }
 
 // Owners before the next one, and until when they may act.
-void OwnershipTable::nameEarlier(OwnershipRecord &record,
-                                 const std::vector<decision::EarlierOwner> &open,
-                                 const decision::EarlierOwner &before, Duration lastRenewal)
+void OwnershipTable::setEarlierOwners(OwnershipRecord &record,
+                                      const std::vector<decision::EarlierOwner> &open,
+                                      const decision::EarlierOwner &previous, Duration lastRenewal)
 {
-    record.earlier = decision::EarlierOwners::listWith(open, !open.empty(), before);
-    record.guardedUntil = lastRenewal + lease + clockMargin;
+    record.earlier = decision::EarlierOwners::listWith(open, !open.empty(), previous);
+    record.guardedUntil = lastRenewal + leaseDuration + clockMargin;
 }
 
-void OwnershipTable::noteServiceTime(const services::TableRow &row, Instant asked)
+void OwnershipTable::noteServiceTime(const services::TableRow &row, Instant queriedAt)
 {
     if (!row.serviceTime)
         return;
     serviceTime_ = *row.serviceTime;
-    serviceTimeAsked_ = asked;
+    serviceTimeQueriedAt_ = queriedAt;
 }
 
 std::optional<Duration> OwnershipTable::serviceTime() const
 {
     if (!serviceTime_)
         return std::nullopt;
-    return *serviceTime_ + (parts_.timers.now() - serviceTimeAsked_);
+    return *serviceTime_ + (parts_.timers.now() - serviceTimeQueriedAt_);
 }
 
 // Leases count from now on; the time of the claim itself is on the safe side for those before.
 void OwnershipTable::acquire(const GroupName &group, const OwnershipRecord &record,
-                             const std::string &etag, const OwnershipRecord &before,
+                             const std::string &etag, const OwnershipRecord &previous,
                              Duration serviceTime)
 {
     Entry &entry = entries_[group];
     const Instant now = parts_.timers.now();
     entry.etag = etag;
-    entry.inheritedGuard = before.guardedUntil;
-    const bool guarded = before.guardedUntil != Duration(0);
-    const std::optional<Duration> told = this->serviceTime();
-    entry.latestGuard = told ? *told + lease + clockMargin : Duration(0);
+    entry.inheritedGuard = previous.guardedUntil;
+    const bool guarded = previous.guardedUntil != Duration(0);
+    const std::optional<Duration> knownTime = this->serviceTime();
+    entry.guardLimit = knownTime ? *knownTime + leaseDuration + clockMargin : Duration(0);
     const bool timeKnown = serviceTime != Duration(0);
-    const Duration guard = timeKnown ? before.guardedUntil - serviceTime : lease + clockMargin;
-    entry.earlier.begin(now, before.earlier, guarded ? guard : Duration(0), parts_.self);
-    entry.before = {before.owner, before.epoch};
-    const bool other = !before.owner.address.empty() && before.owner.address != parts_.self.address;
-    if (other)
-        entry.earlier.add(entry.before, now + lease + clockMargin);
+    const Duration guard =
+        timeKnown ? previous.guardedUntil - serviceTime : leaseDuration + clockMargin;
+    entry.earlier.begin(now, previous.earlier, guarded ? guard : Duration(0), parts_.self);
+    entry.previous = {previous.owner, previous.epoch};
+    const bool hasPredecessor =
+        !previous.owner.address.empty() && previous.owner.address != parts_.self.address;
+    if (hasPredecessor)
+        entry.earlier.add(entry.previous, now + leaseDuration + clockMargin);
     parts_.log.info("ownership_won")
         .with("group", group)
         .with("epoch", record.epoch)
-        .with("before", before.owner.address)
+        .with("before", previous.owner.address)
         .with("earlier", std::uint64_t(entry.earlier.open(now).size()))
         .with("guard_ms", guarded ? std::max(Duration(0), guard) : Duration(0));
-    if (!leaseHolds(group))
-        renewOne(group);
-    parts_.timers.subscribeAfter(guardCut, [this, group] { clearGuard(group); });
-    if (entry.earlier.mayAct(now) && !asking_) {
-        asking_ = true;
-        askPredecessors();
+    if (!hasLease(group))
+        renewLease(group);
+    parts_.timers.subscribeAfter(guardClearDelay, [this, group] { scheduleGuardClear(group); });
+    if (entry.earlier.mayAct(now) && !queryingPredecessors_) {
+        queryingPredecessors_ = true;
+        queryPredecessors();
     }
     events_.onAcquired(group);
 }
--- a/src/group/ownership.h
+++ b/src/group/ownership.h
@@ -47,7 +47,7 @@
         services::TableService &table;
         services::TableFeed &feed;
         // The service itself, without what other hosts tell.
-        services::TableFeed &direct;
+        services::TableFeed &directFeed;
         inner::PeerLinks &links;
         EventLog &log;
         Metrics &metrics;
@@ -58,13 +58,13 @@
         // Whether nothing listens at a process's address.
         std::function<void(const std::string &address, std::function<void(bool refused)>)> probe;
         // Asks other processes who owns the group; what they know comes to learnOwner().
-        std::function<void(const GroupName &)> askPeers;
+        std::function<void(const GroupName &)> queryPeers;
         // Sends it to all processes that there is a link with.
-        std::function<void(const inner::TakeOver &)> tellPeers;
+        std::function<void(const inner::TakeOver &)> broadcastTakeOver;
         // Zone of the group's primary, as far as known.
         std::function<ZoneName(const GroupName &)> primaryZone;
         // Whether the table service answers nothing, as far as is known.
-        std::function<bool()> storeIsSilent;
+        std::function<bool()> isStoreUnavailable;
     };
 
     static constexpr const char *table = "kelptally_owners";
@@ -80,9 +80,9 @@
     std::optional<session::OwnerRef> owner(const GroupName &group) const override;
     void wantOwner(const GroupName &group) override;
     // The same before anybody has asked for it, one of so many groups.
-    void prepareOwner(const GroupName &group, std::size_t groups);
+    void claimProactively(const GroupName &group, std::size_t groups);
     void suspectOwner(const GroupName &group, const session::OwnerRef &owner,
-                      const std::string &why) override;
+                      const std::string &reason) override;
     void refreshOwner(const GroupName &group) override;
     // What another process knows, for when the store turns this one away.
     void learnOwner(const GroupName &group, const session::OwnerRef &owner) override;
@@ -93,10 +93,10 @@
     const std::set<GroupName> &owned() const { return owned_; }
     const OwnershipRecord *record(const GroupName &group) const;
     // Statements may be sent, and their answers believed.
-    bool leaseHolds(const GroupName &group) const;
+    bool hasLease(const GroupName &group) const;
     Duration leaseLeft(const GroupName &group) const;
     // No owner before this one can act any more, so that the primary may be changed.
-    bool isAlone(const GroupName &group) const;
+    bool isSoleOwner(const GroupName &group) const;
 
     using Edit = std::function<void(OwnershipRecord &)>;
     // Changes the own row; Ok once the change is in it, and nothing else may be assumed before.
@@ -108,38 +108,38 @@
 
     // This process owns the group and can't do what it needs: another one that reaches the
     // endpoint, or any if that is empty, should claim it. Said at most twice a second.
-    void askTakeOver(const GroupName &group, const std::string &reach, const std::string &why,
-                     bool needsRoom = false);
+    void requestTakeOver(const GroupName &group, const std::string &requiredEndpoint,
+                         const std::string &reason, bool needsRoom = false);
     // This host has processor time for one group more.
     bool hasRoom() const;
     // An owner has asked for it.
-    void takeOver(const GroupName &group, OwnerEpoch epoch);
+    void onTakeOverRequested(const GroupName &group, OwnerEpoch epoch);
 
     // The table service answers again, after so long.
-    void onStoreBack(Duration lostFor);
+    void onStoreRecovered(Duration outage);
 
     // Another run of the process at the address, or the same, was heard.
     void onPeerUp(const ProcessId &process);
-    void onEnded(const std::string &address, const inner::OwnershipEnded &ended);
+    void onOwnershipEnded(const std::string &address, const inner::OwnershipEnded &ended);
 
 private:
     // Why a group is claimed: its owner has asked for it.
-    static constexpr const char *asked = "asked";
+    static constexpr const char *reasonRequested = "asked";
     // Or nobody owns it, ahead of the first statement or after one; or an earlier run of this
     // process did, or nothing listens at the owner's address: enough to claim, no proof that the
     // owner has ended. Anything else is a suspicion.
-    static constexpr const char *unowned = "unowned";
-    static constexpr const char *ahead = "ahead";
-    static constexpr const char *restarted = "restarted";
-    static constexpr const char *nothingListens = "nothing_listens";
-    static constexpr const char *linkDown = "link_down";
+    static constexpr const char *reasonUnowned = "unowned";
+    static constexpr const char *reasonProactive = "ahead";
+    static constexpr const char *reasonRestarted = "restarted";
+    static constexpr const char *reasonNothingListens = "nothing_listens";
+    static constexpr const char *reasonLinkDown = "link_down";
     // An owner acts this long after it asked for its row and found it unchanged. Longer than the
     // outages of the store that are usual, so that service goes on through them; it delays a change
     // of primary only when owner and primary are lost together and the owner neither says that it
     // has ended nor starts again.
-    static constexpr Duration lease = std::chrono::seconds(12);
+    static constexpr Duration leaseDuration = std::chrono::seconds(12);
     // Rows in one write; the platform takes no more.
-    static constexpr std::size_t mostTogether = 100;
+    static constexpr std::size_t maxRowsPerWrite = 100;
     // Clocks of two hosts may run apart by this over one lease: 1%, far above any real drift.
     static constexpr Duration clockMargin = std::chrono::milliseconds(120);
 
@@ -155,34 +155,34 @@
         bool claimPlanned = false;
         Instant claimAfter {};
         // The row and the peers are not asked again before then.
-        Instant askAfter {};
-        Instant askTakeOverAfter {};
+        Instant queryAfter {};
+        Instant requestTakeOverAfter {};
         // When it was offered to hosts with room.
         Instant offeredAt {};
         Instant leaseUntil {};
         decision::EarlierOwners earlier;
         // The last of them, and the guard of those before it as its row had it.
-        decision::EarlierOwner before;
+        decision::EarlierOwner previous;
         Duration inheritedGuard {0};
         // No owner before this one can act longer, by the service's clock: the claim had taken
         // effect when that was told. 0 when it is not known.
-        Duration latestGuard {0};
+        Duration guardLimit {0};
         // The group was claimed because its owner asked for it.
-        bool claimedAsked = false;
+        bool claimedOnRequest = false;
     };
 
-    void onRead();
+    void onTableRead();
     void setRecord(const GroupName &group, Entry &entry, const OwnershipRecord &record);
-    void countOwner(const OwnershipRecord &record, int change);
-    bool apply(const services::TableRow &row);
+    void updateOwnerCount(const OwnershipRecord &record, int change);
+    bool applyRow(const services::TableRow &row);
     void applyRecord(const GroupName &group, const OwnershipRecord &record,
                      const std::string &etag);
-    void planClaim(const GroupName &group, const std::string &why, Duration delay);
+    void scheduleClaim(const GroupName &group, const std::string &reason, Duration delay);
     decision::Claimant claimant(const GroupName &group) const;
     Duration claimDelay(const GroupName &group) const;
-    void claim(const GroupName &group, OwnerEpoch seen, const std::string &why);
+    void claim(const GroupName &group, OwnerEpoch seen, const std::string &reason);
     // What one question to the service for all rows has told.
-    struct Look
+    struct ChangeQueryResult
     {
         absl::Status status;
         Instant sent {};
@@ -196,7 +196,7 @@
     {
         GroupName group;
         OwnerEpoch seen = 0;
-        std::string why;
+        std::string reason;
         // Before it is made alone.
         int triesLeft = 3;
     };
@@ -211,60 +211,62 @@
         Instant sentAt {};
         int triesLeft = 0;
         // It was sent before, without an answer, and may have taken effect or may still do so.
-        bool maybeDone = false;
+        bool mayHaveTakenEffect = false;
         // Of a claim that is made with others.
-        Claim claimed;
+        Claim batchedClaim;
     };
     using RowChangePtr = std::shared_ptr<RowChange>;
 
-    void look(std::function<void(const Look &)> callback);
-    void claimAlone(const GroupName &group, OwnerEpoch seen, const std::string &why);
-    void claimTogether(const Claim &claim);
-    void claimAll(const std::vector<Claim> &claims, const Look &seen);
-    void onContended(const std::vector<RowChangePtr> &changes);
-    void onClaimUnread(const GroupName &group, const std::string &why, const absl::Status &status);
-    void claimAgain(const GroupName &group, const std::string &why);
-    RowChangePtr prepareClaim(const GroupName &group, Duration serviceTime, const std::string &why);
+    void queryChanges(std::function<void(const ChangeQueryResult &)> callback);
+    void claimSingle(const GroupName &group, OwnerEpoch seen, const std::string &reason);
+    void addToClaimBatch(const Claim &claim);
+    void claimBatch(const std::vector<Claim> &claims, const ChangeQueryResult &seen);
+    void onBatchConflict(const std::vector<RowChangePtr> &changes);
+    void onClaimReadFailed(const GroupName &group, const std::string &reason,
+                           const absl::Status &status);
+    void retryClaim(const GroupName &group, const std::string &reason);
+    RowChangePtr prepareClaim(const GroupName &group, Duration serviceTime,
+                              const std::string &reason);
 
     RowChangePtr prepareChange(const GroupName &group, const Edit &edit,
                                std::function<void(absl::Status)> callback);
-    RowChangePtr prepare(const GroupName &group, const OwnershipRecord &record,
-                         const std::string &etag, bool exists,
-                         std::function<void(absl::Status)> callback);
+    RowChangePtr prepareWrite(const GroupName &group, const OwnershipRecord &record,
+                              const std::string &etag, bool exists,
+                              std::function<void(absl::Status)> callback);
     static services::ConditionalWrite conditionalWrite(const RowChange &change);
-    void sendTogether(std::vector<RowChangePtr> changes);
+    void sendBatch(std::vector<RowChangePtr> changes);
     void onWritten(const RowChangePtr &change, const std::string &tag);
     void write(const GroupName &group, const OwnershipRecord &record, const std::string &etag,
                bool exists, std::function<void(absl::Status)> callback);
     void send(const RowChangePtr &change);
-    void settle(const RowChangePtr &change);
+    void resolveOutcome(const RowChangePtr &change);
     void onReadBack(const RowChangePtr &change,
                     const absl::StatusOr<std::optional<services::TableRow>> &row);
     void finish(const RowChangePtr &change, const absl::Status &status);
     void acquire(const GroupName &group, const OwnershipRecord &record, const std::string &etag,
-                 const OwnershipRecord &before, Duration serviceTime);
+                 const OwnershipRecord &previous, Duration serviceTime);
     // Reads the rows of all groups owned here, which makes their leases last longer.
-    void renew();
-    void renewTogether();
-    void renewOne(const GroupName &group);
-    void prolong(const GroupName &group, Instant sent, const std::string &tag);
-    void offerWithoutRoom();
-    void askPredecessors();
-    void askWhetherEnded(const decision::EarlierOwner &owner, const GroupName &group);
+    void renewLeases();
+    void renewAllLeases();
+    void renewLease(const GroupName &group);
+    void extendLease(const GroupName &group, Instant sent, const std::string &tag);
+    void offerGroupIfNoRoom();
+    void queryPredecessors();
+    void queryOwnershipEnd(const decision::EarlierOwner &owner, const GroupName &group);
     // Links of this table's own, to these processes and no others.
-    void keepDialled(const std::set<std::string> &addresses);
-    bool mayAsk(const GroupName &group);
-    bool mayClearGuard(const GroupName &group) const;
-    void clearGuard(const GroupName &group);
+    void updateDialledPeers(const std::set<std::string> &addresses);
+    bool admitQuery(const GroupName &group);
+    bool canClearGuard(const GroupName &group) const;
+    void scheduleGuardClear(const GroupName &group);
     void clearGuards();
-    void noteServiceTime(const services::TableRow &row, Instant asked);
+    void noteServiceTime(const services::TableRow &row, Instant queriedAt);
     // At the latest; nothing when it was never told.
     std::optional<Duration> serviceTime() const;
-    static void nameEarlier(OwnershipRecord &record,
-                            const std::vector<decision::EarlierOwner> &open,
-                            const decision::EarlierOwner &before, Duration lastRenewal);
-    void onEarlierEnded(const GroupName &group, const std::string &address,
-                        const std::string &proof);
+    static void setEarlierOwners(OwnershipRecord &record,
+                                 const std::vector<decision::EarlierOwner> &open,
+                                 const decision::EarlierOwner &previous, Duration lastRenewal);
+    void onPredecessorEnded(const GroupName &group, const std::string &address,
+                            const std::string &proof);
 
     const Parts parts_;
     prometheus::Counter &visits_;
@@ -275,27 +277,27 @@
     decision::TellerOrder owners_;
     // How many groups each owns, by address.
     std::map<std::string, int> ownedBy_;
-    std::set<GroupName> wanted_;
-    // The same for prepareOwner(), with the number of groups.
-    std::map<GroupName, std::size_t> prepared_;
+    std::set<GroupName> wantedGroups_;
+    // The same for claimProactively(), with the number of groups.
+    std::map<GroupName, std::size_t> pendingProactiveClaims_;
     std::set<GroupName> guardsToClear_;
     // Claims that are about to be made together.
-    std::vector<Claim> dueClaims_;
-    std::vector<Claim> aheadClaims_;
+    std::vector<Claim> claimBatch_;
+    std::vector<Claim> proactiveClaimBatch_;
     // Rows that are gone or can't be read as they are now.
-    std::set<GroupName> unreadable_;
+    std::set<GroupName> unreadableRows_;
     // The service itself has told all changes up to this version. Nothing while it is not known.
-    std::optional<std::uint64_t> asOf_;
+    std::optional<std::uint64_t> knownVersion_;
     bool claiming_ = true;
-    bool asking_ = false;
+    bool queryingPredecessors_ = false;
     // A question for all leases is under way.
     bool renewing_ = false;
     // Until then silence of an owner is no reason to claim its group.
     Instant suspectAfter_ {};
-    std::set<std::string> dialled_;
+    std::set<std::string> dialledPeers_;
     // The service's clock as a row told it, and when that row was asked for.
     std::optional<Duration> serviceTime_;
-    Instant serviceTimeAsked_ {};
+    Instant serviceTimeQueriedAt_ {};
     services::TableFollower follower_;
 };
 
--- a/src/group/ownershiprecord.cpp
+++ b/src/group/ownershiprecord.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Of times in rows: a year, far above any, and well below where they would overflow.
-constexpr std::uint64_t maxMilliseconds = 366ull * 24 * 3600 * 1000;
+constexpr std::uint64_t maxStoredMilliseconds = 366ull * 24 * 3600 * 1000;
 
 } // namespace
 
@@ -76,14 +76,14 @@
 namespace {
 
 // Fields that rows of earlier versions lack.
-Duration millisecondsIn(FieldReader &fields, const char *name)
+Duration readMilliseconds(FieldReader &fields, const char *name)
 {
     if (!fields.has(name))
         return Duration(0);
-    return std::chrono::milliseconds(fields.whole(name, maxMilliseconds));
+    return std::chrono::milliseconds(fields.whole(name, maxStoredMilliseconds));
 }
 
-std::vector<decision::EarlierOwner> earlierOf(FieldReader &fields)
+std::vector<decision::EarlierOwner> readEarlierOwners(FieldReader &fields)
 {
     std::vector<decision::EarlierOwner> owners;
     const JsonValue *list = fields.has("earlier") ? fields.list("earlier") : nullptr;
@@ -98,7 +98,7 @@
     return owners;
 }
 
-std::vector<decision::LogHolder> holdersOf(FieldReader &fields)
+std::vector<decision::LogHolder> readHolders(FieldReader &fields)
 {
     std::vector<decision::LogHolder> holders;
     const JsonValue *list = fields.has("holders") ? fields.list("holders") : nullptr;
@@ -113,7 +113,7 @@
     return holders;
 }
 
-Position acknowledgedOf(FieldReader &fields)
+Position readAcknowledged(FieldReader &fields)
 {
     if (!fields.has("acknowledged_term"))
         return {};
@@ -141,11 +141,11 @@
     record.candidate = fields.text("candidate");
     record.otherCandidates = fields.has("other_candidates") && fields.flag("other_candidates");
     record.primaryServes = fields.has("primary_serves") && fields.flag("primary_serves");
-    record.leadTime = millisecondsIn(fields, "lead_ms");
-    record.guardedUntil = millisecondsIn(fields, "guarded_until_ms");
-    record.earlier = earlierOf(fields);
-    record.holders = holdersOf(fields);
-    record.acknowledged = acknowledgedOf(fields);
+    record.leadTime = readMilliseconds(fields, "lead_ms");
+    record.guardedUntil = readMilliseconds(fields, "guarded_until_ms");
+    record.earlier = readEarlierOwners(fields);
+    record.holders = readHolders(fields);
+    record.acknowledged = readAcknowledged(fields);
     if (fields.error())
         return absl::InvalidArgumentError(fields.error()->toText());
     return record;
--- a/src/group/ownershipwrites.cpp
+++ b/src/group/ownershipwrites.cpp
@@ -6,11 +6,11 @@
 namespace {
 
 // A change with no answer may still take effect; the row is looked at so often before giving up.
-constexpr int settleTries = 20;
-constexpr Duration settlePause = std::chrono::milliseconds(150);
-constexpr Duration waitingPause = std::chrono::milliseconds(10);
+constexpr int maxOutcomeReads = 20;
+constexpr Duration outcomeReadInterval = std::chrono::milliseconds(150);
+constexpr Duration unavailableReadInterval = std::chrono::milliseconds(10);
 
-bool isUnclear(const absl::Status &status)
+bool isOutcomeUnknown(const absl::Status &status)
 {
     return absl::IsUnknown(status) || absl::IsDeadlineExceeded(status);
 }
@@ -27,10 +27,10 @@
     return write;
 }
 
-OwnershipTable::RowChangePtr OwnershipTable::prepare(const GroupName &group,
-                                                     const OwnershipRecord &record,
-                                                     const std::string &etag, bool exists,
-                                                     std::function<void(absl::Status)> callback)
+OwnershipTable::RowChangePtr
+OwnershipTable::prepareWrite(const GroupName &group, const OwnershipRecord &record,
+                             const std::string &etag, bool exists,
+                             std::function<void(absl::Status)> callback)
 {
     auto change = std::make_shared<RowChange>();
     change->group = group;
@@ -38,7 +38,7 @@
     if (exists)
         change->expected = etag;
     change->callback = std::move(callback);
-    change->triesLeft = settleTries;
+    change->triesLeft = maxOutcomeReads;
     entries_[group].writing = true;
     return change;
 }
@@ -47,7 +47,7 @@
                            const std::string &etag, bool exists,
                            std::function<void(absl::Status)> callback)
 {
-    send(prepare(group, record, etag, exists, std::move(callback)));
+    send(prepareWrite(group, record, etag, exists, std::move(callback)));
 }
 
 void OwnershipTable::send(const RowChangePtr &change)
@@ -55,9 +55,9 @@
     change->sentAt = parts_.timers.now();
     parts_.table.write({conditionalWrite(*change)}, [this, change](auto tags) {
         // Sent again it may find its own first effect.
-        if (isUnclear(tags.status()) || (change->maybeDone && !tags.ok())) {
-            change->maybeDone = true;
-            return settle(change);
+        if (isOutcomeUnknown(tags.status()) || (change->mayHaveTakenEffect && !tags.ok())) {
+            change->mayHaveTakenEffect = true;
+            return resolveOutcome(change);
         }
         if (tags.ok())
             onWritten(change, tags->front());
@@ -70,11 +70,11 @@
     Entry &entry = entries_[change->group];
     entry.etag = tag;
     if (change->record.owner == parts_.self)
-        entry.leaseUntil = std::max(entry.leaseUntil, change->sentAt + lease);
+        entry.leaseUntil = std::max(entry.leaseUntil, change->sentAt + leaseDuration);
 }
 
 // All of them, or none; without an answer each is settled by itself.
-void OwnershipTable::sendTogether(std::vector<RowChangePtr> changes)
+void OwnershipTable::sendBatch(std::vector<RowChangePtr> changes)
 {
     if (changes.empty())
         return;
@@ -85,12 +85,12 @@
     }
     parts_.table.write(std::move(writes), [this, changes = std::move(changes)](auto tags) {
         if (absl::IsFailedPrecondition(tags.status()))
-            return onContended(changes);
+            return onBatchConflict(changes);
         for (std::size_t i = 0; i < changes.size(); ++i) {
             const RowChangePtr &change = changes[i];
-            if (isUnclear(tags.status())) {
-                change->maybeDone = true;
-                settle(change);
+            if (isOutcomeUnknown(tags.status())) {
+                change->mayHaveTakenEffect = true;
+                resolveOutcome(change);
                 continue;
             }
             if (tags.ok())
@@ -100,7 +100,7 @@
     });
 }
 
-void OwnershipTable::settle(const RowChangePtr &change)
+void OwnershipTable::resolveOutcome(const RowChangePtr &change)
 {
     parts_.table.read(table, change->group, [this, change](auto row) { onReadBack(change, row); });
 }
@@ -122,7 +122,7 @@
             && (!found || found->etag == *change->expected);
         if (!unchanged) {
             if (found)
-                static_cast<void>(apply(*found));
+                static_cast<void>(applyRow(*found));
             return finish(change, absl::FailedPreconditionError("another write came first"));
         }
     }
@@ -131,8 +131,9 @@
     if (row.ok())
         return send(change);
     // A read that waits for a lost service costs no call.
-    const Duration pause = parts_.storeIsSilent() ? waitingPause : settlePause;
-    parts_.timers.subscribeAfter(pause, [this, change] { settle(change); });
+    const Duration pause =
+        parts_.isStoreUnavailable() ? unavailableReadInterval : outcomeReadInterval;
+    parts_.timers.subscribeAfter(pause, [this, change] { resolveOutcome(change); });
 }
 
 void OwnershipTable::finish(const RowChangePtr &change, const absl::Status &status)
@@ -163,12 +164,12 @@
     record.earlier = entry.earlier.open(now);
     if (record.earlier.empty())
         record.guardedUntil = Duration(0);
-    else if (!entry.earlier.mayAct(entry.before, now))
+    else if (!entry.earlier.mayAct(entry.previous, now))
         record.guardedUntil = std::min(record.guardedUntil, entry.inheritedGuard);
-    if (entry.latestGuard != Duration(0))
-        record.guardedUntil = std::min(record.guardedUntil, entry.latestGuard);
+    if (entry.guardLimit != Duration(0))
+        record.guardedUntil = std::min(record.guardedUntil, entry.guardLimit);
     const OwnerEpoch epoch = entry.record.epoch;
-    return prepare(
+    return prepareWrite(
         group, record, entry.etag, true,
         [this, group, record, epoch, callback = std::move(callback)](absl::Status written) {
             Entry &entry = entries_[group];
@@ -177,7 +178,7 @@
             if (written.ok())
                 setRecord(group, entry, record);
             else
-                renewOne(group);
+                renewLease(group);
             callback(written);
         });
 }
@@ -194,8 +195,8 @@
     OwnershipRecord record = entry.record;
     // The next owner may not know who was it until now, and this one may hear late that it is none
     // any more: so the row names it.
-    nameEarlier(record, entry.earlier.open(parts_.timers.now()),
-                {entry.record.owner, entry.record.epoch}, *time);
+    setEarlierOwners(record, entry.earlier.open(parts_.timers.now()),
+                     {entry.record.owner, entry.record.epoch}, *time);
     record.epoch += 1;
     record.owner = to;
     record.zone = zone;
--- a/src/group/primaryholders.cpp
+++ b/src/group/primaryholders.cpp
@@ -1,4 +1,4 @@
-#include "group/primarykeeper.h"
+#include "group/failovercontroller.h"
 
 #include <algorithm>
 
@@ -9,11 +9,11 @@
 namespace {
 
 // Between two writes of the row that no caller waits for: servers come and go a few at a time.
-constexpr Duration rowPause = std::chrono::seconds(1);
+constexpr Duration minRowWriteInterval = std::chrono::seconds(1);
 // The log tells this often why nothing is promoted.
-constexpr Duration waitingNoted = std::chrono::seconds(1);
+constexpr Duration waitLogInterval = std::chrono::seconds(1);
 
-void raise(std::optional<Position> &position, Position to)
+void raiseTo(std::optional<Position> &position, Position to)
 {
     if (!position || *position < to)
         position = to;
@@ -23,18 +23,18 @@
 
 // Acknowledgements
 
-void PrimaryKeeper::onAcknowledged(Position shown, int beside)
+void FailoverController::onAcknowledged(Position logPosition, int maxUnacknowledged)
 {
-    raise(acknowledgedAtMost_, shown);
-    const auto unsure = static_cast<LogOffset>(beside);
-    if (shown.offset > unsure)
-        raise(acknowledgedAtLeast_, {shown.term, shown.offset - unsure});
+    raiseTo(acknowledgedUpperBound_, logPosition);
+    const auto unacknowledged = static_cast<LogOffset>(maxUnacknowledged);
+    if (logPosition.offset > unacknowledged)
+        raiseTo(acknowledgedLowerBound_, {logPosition.term, logPosition.offset - unacknowledged});
 }
 
 // Here, or by what an earlier owner left in the row.
-std::optional<Position> PrimaryKeeper::surelyAcknowledged() const
+std::optional<Position> FailoverController::knownAcknowledged() const
 {
-    std::optional<Position> known = acknowledgedAtLeast_;
+    std::optional<Position> known = acknowledgedLowerBound_;
     const OwnershipRecord *record = parts_.ownership.record(group_);
     if (record != nullptr && record->acknowledged.term != 0
         && (!known || *known < record->acknowledged))
@@ -44,7 +44,7 @@
 
 // While a primary leads
 
-std::vector<decision::LogHolder> PrimaryKeeper::listedHolders() const
+std::vector<decision::LogHolder> FailoverController::listedHolders() const
 {
     std::vector<decision::LogHolder> listed;
     for (const auto &[id, server] : servers_)
@@ -52,29 +52,32 @@
     return listed;
 }
 
-void PrimaryKeeper::watchHolders(Instant now)
+void FailoverController::refreshHolders(Instant now)
 {
-    if (now - holdersWatchedAt_ < askPeriod)
+    if (now - holdersWatchedAt_ < queryInterval)
         return;
     holdersWatchedAt_ = now;
-    const bool mayKnowAll = !knowsAll_ && aloneSince_ != Instant();
+    const bool mayKnowAll = !sawAllAcknowledgements_ && soleOwnerSince_ != Instant();
     if (mayKnowAll || !holders_.vanished().empty())
-        askWhatIsHeld(now);
-    if (now - rowWrittenAt_ >= rowPause)
+        queryPositions(now);
+    if (now - rowWrittenAt_ >= minRowWriteInterval)
         recordHolders(now);
 }
 
 // The primary, and while some have vanished the others, too: whether they hold what those may hold.
-void PrimaryKeeper::askWhatIsHeld(Instant now)
+void FailoverController::queryPositions(Instant now)
 {
-    const bool replicasToo = !holders_.vanished().empty();
+    const bool includeReplicas = !holders_.vanished().empty();
     for (const auto &[id, server] : servers_)
-        if (id == primary_ || (replicasToo && !server->isUnreachable()))
-            ask(*server, CommandKind::Report, 0, reportTimeout,
-                [this, id = id, now](const ServerReport &report) { onHeld(id, report, now); });
+        if (id == primary_ || (includeReplicas && !server->isUnreachable()))
+            sendCommand(*server, CommandKind::Report, 0, reportTimeout,
+                        [this, id = id, now](const ServerReport &report) {
+                            onPositionReport(id, report, now);
+                        });
 }
 
-void PrimaryKeeper::onHeld(const ServerName &server, const ServerReport &report, Instant asked)
+void FailoverController::onPositionReport(const ServerName &server, const ServerReport &report,
+                                          Instant queriedAt)
 {
     if (step_ != Step::Leading || report.term != term_)
         return;
@@ -82,47 +85,48 @@
         return holders_.onReplicaHeld(report.received);
     if (server != primary_ || !report.primary)
         return;
-    holders_.onPrimaryHeld(report.received, asked);
+    holders_.onPrimaryHeld(report.received, queriedAt);
     // Asked after the owners before this one had ended: all that they acknowledged is in it. An
     // answer that was already on its way then shows less.
-    if (aloneSince_ == Instant() || asked < aloneSince_)
+    if (soleOwnerSince_ == Instant() || queriedAt < soleOwnerSince_)
         return;
-    knowsAll_ = true;
-    raise(acknowledgedAtMost_, report.received);
+    sawAllAcknowledgements_ = true;
+    raiseTo(acknowledgedUpperBound_, report.received);
 }
 
-void PrimaryKeeper::recordHolders(Instant now)
+void FailoverController::recordHolders(Instant now)
 {
-    if (leadUnrecorded_)
-        return recordLead();
+    if (primaryUnrecorded_)
+        return recordPrimary();
     const OwnershipRecord *record = parts_.ownership.record(group_);
     if (record == nullptr || record->holders == holders_.all())
         return;
     rowWrittenAt_ = now;
     parts_.ownership.change(
-        group_, [this](OwnershipRecord &row) { tellHolders(row); }, [](const absl::Status &) {});
+        group_, [this](OwnershipRecord &row) { writeHolders(row); }, [](const absl::Status &) {});
 }
 
 // What the next owner has to know of logs, should this one be lost.
-void PrimaryKeeper::tellHolders(OwnershipRecord &row) const
+void FailoverController::writeHolders(OwnershipRecord &row) const
 {
     row.holders = holders_.all();
-    row.acknowledged = surelyAcknowledged().value_or(Position());
+    row.acknowledged = knownAcknowledged().value_or(Position());
 }
 
 // A row that goes on naming the primary before hides from the next owner which server led last.
-void PrimaryKeeper::recordLead()
+void FailoverController::recordPrimary()
 {
-    if (!leadUnrecorded_)
+    if (!primaryUnrecorded_)
         return;
     rowWrittenAt_ = parts_.timers.now();
-    const std::uint64_t change = change_;
+    const std::uint64_t stepNumber = stepNumber_;
     parts_.ownership.change(
         group_,
         [this](OwnershipRecord &row) {
-            if (leadTook_ != Duration(0))
-                row.leadTime =
-                    row.leadTime == Duration(0) ? leadTook_ : std::min(row.leadTime, leadTook_);
+            if (measuredLeadTime_ != Duration(0))
+                row.leadTime = row.leadTime == Duration(0)
+                    ? measuredLeadTime_
+                    : std::min(row.leadTime, measuredLeadTime_);
             row.primary = primary_;
             row.term = term_;
             row.termBegan = termBegan_;
@@ -130,30 +134,30 @@
             row.candidate.clear();
             row.otherCandidates = false;
             row.primaryServes = false;
-            tellHolders(row);
+            writeHolders(row);
         },
-        [this, alive = alive_, change](const absl::Status &written) {
-            if (*alive && change == change_ && written.ok())
-                leadUnrecorded_ = false;
+        [this, alive = alive_, stepNumber](const absl::Status &written) {
+            if (*alive && stepNumber == stepNumber_ && written.ok())
+                primaryUnrecorded_ = false;
         });
 }
 
 // While one is chosen
 
 // All that may hold acknowledged commits count, not only those that the list names now.
-decision::ChoiceState PrimaryKeeper::choiceState(Instant now) const
+decision::ChoiceState FailoverController::choiceState(Instant now) const
 {
     decision::ChoiceState state;
-    state.acknowledgedAtLeast = surelyAcknowledged();
-    if (knowsAll_)
-        state.acknowledgedAtMost = acknowledgedAtMost_;
-    state.waited = inStep(now);
+    state.acknowledgedAtLeast = knownAcknowledged();
+    if (sawAllAcknowledgements_)
+        state.acknowledgedAtMost = acknowledgedUpperBound_;
+    state.waited = timeInStep(now);
     // The row may lag behind what this owner has seen, or tell of a term that it has not.
     const OwnershipRecord *record = parts_.ownership.record(group_);
-    const bool isRowsTerm = record != nullptr && record->term > term_;
-    const Term term = isRowsTerm ? record->term : term_;
-    const LogOffset began = isRowsTerm ? record->termBegan : termBegan_;
-    state.inherited = isRowsTerm ? record->firstHeld : firstHeld_;
+    const bool isRowTermNewer = record != nullptr && record->term > term_;
+    const Term term = isRowTermNewer ? record->term : term_;
+    const LogOffset began = isRowTermNewer ? record->termBegan : termBegan_;
+    state.inherited = isRowTermNewer ? record->firstHeld : firstHeld_;
     // Where its beginning is not known, nothing was acknowledged in it before it was first seen.
     state.termBegan = {term, began != 0 ? began : state.inherited};
     for (const decision::LogHolder &holder : holders_.all()) {
@@ -161,13 +165,13 @@
         replica.server = holder.server;
         replica.endpoint = holder.endpoint;
         replica.isLastLeader = holder.server == oldPrimary_;
-        const auto report = stopped_.find(holder.server);
+        const auto report = stopReports_.find(holder.server);
         const auto server = servers_.find(holder.server);
-        if (report != stopped_.end() && server != servers_.end())
+        if (report != stopReports_.end() && server != servers_.end())
             replica.held = report->second.received;
         // One that failed as a candidate still counts by its position: if it holds the most, it is
         // the one again.
-        replica.avoided = excluded_.count(holder.server) != 0
+        replica.avoided = failedCandidates_.count(holder.server) != 0
             || (server != servers_.end() && server->second->listed().leaving);
         state.replicas.push_back(std::move(replica));
     }
@@ -175,39 +179,39 @@
 }
 
 // Nothing is promoted that may lack something acknowledged, however long that takes.
-void PrimaryKeeper::noteWaiting(const decision::ReplicaChoice &choice, Instant now)
+void FailoverController::logPromotionWait(const decision::ReplicaChoice &choice, Instant now)
 {
-    const Instant since = std::max(stepSince_, aloneSince_);
-    if (now - since < waitingNoted || now - waitingNotedAt_ < waitingNoted)
+    const Instant since = std::max(stepSince_, soleOwnerSince_);
+    if (now - since < waitLogInterval || now - waitLoggedAt_ < waitLogInterval)
         return;
-    waitingNotedAt_ = now;
+    waitLoggedAt_ = now;
     // One that hears nobody is the one that is cut off, or all servers are.
     if (choice.held)
-        askForHearing();
-    const auto known = surelyAcknowledged();
+        requestTakeOverForReplica();
+    const auto known = knownAcknowledged();
     parts_.log.warning("promotion_waits", decision::ruleName(choice.rule))
         .with("group", group_)
         .with("old_primary", oldPrimary_)
         .with("held", choice.held ? positionText(*choice.held) : std::string("-"))
         .with("acknowledged", known ? positionText(*known) : std::string("-"))
-        .with("unheard", unheard());
+        .with("unheard", describeMissingReports());
 }
 
 // Another process may reach the replicas that this one does not.
-void PrimaryKeeper::askForHearing()
+void FailoverController::requestTakeOverForReplica()
 {
     for (const auto &[id, server] : servers_)
-        if (stopped_.count(id) == 0 && id != oldPrimary_ && !server->listed().missing)
-            return parts_.ownership.askTakeOver(group_, server->listed().endpoint,
-                                                "replica_unreachable");
+        if (stopReports_.count(id) == 0 && id != oldPrimary_ && !server->listed().missing)
+            return parts_.ownership.requestTakeOver(group_, server->listed().endpoint,
+                                                    "replica_unreachable");
 }
 
 // Servers whose logs the choice does not know, and what is known of each.
-std::string PrimaryKeeper::unheard() const
+std::string FailoverController::describeMissingReports() const
 {
     std::string text;
     for (const auto &[id, server] : servers_) {
-        if (stopped_.count(id) != 0)
+        if (stopReports_.count(id) != 0)
             continue;
         const char *state = server->isAbsent() ? "absent"
             : server->isUnreachable()          ? "unreachable"
--- a/src/group/quotabook.cpp
+++ b/src/group/quotabook.cpp
@@ -54,7 +54,7 @@
     for (const GroupName &group : account.holders) {
         const bool owned = parts_.ownership.owns(group);
         const OwnershipRecord *record = parts_.ownership.record(group);
-        const bool doubled = owned ? !parts_.ownership.isAlone(group)
+        const bool doubled = owned ? !parts_.ownership.isSoleOwner(group)
                                    : record != nullptr && record->guardedUntil != Duration(0);
         ++holders.all;
         holders.doubled += doubled;
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -95,7 +95,7 @@
                                 ports_.metrics, times_, self_});
     groups_->setServerLeaveTime(settings_.serverLeaveTime);
     groups_->start();
-    store_.onBack([this](Duration lostFor) { groups_->ownership().onStoreBack(lostFor); });
+    store_.onBack([this](Duration lostFor) { groups_->ownership().onStoreRecovered(lostFor); });
     return absl::OkStatus();
 }
 
@@ -200,7 +200,7 @@
 {
     const auto zone = primaryZones_.find(group);
     if (!draining_ && zone != primaryZones_.end() && zone->second == settings_.zone)
-        groups_->ownership().prepareOwner(group, catalogue_.get()->groups.size());
+        groups_->ownership().claimProactively(group, catalogue_.get()->groups.size());
 }
 
 HostProcess::OpenedSession HostProcess::openSession(const std::string &database,
@@ -423,11 +423,11 @@
     if (draining_ || (message.needsRoom && !groups_->ownership().hasRoom()))
         return;
     if (message.reach.empty())
-        return groups_->ownership().takeOver(message.group, message.epoch);
+        return groups_->ownership().onTakeOverRequested(message.group, message.epoch);
     ports_.probe(message.reach, reachTimeout,
                  [this, group = message.group, epoch = message.epoch](ProbeOutcome outcome) {
                      if (outcome == ProbeOutcome::Accepted)
-                         groups_->ownership().takeOver(group, epoch);
+                         groups_->ownership().onTakeOverRequested(group, epoch);
                  });
 }
 
@@ -477,7 +477,7 @@
 {
     const auto address = linkAddresses_.find(link);
     if (address != linkAddresses_.end())
-        groups_->ownership().onEnded(address->second, message);
+        groups_->ownership().onOwnershipEnded(address->second, message);
 }
 
 } // namespace kelptally::host
--- a/src/host/hostprocess.h
+++ b/src/host/hostprocess.h
@@ -46,7 +46,7 @@
         Incarnation incarnation = 0;
         TimerService &timers;
         MakeLinks makeLinks;
-        group::PrimaryKeeper::Prober probe;
+        group::FailoverController::Prober probe;
         services::TableService &table;
         services::TableFeed &feed;
         // Ends all calls that are open at the two, and closes their connections.
--- a/tests/host/fleetwork_test.cpp
+++ b/tests/host/fleetwork_test.cpp
@@ -414,7 +414,7 @@
     CHECK(host.ownership().owned().size() == 50);
     for (const GroupName &group : host.ownership().owned()) {
         CHECK(host.ownership().record(group)->epoch == 6);
-        CHECK(host.ownership().leaseHolds(group));
+        CHECK(host.ownership().hasLease(group));
     }
 }
 
@@ -443,7 +443,7 @@
     host.timers.advance(20s);
     CHECK(host.ownership().owned().size() == 20);
     for (const GroupName &group : host.ownership().owned())
-        CHECK(host.ownership().leaseHolds(group));
+        CHECK(host.ownership().hasLease(group));
 }
 
 // Each entry that waits for an answer of a lost owner asks other processes who owns the group now,
@@ -472,13 +472,13 @@
     CHECK(messages() >= std::min(peers, 5));
     CHECK(messages() <= 10);
     host.links->sent.clear();
-    host.ownership().askTakeOver("group-0", "", "test");
+    host.ownership().requestTakeOver("group-0", "", "test");
     CHECK(messages() >= std::min(peers, 5));
     CHECK(messages() <= 30);
     // Who asks on comes to all of them.
     for (int i = 0; i < 60; ++i) {
         host.timers.advance(500ms);
-        host.ownership().askTakeOver("group-0", "", "test");
+        host.ownership().requestTakeOver("group-0", "", "test");
     }
     CHECK(int(host.links->sent.size()) == peers);
 }
@@ -492,14 +492,14 @@
     host.rows.calls = 0;
     auto &ownership = host.process->groups().ownership();
     for (int i = 0; i < host.groups; ++i)
-        ownership.takeOver(host.nameOf(i), 1);
+        ownership.onTakeOverRequested(host.nameOf(i), 1);
     host.timers.advance(1s);
     CHECK(ownership.owned().size() == 50);
     CHECK(host.rows.calls <= 40);
     for (int i = 0; i < host.groups; ++i) {
         // The owner before may act on, and the row says so.
         CHECK(ownership.record(host.nameOf(i))->epoch == 2);
-        CHECK(!ownership.isAlone(host.nameOf(i)));
+        CHECK(!ownership.isSoleOwner(host.nameOf(i)));
     }
 }
 
--- a/tests/host/ownerproof_test.cpp
+++ b/tests/host/ownerproof_test.cpp
@@ -96,8 +96,8 @@
         const auto &next = world_.ownership(next_);
         const auto &earlier = world_.ownership(earlier_);
         const GroupName group = world_.group.name();
-        const bool nextAlone = next.owns(group) && next.leaseHolds(group) && next.isAlone(group);
-        bothAct_ = bothAct_ || (nextAlone && earlier.owns(group) && earlier.leaseHolds(group));
+        const bool nextAlone = next.owns(group) && next.hasLease(group) && next.isSoleOwner(group);
+        bothAct_ = bothAct_ || (nextAlone && earlier.owns(group) && earlier.hasLease(group));
         if (!losesCandidate_ || !world_.group.isPromoting())
             return;
         losesCandidate_ = false;
--- a/tests/host/review_test.cpp
+++ b/tests/host/review_test.cpp
@@ -356,10 +356,10 @@
         world.run(1ms);
         const auto &a = world.ownership(earlier);
         const auto &b = world.ownership(next);
-        const bool earlierActs = a.owns(group) && a.leaseHolds(group);
-        const bool nextActs = b.owns(group) && b.leaseHolds(group) && b.isAlone(group);
+        const bool earlierActs = a.owns(group) && a.hasLease(group);
+        const bool nextActs = b.owns(group) && b.hasLease(group) && b.isSoleOwner(group);
         together += earlierActs && nextActs ? 1 : 0;
     }
-    CHECK(world.ownership(next).isAlone(group));
+    CHECK(world.ownership(next).isSoleOwner(group));
     CHECK(together == 0);
 }
--- a/tests/host/world.cpp
+++ b/tests/host/world.cpp
@@ -87,7 +87,7 @@
     bool isCut = false;
     bool linksCut = false;
     bool linksRefused = false;
-    bool isAlone() const { return isCut || linksCut || linksRefused; }
+    bool isSoleOwner() const { return isCut || linksCut || linksRefused; }
     // How a probe by another host ends that is not cut off from this one.
     ProbeOutcome probedBy(const ModelHost &other) const
     {
@@ -136,8 +136,8 @@
         if (renewing.count(to) != 0 || old == byAddress.end() || ends.count(old->second) == 0)
             return;
         ModelHost *target = other(to);
-        const bool reachable =
-            target != nullptr && target->links != nullptr && !host.isAlone() && !target->isAlone();
+        const bool reachable = target != nullptr && target->links != nullptr && !host.isSoleOwner()
+            && !target->isSoleOwner();
         if (!reachable)
             return;
         renewing.insert(to);
@@ -183,8 +183,8 @@
     void dial(const std::string &to)
     {
         ModelHost *target = other(to);
-        const bool reachable =
-            target != nullptr && target->links != nullptr && !host.isAlone() && !target->isAlone();
+        const bool reachable = target != nullptr && target->links != nullptr && !host.isSoleOwner()
+            && !target->isSoleOwner();
         if (!reachable) {
             host.timers.subscribeAfter(std::chrono::milliseconds(60), [this, to] {
                 if (targets.count(to) != 0)
@@ -245,7 +245,8 @@
         // Lost on the way: the sender notices by silence.
         const bool silent = host.world.silentLinks.count(link) != 0;
         const bool delayed = host.world.delayedLinks.count(link) != 0;
-        if (target == nullptr || silent || (!delayed && (host.isAlone() || target->isAlone())))
+        if (target == nullptr || silent
+            || (!delayed && (host.isSoleOwner() || target->isSoleOwner())))
             return absl::OkStatus();
         host.world.afterDelay(link, [target, link, message = std::move(message)] {
             target->timers.subscribeAfter(linkDelay, [target, link, message] {
