--- a/src/group/failovercontroller.cpp
+++ b/src/group/failovercontroller.cpp
@@ -6,24 +6,22 @@
 
 namespace {
 
-// How often the machine looks at its servers. A tick costs some microseconds.
 constexpr Duration tickPeriod = std::chrono::milliseconds(25);
-// A server that owes an answer and says nothing for this long is probed; the longest statements of
-// a busy server take about as long.
+// Silence of a primary with pending requests after which it is probed. The longest statements of a
+// busy server take about as long.
 constexpr Duration probeAfter = std::chrono::milliseconds(180);
 constexpr Duration probeTimeout = std::chrono::milliseconds(220);
-// From one probe to the next. The answer of the first has to be in when the silence is long enough.
+// Leaves time for the first probe to be answered before silenceTimeout.
 constexpr Duration probePeriod = std::chrono::milliseconds(400);
-// Silence after which a primary counts as lost if the probe was not answered either.
+// Silence after which a primary is lost if the probe was not answered either.
 constexpr Duration silenceTimeout = std::chrono::milliseconds(420);
-// A write that waits this long makes the replicas be looked at; the longest statements in use take
-// less.
+// Wait of a write after which the replicas are checked; longer than any usual statement.
 constexpr Duration commitProgressTimeout = std::chrono::milliseconds(250);
-// A quiet primary is asked for a report this often, so that its loss is seen without traffic.
+// An idle primary is queried this often, so that its loss is detected without traffic.
 constexpr Duration idleReportInterval = std::chrono::milliseconds(800);
-// Somebody else was heard within this time: this process is not the one that is cut off.
+// An answer of another server within this time shows that this process itself is not cut off.
 constexpr Duration contactWindow = std::chrono::milliseconds(500);
-// A listed primary that can't be reached is given this long before it counts as lost.
+// Time for a listed primary to answer before it counts as lost.
 constexpr Duration searchTimeout = std::chrono::milliseconds(450);
 
 const char *stepName(int step)
@@ -75,7 +73,7 @@
         .with("term", highestTerm_);
 }
 
-// Of this process's ownership; zero when it has none.
+// Epoch of the group's known owner; 0 if none is known.
 OwnerEpoch FailoverController::epoch() const
 {
     const OwnershipRecord *record = parts_.ownership.record(group_);
@@ -90,7 +88,7 @@
 
 void FailoverController::start()
 {
-    // What was known under an earlier ownership may be long past.
+    // State from an earlier ownership of the group is outdated.
     primary_.clear();
     candidate_.clear();
     unreconciledServers_.clear();
@@ -194,7 +192,7 @@
     beginChange("none_found", false);
 }
 
-// Whether some server that may lead could still say so.
+// Whether a server that is listed as the primary may still report itself as such.
 bool FailoverController::listedPrimaryMayAnswer(Instant now) const
 {
     const OwnershipRecord *record = parts_.ownership.record(group_);
@@ -220,13 +218,12 @@
     const LeaderEligibility eligibility = leaderEligibility(server, report.term);
     if (eligibility == LeaderEligibility::Yes)
         return adoptPrimary(server, report, false);
-    // Another one has to be chosen, and this one is not waited for.
+    // Another server has to be promoted, so don't wait for this one.
     if (eligibility == LeaderEligibility::No)
         reportedReplicas_.insert(server);
 }
 
-// A candidate of an earlier change that says it does not lead, once no call can take effect any
-// more, never will.
+// A recorded candidate that is not the primary when no promotion is in flight will not become it.
 void FailoverController::noteIdleCandidate(const ServerName &server)
 {
     const OwnershipRecord *record = parts_.ownership.record(group_);
@@ -234,8 +231,7 @@
         candidateNeverLeads_ = true;
 }
 
-// No owner before this one can have sent a call that may still take effect, and this one's last
-// call was long ago.
+// Whether no promotion request, of this owner or an earlier one, can still take effect.
 bool FailoverController::noPromotionInFlight() const
 {
     const Instant now = parts_.timers.now();
@@ -244,34 +240,34 @@
     return othersDone && ownDone;
 }
 
-// Whether everything may go on at a server that says it leads under the term.
+// Decides whether a server that reports itself as the primary of a term may be used as such.
 FailoverController::LeaderEligibility
 FailoverController::leaderEligibility(const ServerName &server, Term term) const
 {
     const OwnershipRecord *record = parts_.ownership.record(group_);
-    // 1. A primary of a lower term than the row's was replaced.
+    // 1. A primary with a lower term than the row's has been replaced.
     if (record == nullptr || term < record->term)
         return LeaderEligibility::No;
     if (record->candidate.empty())
         return LeaderEligibility::Yes;
-    // 2. A change has begun. Its candidate leads if it says so, but for an owner that may still
-    // serve at the old primary, so that nobody may acknowledge at another one.
+    // 2. A change has begun. Its candidate may lead, but not while an earlier owner may still serve
+    // at the old primary.
     if (record->primaryServes && !parts_.ownership.isSoleOwner(group_))
         return LeaderEligibility::NotYet;
     if (server == record->candidate && term > record->term)
         return LeaderEligibility::Yes;
-    // 3. Any other server only when the candidate never will, nor has: commits may have been
-    // acknowledged there.
+    // 3. Any other server may lead only if the candidate neither has led nor will: commits may have
+    // been acknowledged there.
     if (!noPromotionInFlight())
         return LeaderEligibility::NotYet;
-    // Of several candidates one that can't be heard now may have led, under a higher term.
+    // One of several candidates that can't be reached now may have led under a higher term.
     if (record->otherCandidates && term <= record->term)
         return LeaderEligibility::No;
     return candidateNeverLeads_ ? LeaderEligibility::Yes : LeaderEligibility::No;
 }
 
-// The name is a copy: it may be that of the candidate, which ends here. Taken by reference it was
-// empty from then on, and the row named no primary after any change.
+// Makes the server the primary. The name is taken by value, as it may be candidate_, which is
+// cleared here.
 void FailoverController::adoptPrimary(ServerName server, const ServerReport &report,
                                       bool isTermStart)
 {
@@ -308,26 +304,26 @@
     }
 }
 
-// Watching it
+// Monitoring the primary
 
 void FailoverController::watchPrimary(Instant now)
 {
     GroupServer *server = find(primary_);
     if (server == nullptr)
         return beginChange("not_listed", false);
-    // 1. What may have been acknowledged, and who may hold it.
+    // 1. Update what may have been acknowledged, and which servers may hold it.
     refreshHolders(now);
-    // 2. A leaving primary is replaced while it serves.
+    // 2. Replace a leaving primary while it serves.
     if (server->listed().leaving && servers_.size() > 1 && now >= plannedChangeAfter_
         && parts_.ownership.isSoleOwner(group_))
         return beginChange("leaving", true);
-    // 3. One that acknowledges nothing, also after its replicas were looked at.
+    // 3. Replace a primary that acknowledges nothing although its replicas were checked.
     checkCommitProgress(now);
     if (parts_.commitsStalled() && canReplaceStalledPrimary(now)) {
         replacingStalled_ = true;
         return beginChange("commits_hang", false);
     }
-    // 4. Silence.
+    // 4. Detect a silent primary.
     const auto owesSince = server->owesSince();
     if (!owesSince) {
         if (now - server->lastHeard() >= idleReportInterval)
@@ -349,8 +345,8 @@
         probePrimary(*server);
 }
 
-// A primary whose replicas receive nothing acknowledges no write, though it answers all else: a
-// command of an earlier owner or change may have stopped them late.
+// Reconciles the replicas when a write waits long: a late command of an earlier owner or change may
+// have stopped them from receiving, and then the primary can't acknowledge writes.
 void FailoverController::checkCommitProgress(Instant now)
 {
     const auto oldest = parts_.oldestWrite();
@@ -361,7 +357,8 @@
             unreconciledServers_.insert(id);
 }
 
-// Only when the change can be made at once: all replicas that there are answer here.
+// Whether a stalled primary can be replaced at once, as all replicas answer. Queries those that
+// have not answered lately.
 bool FailoverController::canReplaceStalledPrimary(Instant now)
 {
     if (now < replaceAfter_ || servers_.size() < 2 || !parts_.ownership.hasLease(group_)
@@ -404,7 +401,7 @@
         beginChange("refused", false);
 }
 
-// Whether this process can reach anybody; asks when it does not know.
+// Whether another server has answered lately. Queries those that have not.
 bool FailoverController::canReachOthers(Instant now)
 {
     bool heard = false;
@@ -424,7 +421,7 @@
 
 void FailoverController::onTrouble(const ServerName &server, ConnectOutcome outcome)
 {
-    // A replica whose connection ended may have started again, and then it receives.
+    // A replica whose connection ended may have restarted, and would receive again.
     const bool mayReceive = planned_ && step_ == Step::StoppingReplicas && server != oldPrimary_;
     if (mayReceive && stopReports_.erase(server) != 0)
         othersStoppedAt_ = Instant();
@@ -433,7 +430,7 @@
     GroupServer *primary = find(server);
     if (primary == nullptr || outcome == ConnectOutcome::TooManyConnections)
         return;
-    // A refusal shows at once; silence is what the watch looks for.
+    // A probe shows a refusal at once; silence is detected by watchPrimary().
     const bool recent = parts_.timers.now() - probedAt_ < probePeriod;
     if (!probing_ && !(outcome == ConnectOutcome::Silent && recent))
         probePrimary(*primary);
@@ -464,7 +461,7 @@
         findPrimary();
 }
 
-// An old primary steps down, and replicas receive again.
+// Makes an old primary step down, and stopped replicas receive again.
 void FailoverController::reconcileServers()
 {
     reconciledAt_ = parts_.timers.now();
--- a/src/group/failovercontroller.h
+++ b/src/group/failovercontroller.h
@@ -16,27 +16,26 @@
 
 using GroupServers = std::map<ServerName, std::unique_ptr<GroupServer>>;
 
-// What the owner's statements need to know of changes of the primary.
+// Receives the changes of the primary that affect the owner's statements.
 class PrimaryEvents
 {
 public:
     virtual ~PrimaryEvents() = default;
 
-    // The server leads; everything acknowledged from now on is in its log.
+    // The server is the primary; its log has everything acknowledged from now on.
     virtual void onPrimary(const ServerName &server) = 0;
-    // Nothing may be expected of the server any more: what it has not answered is lost.
+    // The server is no longer the primary; its pending statements get no trusted answer.
     virtual void onPrimaryLost(const ServerName &server) = 0;
-    // A planned change is about to take effect: writes wait, or go on.
+    // Writes must wait as a planned change is about to take effect, or may go on.
     virtual void onWritesHeld(bool held) = 0;
-    // When it was asked at that time or later, the candidate of a planned change did not lead yet
-    // and held this position: what the old primary had acknowledged by then, and the candidate
-    // holds, counts. A replica that was stopped and has started again confirms commits that the
-    // candidate lacks.
+    // The candidate of a planned change, queried at this time or later, was not the primary yet and
+    // held this position. Commits that the old primary had acknowledged by then are safe up to this
+    // position only: a stopped replica that restarts may confirm commits that the candidate lacks.
     virtual void onCandidateNotLeading(Instant queriedAt, Position held) = 0;
 };
 
-// Finds the primary of a group that this process owns, watches it, and replaces it when it is lost
-// or leaves.
+// Finds and monitors the primary of a group that this process owns, and promotes a replica when the
+// primary fails or is about to leave.
 class FailoverController
 {
 public:
@@ -51,9 +50,9 @@
         EventLog &log;
         Metrics &metrics;
         Prober probe;
-        // Since when the oldest write has waited for its server's answer; nothing when none does.
+        // Send time of the oldest write that is still unanswered; nullopt if there is none.
         std::function<std::optional<Instant>()> oldestWrite;
-        // The primary answers, but has acknowledged no commit for so long that another should lead.
+        // Whether the primary answers but has acknowledged no commit for too long.
         std::function<bool()> commitsStalled;
     };
 
@@ -61,15 +60,15 @@
                        PrimaryEvents &events);
     ~FailoverController();
 
-    // This process owns the group from now on, or not any more.
+    // Called when this process has acquired the group, or has lost it.
     void start();
     void stop();
 
-    // The server that leads, while statements may be sent to it; empty while there is none.
+    // The primary to which statements may be sent; empty if there is none.
     const ServerName &primary() const { return primary_; }
 
-    // The platform has been told to promote another server while this one serves, so that what it
-    // acknowledges may come from a primary that has been replaced.
+    // Whether the promotion in a planned change is imminent or may have taken effect, so that
+    // acknowledgements may come from a replaced primary.
     bool mayBeReplaced() const
     {
         return planned_ && (candidateMayLead_ || step_ == Step::Confirming);
@@ -81,31 +80,31 @@
     void onReadOnly(const ServerName &server);
     // The list of servers has changed.
     void onServersChanged();
-    // Another run of the server has begun: nothing that it said before counts any more.
+    // The server has restarted, so its earlier reports no longer count.
     void onRestarted(const ServerName &server);
-    // The primary acknowledged a commit and showed this position; above the commit there may be so
-    // many in its log that are not acknowledged and never will be.
+    // The primary acknowledged a commit and reported this log position, which may include up to
+    // maxUnacknowledged commits that are not, and may never be, acknowledged.
     void onAcknowledged(Position logPosition, int maxUnacknowledged);
 
 private:
-    // Of one question to a server, which takes some 4 ms; and how often one without an answer is
-    // asked again. Chosen, not measured.
+    // Timeout of a query to a server, and the minimum time between queries.
     static constexpr Duration reportTimeout = std::chrono::milliseconds(300);
     static constexpr Duration queryInterval = std::chrono::milliseconds(100);
-    // A primary whose machine accepts connections but which answers nothing.
+    // Silence after which a primary is lost though its host accepts connections.
     static constexpr Duration hangTimeout = std::chrono::milliseconds(2500);
-    // The candidate leads some hundred ms after the call; longer means that the call was lost.
+    // After this time without a lead the promotion request counts as lost.
     static constexpr Duration leadTimeout = std::chrono::milliseconds(3000);
 
     enum class Step {
         Stopped,
         Searching,
         Leading,
-        // Replicas are told to receive nothing more from the old primary.
+        // Telling replicas to stop receiving from the old primary.
         StoppingReplicas,
-        // The candidate is being written into the row.
+        // Writing the candidate into the row.
         Recording,
-        // In a planned change: whether the candidate holds all that was acknowledged meanwhile.
+        // In a planned change: checking that the candidate holds all that was acknowledged
+        // meanwhile.
         Confirming,
         Promoting,
         AwaitingLead,
@@ -113,11 +112,12 @@
 
     void tick();
     void findPrimary();
+    // Whether a server that reports itself as the primary may be used as the primary.
     enum class LeaderEligibility {
         Yes,
-        // Perhaps later.
+        // May become eligible later.
         NotYet,
-        // Only by another change.
+        // Only after another change of the primary.
         No,
     };
 
@@ -183,60 +183,61 @@
     Step step_ = Step::Stopped;
     Instant stepSince_ {};
     ServerName primary_;
-    // Term of the primary, and the highest that any server has shown.
+    // Term of the primary, and the highest term that any server has reported.
     Term term_ = 0;
     Term highestTerm_ = 0;
-    // Every acknowledgement since the owner before this one has passed here, and the primary's log
-    // was seen after that.
+    // The primary's log was read after all earlier owners had ended, and all later acknowledgements
+    // have passed through this process, so acknowledgedUpperBound_ is valid.
     bool sawAllAcknowledgements_ = false;
     Instant soleOwnerSince_ {};
-    // The candidate that the row names does not lead and never will.
+    // The recorded candidate is not the primary, and no promotion can make it so.
     bool candidateNeverLeads_ = false;
-    // Servers that have said since the search for a primary began that they are none, or that may
-    // not lead any more.
+    // Servers that have reported since the search began that they are not the primary, or that may
+    // not be used as such.
     std::set<ServerName> reportedReplicas_;
-    // Nothing above the first position has been acknowledged, if it knows all, and all up to the
-    // second one has been.
+    // Nothing above the upper bound has been acknowledged, provided sawAllAcknowledgements_.
+    // Everything up to the lower bound has been.
     std::optional<Position> acknowledgedUpperBound_;
     std::optional<Position> acknowledgedLowerBound_;
-    // See OwnershipRecord; of the term of the primary.
+    // As in OwnershipRecord, for the term of the primary.
     LogOffset termBegan_ = 0;
     LogOffset firstHeld_ = 0;
-    // Servers that may hold acknowledged commits, listed or not.
+    // Servers that may hold acknowledged commits, including unlisted ones.
     decision::LogHolders holders_;
     Instant holdersWatchedAt_ {};
-    // The row does not name the present primary yet; and when it was written last.
+    // The row does not name the current primary yet.
     bool primaryUnrecorded_ = false;
     Instant rowWrittenAt_ {};
-    // Since the log last told why nothing is promoted.
+    // When the log last reported why no replica is promoted.
     Instant waitLoggedAt_ {};
-    // The change under way.
+    // State of the change in progress.
     bool planned_ = false;
     bool writesHeld_ = false;
     Term stopTerm_ = 0;
     std::map<ServerName, ServerReport> stopReports_;
     std::set<ServerName> failedCandidates_;
-    // Candidate of the planned change that came to nothing last, and when the next may begin.
+    // Candidate of the last abandoned planned change, and the earliest time of the next one.
     ServerName avoidedCandidate_;
     Instant plannedChangeAfter_ {};
-    // The row could not be written; not before then again.
+    // Earliest time of the next attempt to record a candidate.
     Instant recordAfter_ {};
     ServerName oldPrimary_;
-    // It has said so since the change began.
+    // The old primary has reported itself as a replica since the change began.
     bool oldIsReplica_ = false;
-    // The change replaces a primary that goes on answering, so that its word is no reason to stop;
-    // and when the next such change may begin.
+    // The change replaces a stalled primary that still answers, so its reports don't cancel the
+    // change; and the earliest time of the next such change.
     bool replacingStalled_ = false;
     Instant replaceAfter_ {};
     ServerName candidate_;
-    // When the replicas other than the candidate had all stopped, in a planned change.
+    // In a planned change: when all replicas other than the candidate had stopped.
     Instant othersStoppedAt_ {};
     Instant promotionSentAt_ {};
-    // Not again before then: the platform has turned a call away.
+    // Earliest time of the next promotion request, after the platform has rejected one.
     Instant promoteAfter_ {};
-    // From the call to the lead, in the last change.
+    // Time from the promotion request to the lead in the last change.
     Duration measuredLeadTime_ {0};
-    // The platform has been told to promote in this change, and may do or have done so.
+    // Whether a promotion request was sent in this change, and whether it may have taken or may
+    // still take effect.
     bool promotionSent_ = false;
     bool candidateMayLead_ = false;
     Instant queriedAt_ {};
@@ -244,10 +245,10 @@
     bool probing_ = false;
     Instant probedAt_ {};
     Instant probeAcceptedAt_ {};
-    // Servers that must learn of the new primary.
+    // Servers that may still have to step down or to resume receiving under the new primary.
     std::set<ServerName> unreconciledServers_;
     TimerId timer_ = 0;
-    // Counts steps, so that late answers are told apart.
+    // Counts steps, so that late answers to an earlier step can be ignored.
     std::uint64_t stepNumber_ = 0;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/group/ownership.cpp
+++ b/src/group/ownership.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// Longest that one question for changes of owners stays open. Owners are also learnt on the way.
+// Longest time that a long poll for changed rows stays open. Owners are also learned from peers.
 constexpr Duration feedPollTimeout = std::chrono::seconds(20);
-// The row is read this often, so that a lost answer or two leave most of the lease.
+// Short enough that one or two lost answers leave most of the lease.
 constexpr Duration renewInterval = std::chrono::milliseconds(2500);
-// After a claim its guard is cut to what is needed. Owners before mostly say within 0.2 s that they
-// have ended, and then one write serves for both.
+// Time from a claim to shortening its guard time. Earlier owners mostly confirm their end within
+// it, so that a single write covers both.
 constexpr Duration guardClearDelay = std::chrono::milliseconds(300);
-// Questions about one group, to the store or to peers, are this far apart.
+// Minimum time between two queries about one group, to the store or to peers.
 constexpr Duration queryInterval = std::chrono::milliseconds(150);
 
 } // namespace
@@ -35,7 +35,7 @@
     parts_.timers.subscribeEvery(renewInterval, [this] { renewLeases(); });
 }
 
-// Knowing the rows
+// Reading the rows
 
 void OwnershipTable::onTableRead()
 {
@@ -50,7 +50,7 @@
         claimProactively(group, groups);
 }
 
-// The owner that was asked is none: the feed is late or hears nothing.
+// The process taken for the owner has denied it, so the feed may be late or disconnected.
 void OwnershipTable::refreshOwner(const GroupName &group)
 {
     if (!admitQuery(group))
@@ -62,7 +62,7 @@
     });
 }
 
-// One question to the service itself for whatever has changed since the last one.
+// Reads all changes since the previous query from the table service itself.
 void OwnershipTable::queryChanges(std::function<void(const ChangeQueryResult &)> callback)
 {
     const Instant sent = parts_.timers.now();
@@ -71,8 +71,8 @@
                                   ChangeQueryResult seen;
                                   seen.sent = sent;
                                   seen.status = changes.status();
-                                  // Without the history in between nothing is proven; the next
-                                  // snapshot begins anew.
+                                  // The changes since knownVersion_ are no longer available; wait
+                                  // for the next snapshot.
                                   if (absl::IsOutOfRange(changes.status()))
                                       knownVersion_.reset();
                                   if (!changes.ok())
@@ -115,13 +115,13 @@
     record.owner = owner.process;
     record.zone.clear();
     record.hasRoom = false;
-    // Only its own reading of the row makes this process an owner.
+    // This process becomes an owner only by reading the row itself.
     if (owner.process.address == parts_.self.address)
         return refreshOwner(group);
     applyRecord(group, record, std::string());
 }
 
-// False when the row can't be read; then what was known before stays.
+// Returns false, and keeps the record known so far, if the row can't be decoded.
 bool OwnershipTable::applyRow(const services::TableRow &row)
 {
     const auto record = decodeOwnership(row.value);
@@ -137,7 +137,7 @@
     return true;
 }
 
-// All that is known of an owner is kept here, so that nothing has to look for it in all rows.
+// Also updates owned_ and the group counts of the owners, which avoids scans of all entries.
 void OwnershipTable::setRecord(const GroupName &group, Entry &entry, const OwnershipRecord &record)
 {
     if (entry.known)
@@ -162,12 +162,12 @@
         owners_.remove(address);
         return;
     }
-    // Who tells of an owner on the way does not know its zone.
+    // An owner learned from a peer comes without its zone.
     if (change > 0 && (groups == 1 || !record.zone.empty()))
         owners_.add({address, record.zone, record.hasRoom});
 }
 
-// Takes over what a row says; older news are ignored.
+// Applies a row unless its epoch is older than the known one.
 void OwnershipTable::applyRecord(const GroupName &group, const OwnershipRecord &record,
                                  const std::string &etag)
 {
@@ -177,7 +177,7 @@
     const bool owned = owns(group);
     const bool changed =
         !entry.known || record.epoch != entry.record.epoch || record.owner != entry.record.owner;
-    // The own row is changed by this process alone, which knows what it wrote.
+    // Only the owner writes its row, so its copy is current.
     if (owned && !changed)
         return;
     const OwnershipRecord previous = entry.record;
@@ -193,11 +193,11 @@
         parts_.log.warning("ownership_lost").with("group", group).with("epoch", previous.epoch);
         events_.onLost(group);
     }
-    // Also right after the loss of an earlier epoch: the row of the owner between may never have
-    // been seen here, and while the row names this process nobody else claims the group.
+    // Also right after the loss of an earlier epoch: this process may have missed the row of the
+    // owner in between, and nobody else claims a group whose row names this process.
     if (record.owner == parts_.self) {
-        // A hand-over, or a claim whose answer was lost: how old the news are is not known, so the
-        // lease begins with the next read.
+        // After a hand-over, or a claim whose answer was lost, the age of the row is unknown, so
+        // the lease starts with the next read.
         entry.leaseUntil = Instant();
         OwnershipRecord earlier = previous;
         earlier.guardedUntil = record.guardedUntil;
@@ -205,7 +205,7 @@
         acquire(group, record, etag, earlier, {});
     }
     events_.onOwnerChanged(group);
-    // A row of an earlier run of this very process: that run is dead.
+    // The row names an earlier incarnation of this process, which has ended.
     if (record.owner.address == parts_.self.address && record.owner != parts_.self)
         scheduleClaim(group, reasonRestarted, Duration(0));
 }
@@ -217,7 +217,7 @@
         || found->second.record.owner.address.empty())
         return std::nullopt;
     const OwnershipRecord &record = found->second.record;
-    // An earlier run of this process answers nobody.
+    // An earlier incarnation of this process has ended.
     if (record.owner.address == parts_.self.address && record.owner != parts_.self)
         return std::nullopt;
     return session::OwnerRef {record.epoch, record.owner};
@@ -255,7 +255,7 @@
     return !found->second.earlier.mayAct(parts_.timers.now());
 }
 
-// Owners before the next one, and until when they may act.
+// Records the earlier owners of the next one, and until when they may act.
 void OwnershipTable::setEarlierOwners(OwnershipRecord &record,
                                       const std::vector<decision::EarlierOwner> &open,
                                       const decision::EarlierOwner &previous, Duration lastRenewal)
@@ -279,7 +279,8 @@
     return *serviceTime_ + (parts_.timers.now() - serviceTimeQueriedAt_);
 }
 
-// Leases count from now on; the time of the claim itself is on the safe side for those before.
+// Starts the ownership. The leases of earlier owners are counted from now, which is later than the
+// claim took effect.
 void OwnershipTable::acquire(const GroupName &group, const OwnershipRecord &record,
                              const std::string &etag, const OwnershipRecord &previous,
                              Duration serviceTime)
--- a/src/group/ownership.h
+++ b/src/group/ownership.h
@@ -19,25 +19,27 @@
 
 namespace kelptally::group {
 
-// What the table tells of groups.
+// Receives the changes of ownership that an OwnershipTable observes.
 class OwnershipEvents
 {
 public:
     virtual ~OwnershipEvents() = default;
 
-    // Another owner, or none, is known now.
+    // The known owner of the group has changed; it may be unknown now.
     virtual void onOwnerChanged(const GroupName &group) = 0;
-    // This process owns the group from now on, or not any more.
+    // This process has become the owner of the group, or has lost it.
     virtual void onAcquired(const GroupName &group) = 0;
     virtual void onLost(const GroupName &group) = 0;
 };
 
-// The owners of all groups, by rows in the table service that change under conditions only.
+// Keeps the owner of every group in a table service whose rows are written conditionally only
+// (compare and swap by etag).
 //
-// A claim takes the row at any time: two owners that send statements to the same primary break no
-// promise. An owner acts only while it has seen its row unchanged within the lease, counted from
-// the sending of the question. A new owner changes the primary only when owners before it have
-// ended: their leases have run out since its claim, or they run anew, or they say so.
+// Any process may claim a group at any time: two owners that send statements to the same primary do
+// no harm. An owner acts only while its lease is valid, that is, while it has found its row
+// unchanged within the last leaseDuration, counted from when the read was sent. A new owner may
+// replace the primary only after every earlier owner has ended: its lease has expired since the
+// claim, its process has restarted, or it has confirmed the end itself.
 class OwnershipTable : public session::OwnerSource
 {
 public:
@@ -46,24 +48,24 @@
         TimerService &timers;
         services::TableService &table;
         services::TableFeed &feed;
-        // The service itself, without what other hosts tell.
+        // Reads the table service itself, without changes relayed by other hosts.
         services::TableFeed &directFeed;
         inner::PeerLinks &links;
         EventLog &log;
         Metrics &metrics;
         ProcessId self;
         ZoneName zone;
-        // Processor cores that this host may use.
+        // Processor cores available to this host; may be a fraction.
         double processors;
-        // Whether nothing listens at a process's address.
+        // Connects to a process's address; reports whether the connection was refused.
         std::function<void(const std::string &address, std::function<void(bool refused)>)> probe;
-        // Asks other processes who owns the group; what they know comes to learnOwner().
+        // Asks other processes for the group's owner; the answers arrive in learnOwner().
         std::function<void(const GroupName &)> queryPeers;
-        // Sends it to all processes that there is a link with.
+        // Sends the request to all connected peers.
         std::function<void(const inner::TakeOver &)> broadcastTakeOver;
-        // Zone of the group's primary, as far as known.
+        // Zone of the group's primary; empty when unknown.
         std::function<ZoneName(const GroupName &)> primaryZone;
-        // Whether the table service answers nothing, as far as is known.
+        // Whether the table service is currently considered unreachable.
         std::function<bool()> isStoreUnavailable;
     };
 
@@ -72,75 +74,75 @@
     OwnershipTable(const Parts &parts, OwnershipEvents &events);
 
     void start();
-    // The rows have been read once.
+    // Whether the initial snapshot of the table has been read.
     bool isReady() const { return follower_.isRead(); }
-    // This process claims nothing from now on.
+    // Makes no more claims; used when the process shuts down.
     void stopClaiming() { claiming_ = false; }
 
     std::optional<session::OwnerRef> owner(const GroupName &group) const override;
     void wantOwner(const GroupName &group) override;
-    // The same before anybody has asked for it, one of so many groups.
+    // Like wantOwner(), ahead of the first statement for the group. The claims of all `groups`
+    // groups are spread over time.
     void claimProactively(const GroupName &group, std::size_t groups);
     void suspectOwner(const GroupName &group, const session::OwnerRef &owner,
                       const std::string &reason) override;
     void refreshOwner(const GroupName &group) override;
-    // What another process knows, for when the store turns this one away.
+    // Takes over the owner that another process knows, in case the store rejects this process.
     void learnOwner(const GroupName &group, const session::OwnerRef &owner) override;
 
-    // The processes that own groups, each once, with their zones.
+    // All processes that own groups, without duplicates, with their zones.
     const decision::TellerOrder &owners() const { return owners_; }
     bool owns(const GroupName &group) const;
     const std::set<GroupName> &owned() const { return owned_; }
     const OwnershipRecord *record(const GroupName &group) const;
-    // Statements may be sent, and their answers believed.
+    // Whether the lease is valid, so that statements may be sent and their answers trusted.
     bool hasLease(const GroupName &group) const;
     Duration leaseLeft(const GroupName &group) const;
-    // No owner before this one can act any more, so that the primary may be changed.
+    // Whether no earlier owner can act any more, which is required for changing the primary.
     bool isSoleOwner(const GroupName &group) const;
 
     using Edit = std::function<void(OwnershipRecord &)>;
-    // Changes the own row; Ok once the change is in it, and nothing else may be assumed before.
+    // Edits and writes the row of a group that this process owns. The callback gets Ok once the
+    // write is known to have taken effect; with an error it may or may not have.
     void change(const GroupName &group, const Edit &edit,
                 std::function<void(absl::Status)> callback);
-    // Names another process the owner. Ok once it is.
+    // Transfers ownership to another process. The callback gets Ok once the row names it.
     void handOver(const GroupName &group, const ProcessId &to, const ZoneName &zone,
                   std::function<void(absl::Status)> callback);
 
-    // This process owns the group and can't do what it needs: another one that reaches the
-    // endpoint, or any if that is empty, should claim it. Said at most twice a second.
+    // Asks other processes to claim a group that this process owns but can't serve. If
+    // requiredEndpoint is not empty only those that can reach it should claim. Rate-limited per
+    // group.
     void requestTakeOver(const GroupName &group, const std::string &requiredEndpoint,
                          const std::string &reason, bool needsRoom = false);
-    // This host has processor time for one group more.
+    // Whether this host has the processor capacity for another group.
     bool hasRoom() const;
-    // An owner has asked for it.
+    // Handles another owner's request that this process claim the group.
     void onTakeOverRequested(const GroupName &group, OwnerEpoch epoch);
 
-    // The table service answers again, after so long.
+    // The table service answers again after an outage.
     void onStoreRecovered(Duration outage);
 
-    // Another run of the process at the address, or the same, was heard.
+    // A process has connected. A new incarnation at a known address proves that the old one ended.
     void onPeerUp(const ProcessId &process);
+    // The process at the address confirms that its ownership has ended.
     void onOwnershipEnded(const std::string &address, const inner::OwnershipEnded &ended);
 
 private:
-    // Why a group is claimed: its owner has asked for it.
+    // Reasons for a claim, as logged. With any other reason the owner is only suspected to have
+    // failed. None of them proves that the owner has ended.
     static constexpr const char *reasonRequested = "asked";
-    // Or nobody owns it, ahead of the first statement or after one; or an earlier run of this
-    // process did, or nothing listens at the owner's address: enough to claim, no proof that the
-    // owner has ended. Anything else is a suspicion.
     static constexpr const char *reasonUnowned = "unowned";
     static constexpr const char *reasonProactive = "ahead";
     static constexpr const char *reasonRestarted = "restarted";
     static constexpr const char *reasonNothingListens = "nothing_listens";
     static constexpr const char *reasonLinkDown = "link_down";
-    // An owner acts this long after it asked for its row and found it unchanged. Longer than the
-    // outages of the store that are usual, so that service goes on through them; it delays a change
-    // of primary only when owner and primary are lost together and the owner neither says that it
-    // has ended nor starts again.
+    // Counted from sending the read that found the row unchanged. Long enough to serve through a
+    // short outage of the store. It delays a failover only if owner and primary are lost together.
     static constexpr Duration leaseDuration = std::chrono::seconds(12);
-    // Rows in one write; the platform takes no more.
+    // Limit of the platform.
     static constexpr std::size_t maxRowsPerWrite = 100;
-    // Clocks of two hosts may run apart by this over one lease: 1%, far above any real drift.
+    // Upper bound of the drift between the clocks of two hosts over one lease.
     static constexpr Duration clockMargin = std::chrono::milliseconds(120);
 
     struct Entry
@@ -148,26 +150,27 @@
         OwnershipRecord record;
         std::string etag;
         bool known = false;
-        // A claim or a change of the own row is under way.
+        // A claim or another write of the row is in flight.
         bool writing = false;
-        // The row that is being written names another owner: this one's lease grows no more.
+        // The write in flight transfers ownership, so the lease must not be extended.
         bool handingOver = false;
         bool claimPlanned = false;
         Instant claimAfter {};
-        // The row and the peers are not asked again before then.
+        // Earliest time of the next query to the store or to peers.
         Instant queryAfter {};
         Instant requestTakeOverAfter {};
-        // When it was offered to hosts with room.
+        // Last time the group was offered to hosts with capacity.
         Instant offeredAt {};
         Instant leaseUntil {};
         decision::EarlierOwners earlier;
-        // The last of them, and the guard of those before it as its row had it.
+        // The latest earlier owner, and the end of the guard time for the ones before it, as read
+        // from its row.
         decision::EarlierOwner previous;
         Duration inheritedGuard {0};
-        // No owner before this one can act longer, by the service's clock: the claim had taken
-        // effect when that was told. 0 when it is not known.
+        // Upper bound of guardedUntil, from the service's clock at a time when the claim had taken
+        // effect; 0 when unknown.
         Duration guardLimit {0};
-        // The group was claimed because its owner asked for it.
+        // Claimed at the previous owner's request.
         bool claimedOnRequest = false;
     };
 
@@ -181,15 +184,15 @@
     decision::Claimant claimant(const GroupName &group) const;
     Duration claimDelay(const GroupName &group) const;
     void claim(const GroupName &group, OwnerEpoch seen, const std::string &reason);
-    // What one question to the service for all rows has told.
+    // Result of one query to the service for the changes of all rows.
     struct ChangeQueryResult
     {
         absl::Status status;
         Instant sent {};
         Duration serviceTime {0};
-        // Tags of the rows that have changed since the question before.
+        // Etags of the rows that have changed since the previous query.
         std::map<GroupName, std::string> changed;
-        // Rows that can't be read, whenever they changed: they prove nothing.
+        // All rows that can't be decoded, not only those changed since; they can't prove a lease.
         std::set<GroupName> unreadable;
     };
     struct Claim
@@ -197,22 +200,22 @@
         GroupName group;
         OwnerEpoch seen = 0;
         std::string reason;
-        // Before it is made alone.
+        // Attempts left in a batch before the claim is made separately.
         int triesLeft = 3;
     };
-    // One change of a row until its outcome is known.
+    // A conditional write of one row whose outcome is not known yet.
     struct RowChange
     {
         GroupName group;
         OwnershipRecord record;
-        // The row under which it is made; nothing when there must be none.
+        // Etag the row must have; nullopt if the row must not exist.
         std::optional<std::string> expected;
         std::function<void(absl::Status)> callback;
         Instant sentAt {};
         int triesLeft = 0;
-        // It was sent before, without an answer, and may have taken effect or may still do so.
+        // An earlier attempt got no answer: it may have taken effect, or may still do so.
         bool mayHaveTakenEffect = false;
-        // Of a claim that is made with others.
+        // Set for a claim that is written in a batch.
         Claim batchedClaim;
     };
     using RowChangePtr = std::shared_ptr<RowChange>;
@@ -245,7 +248,7 @@
     void finish(const RowChangePtr &change, const absl::Status &status);
     void acquire(const GroupName &group, const OwnershipRecord &record, const std::string &etag,
                  const OwnershipRecord &previous, Duration serviceTime);
-    // Reads the rows of all groups owned here, which makes their leases last longer.
+    // Extends the leases of all owned groups by reading their rows.
     void renewLeases();
     void renewAllLeases();
     void renewLease(const GroupName &group);
@@ -253,14 +256,15 @@
     void offerGroupIfNoRoom();
     void queryPredecessors();
     void queryOwnershipEnd(const decision::EarlierOwner &owner, const GroupName &group);
-    // Links of this table's own, to these processes and no others.
+    // Dials exactly these processes and drops the other links that this table has dialled.
     void updateDialledPeers(const std::set<std::string> &addresses);
+    // Whether a query for the group may be sent now; enforces the minimum interval.
     bool admitQuery(const GroupName &group);
     bool canClearGuard(const GroupName &group) const;
     void scheduleGuardClear(const GroupName &group);
     void clearGuards();
     void noteServiceTime(const services::TableRow &row, Instant queriedAt);
-    // At the latest; nothing when it was never told.
+    // Upper bound of the service's current time; nullopt if it is not known.
     std::optional<Duration> serviceTime() const;
     static void setEarlierOwners(OwnershipRecord &record,
                                  const std::vector<decision::EarlierOwner> &open,
@@ -275,27 +279,27 @@
     // Groups whose rows name this process.
     std::set<GroupName> owned_;
     decision::TellerOrder owners_;
-    // How many groups each owns, by address.
+    // Number of owned groups by process address.
     std::map<std::string, int> ownedBy_;
+    // Calls of wantOwner() and claimProactively() that wait for the initial snapshot.
     std::set<GroupName> wantedGroups_;
-    // The same for claimProactively(), with the number of groups.
     std::map<GroupName, std::size_t> pendingProactiveClaims_;
     std::set<GroupName> guardsToClear_;
-    // Claims that are about to be made together.
+    // Claims gathered for the next batch.
     std::vector<Claim> claimBatch_;
     std::vector<Claim> proactiveClaimBatch_;
-    // Rows that are gone or can't be read as they are now.
+    // Rows that were removed or can't be decoded.
     std::set<GroupName> unreadableRows_;
-    // The service itself has told all changes up to this version. Nothing while it is not known.
+    // All changes up to this table version have been read; nullopt until a snapshot was read.
     std::optional<std::uint64_t> knownVersion_;
     bool claiming_ = true;
     bool queryingPredecessors_ = false;
-    // A question for all leases is under way.
+    // A query that renews all leases is in flight.
     bool renewing_ = false;
-    // Until then silence of an owner is no reason to claim its group.
+    // Suspected owners are not replaced before this time.
     Instant suspectAfter_ {};
     std::set<std::string> dialledPeers_;
-    // The service's clock as a row told it, and when that row was asked for.
+    // The service's clock as read with a row, and the local time at which that read was sent.
     std::optional<Duration> serviceTime_;
     Instant serviceTimeQueriedAt_ {};
     services::TableFollower follower_;
--- a/src/group/ownershipclaims.cpp
+++ b/src/group/ownershipclaims.cpp
@@ -3,22 +3,21 @@
 #include <functional>
 #include <utility>
 
-// Who becomes the owner of a group.
+// Claims: how a process becomes the owner of a group.
 namespace kelptally::group {
 
 namespace {
 
-// From the reading of a row to the effect of the write that follows it. Writes without an answer
-// were seen to take effect up to 6 s later, and the owner before finds its row unchanged, and its
-// lease made longer, until then.
+// Upper bound of the time from reading a row to the effect of the claim that follows, also for a
+// write without an answer. The previous owner may extend its lease until then.
 constexpr Duration maxClaimLatency = std::chrono::seconds(7);
-// A claim that the store did not even let read its row is tried again after this pause.
+// Delay before a claim is retried whose row could not be read.
 constexpr Duration claimRetryDelay = std::chrono::milliseconds(250);
-// At a cold start hosts come up within some hundred ms of each other.
+// Lets the hosts of a cold start come up before groups without an owner are claimed.
 constexpr Duration coldStartDelay = std::chrono::milliseconds(300);
-// Claims that come within this time are made together, so many rows in one write.
+// Claims that are due within this time are written in one batch.
 constexpr Duration claimBatchDelay = std::chrono::milliseconds(20);
-// Nobody waits for those that are ahead of need: each look and each write serves more of them.
+// Longer for proactive claims, which nobody waits for, so that a batch holds more of them.
 constexpr Duration proactiveBatchDelay = std::chrono::milliseconds(200);
 
 } // namespace
@@ -55,7 +54,7 @@
         parts_.queryPeers(group);
     if (reason != reasonLinkDown)
         return scheduleClaim(group, reason, claimDelay(group));
-    // A link may end while its processes live; nothing listens where the process has ended.
+    // A link may break while the process lives, so check whether the process still listens.
     parts_.probe(now->process.address, [this, group, epoch = suspect.epoch](bool refused) {
         const auto current = owner(group);
         if (refused && current && current->epoch == epoch)
@@ -99,21 +98,21 @@
     Entry &entry = entries_[group];
     if (!claiming_ || entry.writing || entry.record.epoch != seen)
         return;
-    // Planned before the service came back.
+    // Ignore suspicions from a store outage, in which owners may have been unreachable, too.
     const bool isProven = reason == reasonRequested || reason == reasonRestarted
         || reason == reasonUnowned || reason == reasonProactive || reason == reasonNothingListens;
     if (!isProven && parts_.timers.now() < suspectAfter_) {
         entry.claimAfter = suspectAfter_;
         return;
     }
-    // A claim that can't succeed costs a call, and made late it takes the group from whoever
-    // serves: 2,497 were made by 187 hosts in six seconds without the store.
+    // During an outage of the store a claim can't succeed, and if it takes effect late, it takes
+    // the group from an owner that serves.
     if (parts_.isStoreUnavailable()) {
         entry.claimAfter = parts_.timers.now() + claimRetryDelay;
         return retryClaim(group, reason);
     }
     entry.writing = true;
-    // Of many groups at one moment: at a start, and from an owner that the store turns away.
+    // These reasons arise for many groups at once: at a start, or when the store rejects an owner.
     const bool mayGather = reason == reasonUnowned || reason == reasonProactive
         || reason == reasonRestarted || reason == reasonRequested;
     if (mayGather && knownVersion_ && (!entry.known || !entry.etag.empty()))
@@ -130,7 +129,7 @@
             noteServiceTime(**row, sent);
         if (!row.ok())
             return onClaimReadFailed(group, reason, row.status());
-        // Over a row that can't be read nothing is claimed: its epoch must not go back.
+        // A row that can't be decoded is not overwritten, as its epoch must not decrease.
         const bool isReadable = !*row || applyRow(**row);
         if (!isReadable || entry.record.epoch != seen) {
             entry.writing = false;
@@ -143,9 +142,8 @@
     });
 }
 
-// Claims that come at one moment are made with one look at the table and one write. When all hosts
-// had come back at once, a read and a write for each of 1,000 groups took the store seconds, as it
-// does one write to the table after the other.
+// Gathers claims, so that a batch takes one read and one write. The store executes the writes to a
+// table one after the other, so single claims of many groups would overload it.
 void OwnershipTable::addToClaimBatch(const Claim &claim)
 {
     const bool isAhead = claim.reason == reasonProactive;
@@ -187,8 +185,8 @@
     sendBatch(std::move(changes));
 }
 
-// Another host has changed one of the rows. Of claims, what is left after the next look is made
-// again, and at last one by one.
+// A batch was rejected as another host had changed one of its rows. Claims are retried in batches
+// after the next read and finally sent one by one, other changes at once.
 void OwnershipTable::onBatchConflict(const std::vector<RowChangePtr> &changes)
 {
     for (const RowChangePtr &change : changes) {
@@ -210,15 +208,14 @@
     retryClaim(group, reason);
 }
 
-// Whoever wanted an owner for a group without one does not ask again, nor does the row of an
-// earlier run come again.
+// Retries claims that nothing else triggers again.
 void OwnershipTable::retryClaim(const GroupName &group, const std::string &reason)
 {
     if (reason == reasonUnowned || reason == reasonProactive || reason == reasonRestarted)
         parts_.timers.subscribeAfter(claimRetryDelay, [this, group] { wantOwner(group); });
 }
 
-// Over the row as it is known; the service's time is that of its reading.
+// Prepares a claim that replaces the known row, which was read at serviceTime.
 OwnershipTable::RowChangePtr OwnershipTable::prepareClaim(const GroupName &group,
                                                           Duration serviceTime,
                                                           const std::string &reason)
--- a/src/group/ownershipleases.cpp
+++ b/src/group/ownershipleases.cpp
@@ -7,37 +7,37 @@
 #include <functional>
 #include <utility>
 
-// How ownership lasts and ends: leases, the proof that owners before have ended, and giving a group
-// away.
+// Leases, the proof that earlier owners have ended, and requests to other processes to take over a
+// group.
 namespace kelptally::group {
 
 namespace {
 
 constexpr Duration predecessorQueryInterval = std::chrono::milliseconds(200);
-// After a loss of the service this long, owners get this time to be heard again: links were renewed
-// within 0.2 s of the service's return.
+// After a store outage of this length, owners have linkRecoveryTime to reconnect before they may be
+// suspected.
 constexpr Duration longStoreOutage = std::chrono::seconds(1);
 constexpr Duration linkRecoveryTime = std::chrono::milliseconds(600);
-// A group is offered to hosts with room this far apart, and one group at a time.
+// Minimum time between two offers of a group to hosts with capacity.
 constexpr Duration offerInterval = std::chrono::seconds(10);
-// Other processes are asked to take a group this far apart.
+// Minimum time between two requests to take over a group.
 constexpr Duration takeOverRequestInterval = std::chrono::milliseconds(500);
-// Rows whose guards can be cut gather for this long.
+// Rows whose guard time can be cleared within this time are written in one batch.
 constexpr Duration guardBatchDelay = std::chrono::milliseconds(20);
-// With less than this part of the lease left, others are asked to take the group while it is
-// served: the store may turn away this process alone.
+// When less than 1/lowLeaseDivisor of the lease is left, others are asked to take over the group
+// while this process still serves it: the store may be rejecting this process only.
 constexpr int lowLeaseDivisor = 3;
 
 } // namespace
 
-// Giving a group to whoever can do more for it
+// Take-over requests
 
 void OwnershipTable::requestTakeOver(const GroupName &group, const std::string &requiredEndpoint,
                                      const std::string &reason, bool needsRoom)
 {
     Entry &entry = entries_[group];
     const Instant now = parts_.timers.now();
-    // One that was asked itself does not pass the group on for the same reason.
+    // A group that was taken over on request is not passed on for the same reason.
     const bool isForwarded = !requiredEndpoint.empty() && entry.claimedOnRequest;
     if (!owns(group) || now < entry.requestTakeOverAfter || isForwarded)
         return;
@@ -55,7 +55,7 @@
     const Entry &entry = entries_[group];
     if (owns(group) || entry.record.epoch > epoch)
         return;
-    // The row is read before; the owner asks again.
+    // Read the newer row first; the owner repeats its request.
     if (entry.record.epoch < epoch)
         return refreshOwner(group);
     scheduleClaim(group, reasonRequested, claimDelay(group));
@@ -66,8 +66,9 @@
     return decision::hasRoom(parts_.processors, owned().size());
 }
 
-// A host without room keeps a group only until one with room has heard of it. Only such hosts offer
-// and only such take, so that no group goes to and fro; and none does in the middle of a change.
+// Offers one group to hosts with capacity if this host has none. Only hosts without capacity offer
+// and only hosts with capacity accept, so no group moves back and forth. A group in the middle of a
+// failover is not offered.
 void OwnershipTable::offerGroupIfNoRoom()
 {
     if (!claiming_ || decision::hasRoom(parts_.processors, 0))
@@ -86,14 +87,13 @@
 
 // Leases
 
-// A host that was cut off from the service was cut off from owners, too, and their links come back
-// a moment later. Claims made at once took 11 of 20 groups from owners that were well, on the day
-// of a burst.
+// A host that was cut off from the store was probably cut off from owners, too. Their links need a
+// moment to reconnect; claims made earlier would take groups from healthy owners.
 void OwnershipTable::onStoreRecovered(Duration outage)
 {
     if (outage >= longStoreOutage)
         suspectAfter_ = parts_.timers.now() + linkRecoveryTime;
-    // A question that was sent before it was lost proves less than one of now.
+    // Don't wait for a query from before the outage; a new one extends the leases further.
     renewing_ = false;
     renewLeases();
 }
@@ -111,8 +111,7 @@
         renewLease(group);
 }
 
-// One question proves for all rows that they stand as they were: with one for each group the calls
-// grew with the groups, 400 a second for 1,000.
+// Renews all leases with a single query for changed rows, whatever the number of owned groups.
 void OwnershipTable::renewAllLeases()
 {
     if (std::exchange(renewing_, true))
@@ -140,8 +139,8 @@
     });
 }
 
-// The row was found to name this owner, in a question that was sent then; with its tag if it has
-// changed.
+// Extends the lease after a read sent at that time found this owner in the row. The tag is the
+// row's new etag, empty if the row has not changed.
 void OwnershipTable::extendLease(const GroupName &group, Instant sent, const std::string &tag)
 {
     Entry &entry = entries_[group];
@@ -207,9 +206,9 @@
         parts_.timers.subscribeAfter(predecessorQueryInterval, [this] { queryPredecessors(); });
 }
 
-// Its own word is a proof of its end, or another run at its address, or its lease. A refused
-// connection is none: a cut may refuse, and behind it the owner serves on and lets replicas receive
-// again that were stopped here.
+// Asks an earlier owner to confirm its end. Only that confirmation, a new incarnation at its
+// address or the expiry of its lease proves the end. A refused connection doesn't: in a network
+// partition the owner may go on serving and resume replicas that were stopped here.
 void OwnershipTable::queryOwnershipEnd(const decision::EarlierOwner &owner, const GroupName &group)
 {
     static_cast<void>(parts_.links.sendTo(owner.process.address,
@@ -241,7 +240,7 @@
     scheduleGuardClear(group);
 }
 
-// The row guards more than it needs to.
+// Whether the row's guard time is longer than needed and may be written now.
 bool OwnershipTable::canClearGuard(const GroupName &group) const
 {
     const auto found = entries_.find(group);
@@ -249,15 +248,15 @@
         return false;
     const Entry &entry = found->second;
     const std::size_t open = entry.earlier.open(parts_.timers.now()).size();
-    // The claim wrote a longer guard than it needs, should it have taken effect late.
+    // The claim wrote a longer guard time to allow for taking effect late.
     const bool isTooLong =
         entry.guardLimit != Duration(0) && entry.record.guardedUntil > entry.guardLimit;
     return entry.record.guardedUntil != Duration(0) && !entry.writing
         && (open < entry.record.earlier.size() || isTooLong);
 }
 
-// The next owner learns from the row that nobody before this one is left. Groups that were claimed
-// together get there together.
+// Schedules a write that shortens the row's guard time, so that a next owner need not wait for
+// owners that have ended. Gathers rows, as groups claimed in a batch get here together.
 void OwnershipTable::scheduleGuardClear(const GroupName &group)
 {
     if (!canClearGuard(group) || !guardsToClear_.insert(group).second)
--- a/src/group/ownershiprecord.cpp
+++ b/src/group/ownershiprecord.cpp
@@ -6,13 +6,12 @@
 
 namespace {
 
-// Of times in rows: a year, far above any, and well below where they would overflow.
+// Upper limit of durations in rows, a year; prevents overflow.
 constexpr std::uint64_t maxStoredMilliseconds = 366ull * 24 * 3600 * 1000;
 
 } // namespace
 
-// Fields that have nothing to tell are left out: each host reads the rows of all groups at its
-// start.
+// Leaves out most fields with default values, as each host reads the rows of all groups at start.
 std::string encodeOwnership(const OwnershipRecord &record)
 {
     JsonWriter writer;
@@ -75,7 +74,7 @@
 
 namespace {
 
-// Fields that rows of earlier versions lack.
+// Rows of earlier versions lack the fields that are read below.
 Duration readMilliseconds(FieldReader &fields, const char *name)
 {
     if (!fields.has(name))
--- a/src/group/ownershiprecord.h
+++ b/src/group/ownershiprecord.h
@@ -11,43 +11,46 @@
 
 namespace kelptally::group {
 
-// The row of one group in the table service.
+// Row of one group in the table service: its owner, and what the next owner needs for a failover.
 struct OwnershipRecord
 {
     OwnerEpoch epoch = 0;
     ProcessId owner;
-    // Of the owner; empty when it is not known.
+    // Zone of the owner; empty when unknown.
     ZoneName zone;
-    // The owner has room for more than a few groups.
+    // The owner has the processor capacity for more than a few groups.
     bool hasRoom = false;
-    // The primary and its term when it was last changed or first seen; a primary of a lower term is
-    // a replaced one.
+    // The last recorded primary and its term. A primary with a lower term has been replaced.
     ServerName primary;
     Term term = 0;
-    // What the primary held when its term began; 0 when that is not known.
+    // Log offset of the primary at the start of its term; 0 when unknown.
     LogOffset termBegan = 0;
-    // What it held when it was first seen to lead: no less than it took over from the one before.
+    // Log offset at which it was first seen as the primary; at least what it took over from the
+    // previous primary.
     LogOffset firstHeld = 0;
-    // Named before the platform is told to promote it; it may lead at any moment from then on.
+    // Recorded before the platform is told to promote it; may be the primary at any time after.
     ServerName candidate;
-    // Another one had been named before it in the same change, and may lead or have led, too.
+    // Another candidate was recorded earlier in the same change, and may be or have been the
+    // primary, too.
     bool otherCandidates = false;
-    // The old primary goes on serving under this owner until the candidate leads.
+    // In a planned change: the old primary serves under this owner until the candidate leads.
     bool primaryServes = false;
-    // Shortest time from the platform's call to a new primary's lead that was seen in the group; 0
-    // before the first change.
+    // Shortest observed time from the promotion request to the new primary's lead; 0 before the
+    // first change.
     Duration leadTime {0};
-    // Until then, by the service's clock, owners before this one may still act.
+    // Time on the service's clock until which earlier owners may still act; 0 if none may.
     Duration guardedUntil {0};
-    // Which these are; meaningless when nothing is guarded.
+    // These earlier owners; meaningless if guardedUntil is 0.
     std::vector<decision::EarlierOwner> earlier;
-    // Servers that may hold acknowledged commits, as the owner knew them when it wrote last; empty
-    // in rows of earlier versions.
+    // Servers that may hold acknowledged commits, as of the last write; empty in rows of earlier
+    // versions.
     std::vector<decision::LogHolder> holders;
-    // What was known to have been acknowledged then; term 0 when nothing was.
+    // Highest position known to be acknowledged at the last write; term 0 if none.
     Position acknowledged;
 };
 
+// Encode and decode a row as JSON. Decoding returns InvalidArgument if a field is missing or
+// malformed.
 std::string encodeOwnership(const OwnershipRecord &record);
 absl::StatusOr<OwnershipRecord> decodeOwnership(const std::string &text);
 
--- a/src/group/ownershipwrites.cpp
+++ b/src/group/ownershipwrites.cpp
@@ -1,11 +1,11 @@
 #include "group/ownership.h"
 
-// How the owner changes its rows: under their version only, and until the outcome is known.
+// Conditional writes of rows, repeated until their outcome is known.
 namespace kelptally::group {
 
 namespace {
 
-// A change with no answer may still take effect; the row is looked at so often before giving up.
+// A write without an answer may still take effect; the row is read this often to find out.
 constexpr int maxOutcomeReads = 20;
 constexpr Duration outcomeReadInterval = std::chrono::milliseconds(150);
 constexpr Duration unavailableReadInterval = std::chrono::milliseconds(10);
@@ -54,7 +54,7 @@
 {
     change->sentAt = parts_.timers.now();
     parts_.table.write({conditionalWrite(*change)}, [this, change](auto tags) {
-        // Sent again it may find its own first effect.
+        // A repeated write may be rejected because the first attempt has taken effect.
         if (isOutcomeUnknown(tags.status()) || (change->mayHaveTakenEffect && !tags.ok())) {
             change->mayHaveTakenEffect = true;
             return resolveOutcome(change);
@@ -73,7 +73,7 @@
         entry.leaseUntil = std::max(entry.leaseUntil, change->sentAt + leaseDuration);
 }
 
-// All of them, or none; without an answer each is settled by itself.
+// The writes take effect all or none. Without an answer each outcome is resolved separately.
 void OwnershipTable::sendBatch(std::vector<RowChangePtr> changes)
 {
     if (changes.empty())
@@ -105,9 +105,9 @@
     parts_.table.read(table, change->group, [this, change](auto row) { onReadBack(change, row); });
 }
 
-// The row shows the change, or another one; or it stands as it was, and then the same change under
-// the same condition settles it: whichever of the two comes first, the other finds its condition
-// broken. Left to wait for a late effect, a candidate was recorded 4.5 s after the store's return.
+// If the row shows this write or another one, the outcome is known. If the row is unchanged, the
+// same conditional write is sent again rather than waiting for a late effect: only one of the two
+// attempts can succeed.
 void OwnershipTable::onReadBack(const RowChangePtr &change,
                                 const absl::StatusOr<std::optional<services::TableRow>> &row)
 {
@@ -123,14 +123,16 @@
         if (!unchanged) {
             if (found)
                 static_cast<void>(applyRow(*found));
-            return finish(change, absl::FailedPreconditionError("another write came first"));
+            return finish(change,
+                          absl::FailedPreconditionError("the row was changed by another write"));
         }
     }
     if (--change->triesLeft <= 0)
-        return finish(change, absl::UnknownError("the row does not show whether it was written"));
+        return finish(change,
+                      absl::UnknownError("the outcome of the write could not be determined"));
     if (row.ok())
         return send(change);
-    // A read that waits for a lost service costs no call.
+    // While the service is unavailable reads send no call, so they may be repeated sooner.
     const Duration pause =
         parts_.isStoreUnavailable() ? unavailableReadInterval : outcomeReadInterval;
     parts_.timers.subscribeAfter(pause, [this, change] { resolveOutcome(change); });
@@ -148,7 +150,7 @@
     if (!owns(group))
         return callback(absl::FailedPreconditionError("not the owner"));
     if (entries_[group].writing)
-        return callback(absl::AbortedError("another change of the row is under way"));
+        return callback(absl::AbortedError("another change of the row is in flight"));
     send(prepareChange(group, edit, std::move(callback)));
 }
 
@@ -159,7 +161,7 @@
     Entry &entry = entries_[group];
     OwnershipRecord record = entry.record;
     edit(record);
-    // Guards must not add up from owner to owner.
+    // Guard times must not accumulate from owner to owner.
     const Instant now = parts_.timers.now();
     record.earlier = entry.earlier.open(now);
     if (record.earlier.empty())
@@ -188,13 +190,14 @@
 {
     Entry &entry = entries_[group];
     if (!owns(group) || entry.writing)
-        return callback(absl::UnavailableError("not the owner, or a change is under way"));
+        return callback(
+            absl::UnavailableError("not the owner, or another change of the row is in flight"));
     const auto time = serviceTime();
     if (!time)
-        return callback(absl::UnavailableError("the service has not told its time yet"));
+        return callback(absl::UnavailableError("the time of the table service is not known yet"));
     OwnershipRecord record = entry.record;
-    // The next owner may not know who was it until now, and this one may hear late that it is none
-    // any more: so the row names it.
+    // The row names this process as an earlier owner: the next one may not know it, and this one
+    // may learn late that it has lost the group.
     setEarlierOwners(record, entry.earlier.open(parts_.timers.now()),
                      {entry.record.owner, entry.record.epoch}, *time);
     record.epoch += 1;
@@ -204,7 +207,7 @@
     entry.handingOver = true;
     write(group, record, entry.etag, true,
           [this, group, record, callback = std::move(callback)](absl::Status written) {
-              // While it may yet take effect, the lease must not grow.
+              // As long as the write may still take effect, the lease must not be extended.
               entries_[group].handingOver = absl::IsUnknown(written);
               if (written.ok())
                   applyRecord(group, record, entries_[group].etag);
--- a/src/group/primarychange.cpp
+++ b/src/group/primarychange.cpp
@@ -3,39 +3,37 @@
 #include <algorithm>
 #include <limits>
 
-// The steps by which a lost or leaving primary is replaced.
+// Changes of the primary: the steps that replace a lost, stalled or leaving one.
 namespace kelptally::group {
 
 namespace {
 
-// Longest time in which replicas may be stopped for a planned change, and the pause before another
-// attempt: the primary can't acknowledge by a stopped replica.
+// Limits how long replicas are stopped for a planned change, and how soon it is retried, as a
+// stopped replica confirms no commits.
 constexpr Duration plannedStopTimeout = std::chrono::milliseconds(700);
 constexpr Duration plannedRetryDelay = std::chrono::milliseconds(500);
-// A primary that answers but acknowledges nothing leads on when its replicas have not stopped
-// within this time; and is not replaced again for so long, in which its replicas may come back by
-// themselves.
+// The replacement of a stalled primary is abandoned if its replicas have not stopped within
+// replaceStopTimeout, and not retried before replaceRetryDelay, so that they can recover meanwhile.
 constexpr Duration replaceStopTimeout = std::chrono::milliseconds(500);
 constexpr Duration replaceRetryDelay = std::chrono::seconds(5);
-// Before the candidate is recorded again after the row could not be written; chosen, not measured.
+// Delay before the candidate is recorded again after the row could not be written.
 constexpr Duration recordRetryDelay = std::chrono::milliseconds(100);
-// The store takes a change within this time also when it is slow; longer means that it may turn
-// this process away.
+// Even a slow store accepts a write within this time; a longer one suggests that it rejects this
+// process.
 constexpr Duration slowRecordTimeout = std::chrono::milliseconds(600);
-// Without a primary for this long, and unable to change it, the owner looks for one that reaches
-// it.
+// An owner that can neither reach nor replace the primary for this long asks for another owner.
 constexpr Duration unreachableTimeout = std::chrono::milliseconds(600);
-// The platform answers the call in 12 to 26 ms where it was measured; a lost answer costs no more
-// than this, and the pause before the call is made again after a refusal.
+// Timeout of a promotion request to the platform, and the delay before one is repeated that was
+// rejected.
 constexpr Duration promotionTimeout = std::chrono::milliseconds(1500);
 constexpr Duration promotionRetryDelay = std::chrono::milliseconds(60);
-// How often the candidate is asked whether it leads: the most that this adds to a change.
+// Interval of queries whether the candidate leads; the longest delay that polling adds to a change.
 constexpr Duration leadPollInterval = std::chrono::milliseconds(20);
-// In a planned change writes go on until this long before the candidate is expected to lead. Until
-// the first change has shown how long that takes, it is expected no sooner than the first figure.
+// In a planned change writes are held from writeHoldMargin before the expected lead of the
+// candidate; from defaultLeadTime after the promotion request if no lead time has been recorded.
 constexpr Duration defaultLeadTime = std::chrono::milliseconds(350);
 constexpr Duration writeHoldMargin = std::chrono::milliseconds(100);
-// Above every position of a log.
+// Greater than any position of a log.
 constexpr Position maxPosition {std::numeric_limits<Term>::max(),
                                 std::numeric_limits<std::uint64_t>::max()};
 
@@ -71,8 +69,8 @@
     stopReplicas(parts_.timers.now());
 }
 
-// The server that led last as far as the row tells: whatever was acknowledged there, others have
-// received, so that it need not be heard. Empty when a candidate may have led since, or not.
+// The last primary according to the row. Its report is not needed, as other servers have received
+// all that it acknowledged. Empty if a recorded candidate may have led since.
 ServerName FailoverController::lastLeader() const
 {
     const OwnershipRecord *record = parts_.ownership.record(group_);
@@ -81,11 +79,11 @@
 
 void FailoverController::stopReplicas(Instant now)
 {
-    // 1. Only under the lease, and when no owner before this one can act.
+    // 1. Change servers only under the lease, and when no earlier owner can act.
     const bool mayChange =
         parts_.ownership.hasLease(group_) && parts_.ownership.isSoleOwner(group_);
-    // 2. Ask: a planned change leaves the best replica receiving, so that whatever the old primary
-    // still acknowledges is there.
+    // 2. Stop or query the servers. In a planned change the candidate goes on receiving, so that it
+    // gets all that the old primary still acknowledges.
     if (now - queriedAt_ >= queryInterval) {
         queriedAt_ = now;
         for (const auto &[id, server] : servers_) {
@@ -110,7 +108,7 @@
         abandonReplacement();
 }
 
-// From now on the old primary leads again if it says so.
+// From now on the stalled primary is used again if it reports itself as the primary.
 void FailoverController::abandonReplacement()
 {
     parts_.log.info("replacement_abandoned").with("group", group_).with("primary", oldPrimary_);
@@ -119,8 +117,8 @@
     queriedAt_ = Instant();
 }
 
-// This process can't reach the primary and may not replace it yet, as an owner before it may still
-// act. Another process may reach it.
+// Asks for a new owner that reaches the primary, if this process can't reach it and may not replace
+// it yet, as an earlier owner may still act.
 void FailoverController::requestTakeOverForPrimary(Instant now)
 {
     const OwnershipRecord *record = parts_.ownership.record(group_);
@@ -133,8 +131,8 @@
     parts_.ownership.requestTakeOver(group_, old->listed().endpoint, "primary_unreachable");
 }
 
-// The replicas cannot be brought to where the change is safe: the primary serves on meanwhile, with
-// all of them, and another candidate is tried a little later.
+// The change could not be made safe in time. The primary goes on with all its replicas, and another
+// candidate is tried later.
 void FailoverController::abandonPlannedChange()
 {
     parts_.log.info("planned_change_abandoned").with("group", group_).with("candidate", candidate_);
@@ -158,9 +156,9 @@
         return;
     if (replacingStalled_ && server == oldPrimary_ && report.term <= term_)
         return;
-    // The old primary is back, or another leads already.
+    // The old primary is back, or another server leads already.
     const bool leads = report.primary && report.term >= term_;
-    // Once a call was sent, only a server of a later term leads.
+    // After a promotion request only a server with a later term may lead.
     if (leads && !planned_ && (!promotionSent_ || report.term > term_))
         return onOtherLeader(*found, report);
     if (leads && server != oldPrimary_)
@@ -168,20 +166,20 @@
     if (planned_ && server == oldPrimary_) {
         if (!report.primary)
             return abandonPrimary("not_primary");
-        // Only a position from after the others' stop bounds what they have acknowledged.
+        // Only a position read after the other replicas stopped bounds what they have confirmed.
         if (othersStoppedAt_ != Instant() && queriedAt >= othersStoppedAt_)
             stopReports_[server] = report;
     } else if (planned_ && candidate_.empty()) {
-        // The first one that answers and is not on its way out itself.
+        // Take the first replica that answers and is not leaving itself.
         if (!found->listed().leaving && server != avoidedCandidate_)
             candidate_ = server;
     } else if (planned_ && server == candidate_) {
         stopReports_[server] = report;
     } else if (server == oldPrimary_ && !oldIsReplica_) {
-        // It is back and follows: from now on it is told to stop like the others.
+        // The old primary may be back as a replica, and is then stopped like the others.
         oldIsReplica_ = !report.primary;
     } else if (stopRequested && report.stoppedUnder >= stopTerm_) {
-        // One that another owner has stopped may be let go by it again.
+        // A replica that another owner has stopped doesn't count, as that owner may resume it.
         stopReports_[server] = report;
     } else if (report.stoppedUnder != 0 || report.term >= stopTerm_) {
         stopTerm_ = highestTerm_ + 1;
@@ -193,8 +191,8 @@
     chooseCandidate(parts_.timers.now());
 }
 
-// A server leads that was not expected to: all goes on there, or it becomes a replica like the
-// others when it was replaced by one that can't be heard now.
+// An unexpected server reports itself as the primary. Uses it if it is eligible; otherwise, if it
+// was replaced by one that can't be reached now, makes it step down.
 void FailoverController::onOtherLeader(GroupServer &server, const ServerReport &report)
 {
     const LeaderEligibility eligibility = leaderEligibility(server.id(), report.term);
@@ -204,16 +202,16 @@
         parts_.ownership.hasLease(group_) && parts_.ownership.isSoleOwner(group_);
     if (eligibility != LeaderEligibility::No || !mayChange)
         return;
-    // It steps down for a higher term only: a former candidate that has led and come back under
-    // another id may show the one that was to be used.
+    // A server steps down only for a higher term. A former candidate that has led and come back
+    // under another id may already have the term of stopTerm_.
     if (report.term >= stopTerm_)
         stopTerm_ = highestTerm_ + 1;
     sendCommand(server, CommandKind::StepDown, stopTerm_, reportTimeout,
                 [](const ServerReport &) {});
 }
 
-// Whether all replicas but the candidate receive nothing more. One that is neither listed nor
-// running has left for good.
+// Whether all replicas except the candidate have stopped receiving. A server that is neither listed
+// nor running has left for good.
 bool FailoverController::othersHaveStopped() const
 {
     for (const auto &[id, server] : servers_) {
@@ -238,8 +236,8 @@
     recordCandidate(decision::ruleName(choice.rule));
 }
 
-// The candidate must hold what the others acknowledged before they stopped: the old primary's
-// position after that.
+// The candidate must hold all that the other replicas confirmed before they stopped, that is, reach
+// the old primary's position read after that.
 void FailoverController::chooseForPlannedChange()
 {
     const auto old = stopReports_.find(oldPrimary_);
@@ -255,7 +253,7 @@
     recordCandidate("planned");
 }
 
-// The old primary answers again, or another one leads: everything goes on there.
+// The old primary answers again, or another server leads: searches for the primary again.
 void FailoverController::cancelChange(const std::string &leader)
 {
     parts_.log.info("primary_change_cancelled").with("group", group_).with("leader", leader);
@@ -315,7 +313,7 @@
             parts_.log.warning("candidate_unrecorded")
                 .with("group", group_)
                 .with("cause", written.message());
-            // With the store away for all nothing can be promoted; the servers are looked at again.
+            // If the store is unavailable for all processes, no replica can be promoted.
             if (!absl::IsAborted(written))
                 parts_.ownership.requestTakeOver(group_, std::string(), "candidate_unrecorded");
             recordAfter_ = parts_.timers.now() + recordRetryDelay;
@@ -325,14 +323,14 @@
         });
 }
 
-// Commits went on while the row was written, and a replica that was stopped may have started again
-// and confirmed them. From now on acknowledgements wait until the candidate holds them, and what
-// has passed must be in its log before the call.
+// Commits went on while the row was written, and a stopped replica that restarted may have
+// confirmed them. From now on acknowledgements wait until the candidate holds them, and all earlier
+// ones must be in its log before the promotion request.
 void FailoverController::confirmCandidate(Instant now)
 {
     GroupServer *server = find(candidate_);
     if (server == nullptr || timeInStep(now) >= plannedStopTimeout) {
-        // Nobody was told to promote: whatever the primary has acknowledged is good.
+        // No promotion was requested, so everything that the primary acknowledged is safe.
         events_.onCandidateNotLeading(now, maxPosition);
         return abandonPlannedChange();
     }
@@ -350,7 +348,7 @@
 {
     enterStep(Step::Promoting);
     const OwnershipRecord *record = parts_.ownership.record(group_);
-    // Right before the call: the lease must outlast the time in which the call may arrive.
+    // The lease must outlast the time in which the promotion request may arrive.
     if (record == nullptr
         || parts_.ownership.leaseLeft(group_) < promotionTimeout + promotionTimeout
         || !parts_.ownership.owns(group_)) {
@@ -385,7 +383,7 @@
                 stopTerm_ = highestTerm_ + 1;
                 return enterStep(Step::StoppingReplicas);
             }
-            // Until it is called for again, others may confirm what the candidate lacks.
+            // Until the request is repeated, other replicas may confirm what the candidate lacks.
             if (outcome == PromotionOutcome::TryAgain && planned_) {
                 promoteAfter_ = parts_.timers.now() + promotionRetryDelay;
                 queriedAt_ = Instant();
@@ -415,12 +413,12 @@
         writesHeld_ = true;
         events_.onWritesHeld(true);
     }
-    // 2. The candidate is gone or does not lead: choose again.
+    // 2. Choose again if the candidate is gone; repeat the request if it does not lead in time.
     if (server == nullptr || server->isUnreachable())
         return discardCandidate();
     if (now - promotionSentAt_ >= leadTimeout)
         return promoteCandidate();
-    // 3. Ask it.
+    // 3. Query the candidate.
     if (now - queriedAt_ < leadPollInterval)
         return;
     queriedAt_ = now;
--- a/src/group/primaryholders.cpp
+++ b/src/group/primaryholders.cpp
@@ -2,15 +2,15 @@
 
 #include <algorithm>
 
-// Which servers may hold acknowledged commits, what is known of their logs, and what the row tells
-// the next owner of both.
+// Tracks which servers may hold acknowledged commits and what is known of their logs, and records
+// both in the row for the next owner.
 namespace kelptally::group {
 
 namespace {
 
-// Between two writes of the row that no caller waits for: servers come and go a few at a time.
+// Minimum time between background writes of the row, so that one write covers several changes.
 constexpr Duration minRowWriteInterval = std::chrono::seconds(1);
-// The log tells this often why nothing is promoted.
+// Minimum time between log entries about why no replica is promoted.
 constexpr Duration waitLogInterval = std::chrono::seconds(1);
 
 void raiseTo(std::optional<Position> &position, Position to)
@@ -31,7 +31,8 @@
         raiseTo(acknowledgedLowerBound_, {logPosition.term, logPosition.offset - unacknowledged});
 }
 
-// Here, or by what an earlier owner left in the row.
+// Highest position known to be acknowledged, by this owner or by an earlier one as recorded in the
+// row.
 std::optional<Position> FailoverController::knownAcknowledged() const
 {
     std::optional<Position> known = acknowledgedLowerBound_;
@@ -42,7 +43,7 @@
     return known;
 }
 
-// While a primary leads
+// While there is a primary
 
 std::vector<decision::LogHolder> FailoverController::listedHolders() const
 {
@@ -64,7 +65,8 @@
         recordHolders(now);
 }
 
-// The primary, and while some have vanished the others, too: whether they hold what those may hold.
+// Queries the primary, and if holders have vanished also the replicas: one that holds all that the
+// vanished ones may hold replaces them.
 void FailoverController::queryPositions(Instant now)
 {
     const bool includeReplicas = !holders_.vanished().empty();
@@ -86,8 +88,7 @@
     if (server != primary_ || !report.primary)
         return;
     holders_.onPrimaryHeld(report.received, queriedAt);
-    // Asked after the owners before this one had ended: all that they acknowledged is in it. An
-    // answer that was already on its way then shows less.
+    // Only a report requested after the earlier owners had ended has all that they acknowledged.
     if (soleOwnerSince_ == Instant() || queriedAt < soleOwnerSince_)
         return;
     sawAllAcknowledgements_ = true;
@@ -106,14 +107,14 @@
         group_, [this](OwnershipRecord &row) { writeHolders(row); }, [](const absl::Status &) {});
 }
 
-// What the next owner has to know of logs, should this one be lost.
+// Writes what the next owner needs to choose a replica.
 void FailoverController::writeHolders(OwnershipRecord &row) const
 {
     row.holders = holders_.all();
     row.acknowledged = knownAcknowledged().value_or(Position());
 }
 
-// A row that goes on naming the primary before hides from the next owner which server led last.
+// Records the current primary, so that a next owner knows which server led last.
 void FailoverController::recordPrimary()
 {
     if (!primaryUnrecorded_)
@@ -142,9 +143,9 @@
         });
 }
 
-// While one is chosen
+// While a replica is chosen
 
-// All that may hold acknowledged commits count, not only those that the list names now.
+// Includes all servers that may hold acknowledged commits, not only the listed ones.
 decision::ChoiceState FailoverController::choiceState(Instant now) const
 {
     decision::ChoiceState state;
@@ -152,13 +153,13 @@
     if (sawAllAcknowledgements_)
         state.acknowledgedAtMost = acknowledgedUpperBound_;
     state.waited = timeInStep(now);
-    // The row may lag behind what this owner has seen, or tell of a term that it has not.
+    // The row may be older than what this owner has seen, or have a newer term.
     const OwnershipRecord *record = parts_.ownership.record(group_);
     const bool isRowTermNewer = record != nullptr && record->term > term_;
     const Term term = isRowTermNewer ? record->term : term_;
     const LogOffset began = isRowTermNewer ? record->termBegan : termBegan_;
     state.inherited = isRowTermNewer ? record->firstHeld : firstHeld_;
-    // Where its beginning is not known, nothing was acknowledged in it before it was first seen.
+    // If the start of the term is unknown, nothing was acknowledged in it before it was first seen.
     state.termBegan = {term, began != 0 ? began : state.inherited};
     for (const decision::LogHolder &holder : holders_.all()) {
         decision::ReplicaState replica;
@@ -169,8 +170,7 @@
         const auto server = servers_.find(holder.server);
         if (report != stopReports_.end() && server != servers_.end())
             replica.held = report->second.received;
-        // One that failed as a candidate still counts by its position: if it holds the most, it is
-        // the one again.
+        // A failed candidate is chosen again if it alone has the highest position.
         replica.avoided = failedCandidates_.count(holder.server) != 0
             || (server != servers_.end() && server->second->listed().leaving);
         state.replicas.push_back(std::move(replica));
@@ -178,14 +178,15 @@
     return state;
 }
 
-// Nothing is promoted that may lack something acknowledged, however long that takes.
+// Logs that no replica can be promoted as each may lack acknowledged commits, and asks another
+// process to take over if it may reach more servers.
 void FailoverController::logPromotionWait(const decision::ReplicaChoice &choice, Instant now)
 {
     const Instant since = std::max(stepSince_, soleOwnerSince_);
     if (now - since < waitLogInterval || now - waitLoggedAt_ < waitLogInterval)
         return;
     waitLoggedAt_ = now;
-    // One that hears nobody is the one that is cut off, or all servers are.
+    // If no server answers, this process is probably cut off, or all servers are.
     if (choice.held)
         requestTakeOverForReplica();
     const auto known = knownAcknowledged();
@@ -197,7 +198,7 @@
         .with("unheard", describeMissingReports());
 }
 
-// Another process may reach the replicas that this one does not.
+// Another process may reach the replicas that this one can't reach.
 void FailoverController::requestTakeOverForReplica()
 {
     for (const auto &[id, server] : servers_)
@@ -206,7 +207,7 @@
                                                     "replica_unreachable");
 }
 
-// Servers whose logs the choice does not know, and what is known of each.
+// Describes the servers whose logs are unknown, with the state of each.
 std::string FailoverController::describeMissingReports() const
 {
     std::string text;
--- a/src/group/primaryrestart.cpp
+++ b/src/group/primaryrestart.cpp
@@ -1,6 +1,6 @@
 #include "group/failovercontroller.h"
 
-// What another run of a server means for finding, watching and replacing the primary.
+// Handles a restart of a server while the primary is searched for, monitored or replaced.
 namespace kelptally::group {
 
 void FailoverController::onRestarted(const ServerName &server)
@@ -9,18 +9,17 @@
     stopReports_.erase(server);
     if (step_ == Step::Stopped)
         return;
-    // 1. The primary comes back with its log, and leads on or not.
+    // 1. The primary comes back with its log and may or may not lead.
     if (!primary_.empty() && server == primary_)
         return onPrimaryRestarted();
-    // 2. A replica may follow nobody yet, and receives again if it had been stopped.
+    // 2. A replica may not follow the primary yet; one that was stopped receives again.
     if (step_ == Step::Leading) {
         unreconciledServers_.insert(server);
         return;
     }
     if (planned_)
         othersStoppedAt_ = Instant();
-    // 3. A candidate whose promotion was asked for is not waited for; what it was chosen for,
-    // another run had shown.
+    // 3. Don't wait for a candidate: it was chosen for the log of its previous incarnation.
     const bool promotionSent = step_ == Step::Promoting || step_ == Step::AwaitingLead;
     if (promotionSent && server == candidate_)
         return discardCandidate();
@@ -31,7 +30,7 @@
 void FailoverController::onPrimaryRestarted()
 {
     GroupServer *server = find(primary_);
-    // A connection that was opened after the restart may have shown already that it leads.
+    // The connection may be from after the restart, and the server may lead already.
     if (step_ == Step::Leading && server != nullptr && server->isConnected())
         return sendCommand(*server, CommandKind::Report, 0, hangTimeout,
                            [this](const ServerReport &report) {
@@ -41,7 +40,7 @@
     const bool promotionSent = step_ == Step::Promoting || step_ == Step::AwaitingLead;
     if (!promotionSent)
         return abandonPrimary("restarted");
-    // The candidate leads soon.
+    // The candidate is about to lead.
     const ServerName old = primary_;
     primary_.clear();
     events_.onPrimaryLost(old);
--- a/tests/group/ownershiprecord_test.cpp
+++ b/tests/group/ownershiprecord_test.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("A group's row tells who may hold commits, and what was acknowledged")
+TEST_CASE("An ownership row round-trips the holders and the acknowledged position")
 {
     const auto read = decodeOwnership(encodeOwnership(fullRecord()));
     REQUIRE(read.ok());
@@ -34,7 +34,7 @@
     CHECK(read->acknowledged == Position {2, 180});
 }
 
-TEST_CASE("A row of an earlier version names no holders and nothing acknowledged")
+TEST_CASE("A row of an earlier version decodes without holders and acknowledged position")
 {
     const auto read = decodeOwnership(R"({"epoch":7,"owner":"10.0.0.1:7440","incarnation":3,)"
                                       R"("primary":"a","term":2,"candidate":""})");
@@ -45,7 +45,7 @@
     CHECK(read->acknowledged.term == 0);
 }
 
-TEST_CASE("A row whose holders can't be understood is refused")
+TEST_CASE("Decoding fails for a row with malformed holders")
 {
     std::string text = encodeOwnership(fullRecord());
     const std::size_t at = text.find("\"endpoint\"");
@@ -54,8 +54,8 @@
     CHECK_FALSE(decodeOwnership(text).ok());
 }
 
-// 986 hosts read 1,000 rows each when all start: with all fields a fresh row had 304 bytes.
-TEST_CASE("A row tells only what there is to tell")
+// Each host reads all rows at start, so default fields must not enlarge them.
+TEST_CASE("Fields with default values are left out of a row")
 {
     OwnershipRecord record;
     record.epoch = 1;
