--- a/src/group/failovercontroller.h
+++ b/src/group/failovercontroller.h
@@ -204,7 +204,7 @@
     LogOffset firstHeld_ = 0;
     // Servers that may hold acknowledged commits, including unlisted ones.
     decision::LogHolders holders_;
-    Instant holdersWatchedAt_ {};
+    Instant holdersRefreshedAt_ {};
     // The row does not name the current primary yet.
     bool primaryUnrecorded_ = false;
     Instant rowWrittenAt_ {};
--- a/src/group/ownership.h
+++ b/src/group/ownership.h
@@ -250,7 +250,7 @@
                  const OwnershipRecord &previous, Duration serviceTime);
     // Extends the leases of all owned groups by reading their rows.
     void renewLeases();
-    void renewAllLeases();
+    void renewLeasesBatched();
     void renewLease(const GroupName &group);
     void extendLease(const GroupName &group, Instant sent, const std::string &tag);
     void offerGroupIfNoRoom();
--- a/src/group/ownershipleases.cpp
+++ b/src/group/ownershipleases.cpp
@@ -106,13 +106,13 @@
         if (leaseLeft(group) < leaseDuration / lowLeaseDivisor)
             requestTakeOver(group, std::string(), "lease_runs_out");
     if (groups.size() > 1 && knownVersion_)
-        return renewAllLeases();
+        return renewLeasesBatched();
     for (const GroupName &group : groups)
         renewLease(group);
 }
 
 // Renews all leases with a single query for changed rows, whatever the number of owned groups.
-void OwnershipTable::renewAllLeases()
+void OwnershipTable::renewLeasesBatched()
 {
     if (std::exchange(renewing_, true))
         return;
--- a/src/group/primaryholders.cpp
+++ b/src/group/primaryholders.cpp
@@ -55,9 +55,9 @@
 
 void FailoverController::refreshHolders(Instant now)
 {
-    if (now - holdersWatchedAt_ < queryInterval)
+    if (now - holdersRefreshedAt_ < queryInterval)
         return;
-    holdersWatchedAt_ = now;
+    holdersRefreshedAt_ = now;
     const bool mayKnowAll = !sawAllAcknowledgements_ && soleOwnerSince_ != Instant();
     if (mayKnowAll || !holders_.vanished().empty())
         queryPositions(now);
