--- a/src/group/ownershipwrites.cpp
+++ b/src/group/ownershipwrites.cpp
@@ -1,16 +1,16 @@
 #include "group/ownership.h"
 
-// How the owner changes its rows: under their version only, and until the outcome is known.
+// Conditional writes of rows, repeated until their outcome is known.
 namespace kelptally::group {
 
 namespace {
 
-// A change with no answer may still take effect; the row is looked at so often before giving up.
-constexpr int settleTries = 20;
-constexpr Duration settlePause = std::chrono::milliseconds(150);
-constexpr Duration waitingPause = std::chrono::milliseconds(10);
+// A write without an answer may still take effect; the row is read this often to find out.
+constexpr int maxOutcomeReads = 20;
+constexpr Duration outcomeReadInterval = std::chrono::milliseconds(150);
+constexpr Duration unavailableReadInterval = std::chrono::milliseconds(10);
 
-bool isUnclear(const absl::Status &status)
+bool isOutcomeUnknown(const absl::Status &status)
 {
     return absl::IsUnknown(status) || absl::IsDeadlineExceeded(status);
 }
@@ -27,10 +27,10 @@
     return write;
 }
 
-OwnershipTable::RowChangePtr OwnershipTable::prepare(const GroupName &group,
-                                                     const OwnershipRecord &record,
-                                                     const std::string &etag, bool exists,
-                                                     std::function<void(absl::Status)> callback)
+OwnershipTable::RowChangePtr
+OwnershipTable::prepareWrite(const GroupName &group, const OwnershipRecord &record,
+                             const std::string &etag, bool exists,
+                             std::function<void(absl::Status)> callback)
 {
     auto change = std::make_shared<RowChange>();
     change->group = group;
@@ -38,7 +38,7 @@
     if (exists)
         change->expected = etag;
     change->callback = std::move(callback);
-    change->triesLeft = settleTries;
+    change->triesLeft = maxOutcomeReads;
     entries_[group].writing = true;
     return change;
 }
@@ -47,17 +47,17 @@
                            const std::string &etag, bool exists,
                            std::function<void(absl::Status)> callback)
 {
-    send(prepare(group, record, etag, exists, std::move(callback)));
+    send(prepareWrite(group, record, etag, exists, std::move(callback)));
 }
 
 void OwnershipTable::send(const RowChangePtr &change)
 {
     change->sentAt = parts_.timers.now();
     parts_.table.write({conditionalWrite(*change)}, [this, change](auto tags) {
-        // Sent again it may find its own first effect.
-        if (isUnclear(tags.status()) || (change->maybeDone && !tags.ok())) {
-            change->maybeDone = true;
-            return settle(change);
+        // A repeated write may be rejected because the first attempt has taken effect.
+        if (isOutcomeUnknown(tags.status()) || (change->mayHaveTakenEffect && !tags.ok())) {
+            change->mayHaveTakenEffect = true;
+            return resolveOutcome(change);
         }
         if (tags.ok())
             onWritten(change, tags->front());
@@ -70,11 +70,11 @@
     Entry &entry = entries_[change->group];
     entry.etag = tag;
     if (change->record.owner == parts_.self)
-        entry.leaseUntil = std::max(entry.leaseUntil, change->sentAt + lease);
+        entry.leaseUntil = std::max(entry.leaseUntil, change->sentAt + leaseDuration);
 }
 
-// All of them, or none; without an answer each is settled by itself.
-void OwnershipTable::sendTogether(std::vector<RowChangePtr> changes)
+// The writes take effect all or none. Without an answer each outcome is resolved separately.
+void OwnershipTable::sendBatch(std::vector<RowChangePtr> changes)
 {
     if (changes.empty())
         return;
@@ -85,12 +85,12 @@
     }
     parts_.table.write(std::move(writes), [this, changes = std::move(changes)](auto tags) {
         if (absl::IsFailedPrecondition(tags.status()))
-            return onContended(changes);
+            return onBatchConflict(changes);
         for (std::size_t i = 0; i < changes.size(); ++i) {
             const RowChangePtr &change = changes[i];
-            if (isUnclear(tags.status())) {
-                change->maybeDone = true;
-                settle(change);
+            if (isOutcomeUnknown(tags.status())) {
+                change->mayHaveTakenEffect = true;
+                resolveOutcome(change);
                 continue;
             }
             if (tags.ok())
@@ -100,14 +100,14 @@
     });
 }
 
-void OwnershipTable::settle(const RowChangePtr &change)
+void OwnershipTable::resolveOutcome(const RowChangePtr &change)
 {
     parts_.table.read(table, change->group, [this, change](auto row) { onReadBack(change, row); });
 }
 
-// The row shows the change, or another one; or it stands as it was, and then the same change under
-// the same condition settles it: whichever of the two comes first, the other finds its condition
-// broken. Left to wait for a late effect, a candidate was recorded 4.5 s after the store's return.
+// If the row shows this write or another one, the outcome is known. If the row is unchanged, the
+// same conditional write is sent again rather than waiting for a late effect: only one of the two
+// attempts can succeed.
 void OwnershipTable::onReadBack(const RowChangePtr &change,
                                 const absl::StatusOr<std::optional<services::TableRow>> &row)
 {
@@ -122,17 +122,20 @@
             && (!found || found->etag == *change->expected);
         if (!unchanged) {
             if (found)
-                static_cast<void>(apply(*found));
-            return finish(change, absl::FailedPreconditionError("another write came first"));
+                static_cast<void>(applyRow(*found));
+            return finish(change,
+                          absl::FailedPreconditionError("the row was changed by another write"));
         }
     }
     if (--change->triesLeft <= 0)
-        return finish(change, absl::UnknownError("the row does not show whether it was written"));
+        return finish(change,
+                      absl::UnknownError("the outcome of the write could not be determined"));
     if (row.ok())
         return send(change);
-    // A read that waits for a lost service costs no call.
-    const Duration pause = parts_.storeIsSilent() ? waitingPause : settlePause;
-    parts_.timers.subscribeAfter(pause, [this, change] { settle(change); });
+    // While the service is unavailable reads send no call, so they may be repeated sooner.
+    const Duration pause =
+        parts_.isStoreUnavailable() ? unavailableReadInterval : outcomeReadInterval;
+    parts_.timers.subscribeAfter(pause, [this, change] { resolveOutcome(change); });
 }
 
 void OwnershipTable::finish(const RowChangePtr &change, const absl::Status &status)
@@ -147,7 +150,7 @@
     if (!owns(group))
         return callback(absl::FailedPreconditionError("not the owner"));
     if (entries_[group].writing)
-        return callback(absl::AbortedError("another change of the row is under way"));
+        return callback(absl::AbortedError("another change of the row is in flight"));
     send(prepareChange(group, edit, std::move(callback)));
 }
 
@@ -158,17 +161,17 @@
     Entry &entry = entries_[group];
     OwnershipRecord record = entry.record;
     edit(record);
-    // Guards must not add up from owner to owner.
+    // Guard times must not accumulate from owner to owner.
     const Instant now = parts_.timers.now();
     record.earlier = entry.earlier.open(now);
     if (record.earlier.empty())
         record.guardedUntil = Duration(0);
-    else if (!entry.earlier.mayAct(entry.before, now))
+    else if (!entry.earlier.mayAct(entry.previous, now))
         record.guardedUntil = std::min(record.guardedUntil, entry.inheritedGuard);
-    if (entry.latestGuard != Duration(0))
-        record.guardedUntil = std::min(record.guardedUntil, entry.latestGuard);
+    if (entry.guardLimit != Duration(0))
+        record.guardedUntil = std::min(record.guardedUntil, entry.guardLimit);
     const OwnerEpoch epoch = entry.record.epoch;
-    return prepare(
+    return prepareWrite(
         group, record, entry.etag, true,
         [this, group, record, epoch, callback = std::move(callback)](absl::Status written) {
             Entry &entry = entries_[group];
@@ -177,7 +180,7 @@
             if (written.ok())
                 setRecord(group, entry, record);
             else
-                renewOne(group);
+                renewLease(group);
             callback(written);
         });
 }
@@ -187,15 +190,16 @@
 {
     Entry &entry = entries_[group];
     if (!owns(group) || entry.writing)
-        return callback(absl::UnavailableError("not the owner, or a change is under way"));
+        return callback(
+            absl::UnavailableError("not the owner, or another change of the row is in flight"));
     const auto time = serviceTime();
     if (!time)
-        return callback(absl::UnavailableError("the service has not told its time yet"));
+        return callback(absl::UnavailableError("the time of the table service is not known yet"));
     OwnershipRecord record = entry.record;
-    // The next owner may not know who was it until now, and this one may hear late that it is none
-    // any more: so the row names it.
-    nameEarlier(record, entry.earlier.open(parts_.timers.now()),
-                {entry.record.owner, entry.record.epoch}, *time);
+    // The row names this process as an earlier owner: the next one may not know it, and this one
+    // may learn late that it has lost the group.
+    setEarlierOwners(record, entry.earlier.open(parts_.timers.now()),
+                     {entry.record.owner, entry.record.epoch}, *time);
     record.epoch += 1;
     record.owner = to;
     record.zone = zone;
@@ -203,7 +207,7 @@
     entry.handingOver = true;
     write(group, record, entry.etag, true,
           [this, group, record, callback = std::move(callback)](absl::Status written) {
-              // While it may yet take effect, the lease must not grow.
+              // As long as the write may still take effect, the lease must not be extended.
               entries_[group].handingOver = absl::IsUnknown(written);
               if (written.ok())
                   applyRecord(group, record, entries_[group].etag);
