--- a/src/bench/groupowner.cpp
+++ b/src/bench/groupowner.cpp
@@ -136,7 +136,8 @@
     view.slots = backend.server->what().slots;
     view.busy = backend.admission->busy();
     view.queued = backend.admission->queued();
-    view.wait = backend.admission->expectedWait(task.request->requestClass, task.request->team);
+    view.queueDelay =
+        backend.admission->expectedWait(task.request->requestClass, task.request->team);
     view.serviceTime = backend.admission->serviceTime();
     view.age = freshness_.age(name, now);
     view.applied = freshness_.applied(name);
@@ -154,11 +155,11 @@
     return all;
 }
 
-ReadNeeds GroupOwner::needsOf(const Task &task) const
+ReadRequirements GroupOwner::needsOf(const Task &task) const
 {
     const Instant now = model_.timers.now();
     const Duration transit = model_.trace.zoneDelay + model_.trace.clientDelay;
-    ReadNeeds needs;
+    ReadRequirements needs;
     if (task.request->statedAge)
         needs.statedAge = std::max(Duration(0), *task.request->statedAge - transit);
     needs.sessionPosition = task.session;
@@ -319,7 +320,7 @@
 void GroupOwner::onRead(Backend &backend, const TaskPtr &task, const Reply &reply)
 {
     const bool primary = failover_.primary() == backend.server->what().name;
-    const ReadNeeds needs = needsOf(*task);
+    const ReadRequirements needs = needsOf(*task);
     const bool tooOld = needs.statedAge && model_.timers.now() - *task->asOf > *needs.statedAge;
     if (tooOld || !holdsLease_())
         return place(task);
--- a/src/bench/groupowner.h
+++ b/src/bench/groupowner.h
@@ -97,7 +97,7 @@
     bool reachable(const Backend &backend) const;
     decision::ServerView viewOf(const Backend &backend, const Task &task) const;
     std::vector<decision::ServerView> views(const Task &task) const;
-    decision::ReadNeeds needsOf(const Task &task) const;
+    decision::ReadRequirements needsOf(const Task &task) const;
 
     void place(const TaskPtr &task);
     void placeRead(const TaskPtr &task);
--- a/src/bench/pressure.cpp
+++ b/src/bench/pressure.cpp
@@ -43,7 +43,7 @@
     bool primary = false;
     // When each slot is free again.
     std::vector<Instant> slots;
-    decision::ServerState known;
+    decision::ReadCandidate known;
     // Position that it holds.
     std::uint64_t holds = 0;
 };
@@ -212,11 +212,11 @@
 
     Server *choose(const Request &request, Duration at, Instant now)
     {
-        std::vector<decision::ServerState> states;
+        std::vector<decision::ReadCandidate> states;
         for (Server &server : servers_) {
             server.known.inFlight = static_cast<int>(std::count_if(
                 server.slots.begin(), server.slots.end(), [now](Instant s) { return s > now; }));
-            server.known.free = server.known.inFlight < plan_.slots
+            server.known.available = server.known.inFlight < plan_.slots
                 && !(server.primary && plan_.leaderless.holds(at));
             states.push_back(server.known);
         }
@@ -224,8 +224,8 @@
         if (request.write && !commits_.maySend(now))
             return nullptr;
         if (request.write || request.kind->maxAge == Duration(0))
-            return primary.known.free ? &primary : nullptr;
-        decision::ReadBound bound;
+            return primary.known.available ? &primary : nullptr;
+        decision::FreshnessRequirement bound;
         bound.maxAge = request.kind->maxAge;
         const auto needed =
             decision::positionNeeded(positions_, bound, request.waiting.arrived, now);
--- a/src/bench/scripts.cpp
+++ b/src/bench/scripts.cpp
@@ -113,7 +113,7 @@
         std::vector<ServerView> servers;
         for (const ServerName name : {"a", "b", "c"})
             servers.push_back(drawServer(random, name, name == "a"));
-        ReadNeeds needs;
+        ReadRequirements needs;
         if (!random.oneIn(8))
             needs.statedAge = 10ms + random.upTo(1s);
         if (random.oneIn(3))
--- a/src/bench/slopes.cpp
+++ b/src/bench/slopes.cpp
@@ -325,7 +325,7 @@
         servers[i].age = 20ms;
         servers[i].applied = Position {1, 100};
     }
-    ReadNeeds needs;
+    ReadRequirements needs;
     needs.statedAge = 1s;
     needs.deadlineIn = 1s;
     Routing routing(50);
--- a/src/decision/commitwatch.h
+++ b/src/decision/commitwatch.h
@@ -33,12 +33,12 @@
 
 private:
     // Of those sent after the newest answered one: the first, the last, and how many.
-    std::optional<Instant> first_;
-    Instant last_ {};
-    int open_ = 0;
+    std::optional<Instant> firstUnanswered_;
+    Instant lastSent_ {};
+    int unansweredCount_ = 0;
     // From the last one to the next probe, while they hang.
-    Duration probePause_ {0};
-    Instant answeredSentAt_ {};
+    Duration probeInterval_ {0};
+    Instant newestAnsweredSentAt_ {};
 };
 
 } // namespace kelptally::decision
--- a/src/decision/confirmation.cpp
+++ b/src/decision/confirmation.cpp
@@ -13,40 +13,41 @@
     std::vector<WriteId> unknown;
     if (term == term_)
         return unknown;
-    for (const auto &[offset, write] : waiting_)
+    for (const auto &[offset, write] : pendingWrites_)
         unknown.push_back(write);
-    waiting_.clear();
-    received_.clear();
+    pendingWrites_.clear();
+    receivedOffsets_.clear();
     term_ = term;
     return unknown;
 }
 
 void Confirmation::add(WriteId write, Position position)
 {
-    waiting_.emplace(position.offset, write);
+    pendingWrites_.emplace(position.offset, write);
 }
 
 std::vector<WriteId> Confirmation::onReport(const ServerName &replica, const ServerReport &report)
 {
-    std::vector<WriteId> done;
+    std::vector<WriteId> confirmedWrites;
     // A replica that has moved to another term, or whose newest record is of an older one, says
     // nothing about this term's log: its records at these offsets may be others.
     const bool holdsTerm = report.term == term_ && report.received.term == term_;
     if (holdsTerm && !report.isPrimary) {
-        LogOffset &received = received_[replica];
+        LogOffset &received = receivedOffsets_[replica];
         received = std::max(received, report.received.offset);
     }
-    const LogOffset reached = confirmed().offset;
-    auto next = waiting_.begin();
-    for (; next != waiting_.end() && (next->first <= reached || !requireMajority_); ++next)
-        done.push_back(next->second);
-    waiting_.erase(waiting_.begin(), next);
-    return done;
+    const LogOffset confirmedOffset = confirmed().offset;
+    auto next = pendingWrites_.begin();
+    for (; next != pendingWrites_.end() && (next->first <= confirmedOffset || !requireMajority_);
+         ++next)
+        confirmedWrites.push_back(next->second);
+    pendingWrites_.erase(pendingWrites_.begin(), next);
+    return confirmedWrites;
 }
 
 bool Confirmation::waiting() const
 {
-    return !waiting_.empty();
+    return !pendingWrites_.empty();
 }
 
 Position Confirmation::confirmed() const
@@ -56,8 +57,8 @@
     if (replicasNeeded == 0)
         return {term_, std::numeric_limits<LogOffset>::max()};
     std::vector<LogOffset> offsets;
-    offsets.reserve(received_.size());
-    for (const auto &[replica, offset] : received_)
+    offsets.reserve(receivedOffsets_.size());
+    for (const auto &[replica, offset] : receivedOffsets_)
         offsets.push_back(offset);
     if (offsets.size() < replicasNeeded)
         return {term_, 0};
--- a/src/decision/confirmation.h
+++ b/src/decision/confirmation.h
@@ -42,9 +42,9 @@
     bool requireMajority_;
     Term term_ = 0;
     std::size_t serverCount_ = 0;
-    std::multimap<LogOffset, WriteId> waiting_;
+    std::multimap<LogOffset, WriteId> pendingWrites_;
     // Newest offset of the current term that each replica has reported.
-    std::map<ServerName, LogOffset> received_;
+    std::map<ServerName, LogOffset> receivedOffsets_;
 };
 
 } // namespace kelptally::decision
--- a/src/decision/freshness.cpp
+++ b/src/decision/freshness.cpp
@@ -51,7 +51,7 @@
     at = samples_.erase(first, at);
     samples_.insert(at, {probeSent, position});
     if (samples_.size() > maxSamples)
-        thinOut();
+        thinOldSamples();
 
     // 4. Replicas that hold the position already are that much fresher.
     for (auto &entry : replicas_) {
@@ -62,7 +62,7 @@
 }
 
 // Drops every other sample of the older half: bounds then err towards older.
-void Freshness::thinOut()
+void Freshness::thinOldSamples()
 {
     std::deque<Sample> kept;
     const std::size_t half = samples_.size() / 2;
--- a/src/decision/freshness.h
+++ b/src/decision/freshness.h
@@ -59,7 +59,7 @@
 
     bool isUsable(Position position) const;
     Position normalized(Position position) const;
-    void thinOut();
+    void thinOldSamples();
     std::optional<Instant> asOf(Position applied) const;
 
     // Ascending in time and in position, both strictly.
--- a/src/decision/positionlog.cpp
+++ b/src/decision/positionlog.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 // Samples closer together than this tell a read nothing new: 1% of the shortest stated age in use.
-constexpr Duration spacing = std::chrono::milliseconds(15);
+constexpr Duration minSampleInterval = std::chrono::milliseconds(15);
 // Longer than any stated age that is served by replicas.
-constexpr Duration keepFor = std::chrono::seconds(10);
+constexpr Duration retention = std::chrono::seconds(10);
 
 } // namespace
 
-void PositionLog::add(Instant sent, Position position)
+void PositionLog::add(Instant sentAt, Position position)
 {
     if (!samples_.empty()) {
         Sample &last = samples_.back();
@@ -21,26 +21,26 @@
             return;
         // An earlier question that was answered later with more: its position also holds what the
         // later question's does.
-        if (sent <= last.sent) {
+        if (sentAt <= last.sentAt) {
             last.position = position;
             return;
         }
-        const bool thin =
-            samples_.size() >= 2 && sent - samples_[samples_.size() - 2].sent < spacing;
-        if (thin) {
-            last = {sent, position};
+        const bool tooClose = samples_.size() >= 2
+            && sentAt - samples_[samples_.size() - 2].sentAt < minSampleInterval;
+        if (tooClose) {
+            last = {sentAt, position};
             return;
         }
     }
-    samples_.push_back({sent, position});
-    while (samples_.size() > 2 && sent - samples_.front().sent > keepFor)
+    samples_.push_back({sentAt, position});
+    while (samples_.size() > 2 && sentAt - samples_.front().sentAt > retention)
         samples_.pop_front();
 }
 
-std::optional<Position> PositionLog::holdsAllUntil(Instant instant) const
+std::optional<Position> PositionLog::positionCovering(Instant instant) const
 {
     const auto found = std::lower_bound(samples_.begin(), samples_.end(), instant,
-                                        [](const Sample &s, Instant at) { return s.sent < at; });
+                                        [](const Sample &s, Instant at) { return s.sentAt < at; });
     if (found == samples_.end())
         return std::nullopt;
     return found->position;
@@ -60,7 +60,7 @@
                          [](const Sample &s, Position wanted) { return s.position < wanted; });
     if (found == samples_.end())
         return std::nullopt;
-    return found->sent;
+    return found->sentAt;
 }
 
 } // namespace kelptally::decision
--- a/src/decision/positionlog.h
+++ b/src/decision/positionlog.h
@@ -14,16 +14,19 @@
 {
 public:
     // Ignores a position below the newest one, as answers overtake each other.
-    void add(Instant sent, Position position);
+    void add(Instant sentAt, Position position);
 
     // A position that holds everything acknowledged up to the instant; nothing when the primary has
     // not been asked since.
-    std::optional<Position> holdsAllUntil(Instant instant) const;
+    std::optional<Position> positionCovering(Instant instant) const;
 
     // Highest position shown; nothing before the first.
     std::optional<Position> newest() const;
     // When the question was sent that was answered with it.
-    Instant newestSent() const { return samples_.empty() ? Instant() : samples_.back().sent; }
+    Instant newestProbeTime() const
+    {
+        return samples_.empty() ? Instant() : samples_.back().sentAt;
+    }
 
     // When a position of at least this one was first seen; nothing when it has not been, or long
     // ago.
@@ -34,7 +37,7 @@
 private:
     struct Sample
     {
-        Instant sent;
+        Instant sentAt;
         Position position;
     };
 
--- a/src/decision/positionrouting.cpp
+++ b/src/decision/positionrouting.cpp
@@ -8,65 +8,69 @@
 
 // A replica is guessed to hold a position this long after the primary showed it, on top of twice
 // its lag.
-constexpr Duration guessMargin = std::chrono::milliseconds(5);
+constexpr Duration catchUpMargin = std::chrono::milliseconds(5);
 // A replica that has shown nothing for this long is tried all the same: the refusal of one that is
 // behind costs no slot, and its lag may be over.
-constexpr Duration knowledgeAge = std::chrono::milliseconds(60);
+constexpr Duration maxReportAge = std::chrono::milliseconds(60);
 constexpr Duration leaveMargin = std::chrono::milliseconds(500);
 // What makes a server the worse choice for a read, in percent of its slots: the primary alone can
 // write, another zone costs time and bytes, and one that has just failed the read may do so again.
 constexpr int primaryCost = 30;
-constexpr int farCost = 40;
-constexpr int failedCost = 400;
+constexpr int otherZoneCost = 40;
+constexpr int priorFailureCost = 400;
 
-bool mayHold(const ServerState &server, const PositionLog &positions, Position needed, Instant now)
+bool mayHavePosition(const ReadCandidate &server, const PositionLog &positions, Position needed,
+                     Instant now)
 {
     if (server.shown && needed <= *server.shown)
         return true;
     if (now < server.behindUntil)
         return false;
-    if (now - server.shownAt >= knowledgeAge)
+    if (now - server.shownAt >= maxReportAge)
         return true;
     const auto seen = positions.firstSeen(needed);
-    return seen && now - *seen >= 2 * server.lag + guessMargin;
+    return seen && now - *seen >= 2 * server.lag + catchUpMargin;
 }
 
-int costOf(const ServerState &server)
+int selectionCost(const ReadCandidate &server)
 {
     return 100 * server.inFlight / std::max(1, server.slots) + (server.primary ? primaryCost : 0)
-        + (server.far ? farCost : 0) + (server.failed ? failedCost : 0) + server.openingCost;
+        + (server.inOtherZone ? otherZoneCost : 0) + (server.failedBefore ? priorFailureCost : 0)
+        + server.openingCost;
 }
 
 } // namespace
 
-std::optional<Position> positionNeeded(const PositionLog &positions, const ReadBound &bound,
-                                       Instant arrived, Instant now)
+std::optional<Position> positionNeeded(const PositionLog &positions,
+                                       const FreshnessRequirement &bound, Instant arrived,
+                                       Instant now)
 {
     if (bound.newest)
         return positions.newest();
-    const auto needed = positions.holdsAllUntil(std::min(arrived, now) - bound.maxAge);
-    return needed && bound.own && *needed < *bound.own ? bound.own : needed;
+    const auto needed = positions.positionCovering(std::min(arrived, now) - bound.maxAge);
+    return needed && bound.ownWrites && *needed < *bound.ownWrites ? bound.ownWrites : needed;
 }
 
 // Any server whose log surely or probably holds the position; replicas go before the primary, which
 // alone can write.
-std::optional<std::size_t> chooseReader(const std::vector<ServerState> &servers,
+std::optional<std::size_t> chooseReader(const std::vector<ReadCandidate> &servers,
                                         const PositionLog &positions,
-                                        std::optional<Position> needed, bool writesHeld,
+                                        std::optional<Position> needed, bool writesPaused,
                                         Instant now)
 {
     const bool allLeaving = std::all_of(servers.begin(), servers.end(),
-                                        [](const ServerState &server) { return server.leaving; });
+                                        [](const ReadCandidate &server) { return server.leaving; });
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < servers.size(); ++i) {
-        const ServerState &server = servers[i];
-        if (!server.free || !server.reachable || server.left || (server.leaving && !allLeaving))
+        const ReadCandidate &server = servers[i];
+        if (!server.available || !server.reachable || server.departed
+            || (server.leaving && !allLeaving))
             continue;
-        if (!server.primary && (!needed || !mayHold(server, positions, *needed, now)))
+        if (!server.primary && (!needed || !mayHavePosition(server, positions, *needed, now)))
             continue;
-        if (server.primary && writesHeld)
+        if (server.primary && writesPaused)
             continue;
-        if (!best || costOf(server) < costOf(servers[*best]))
+        if (!best || selectionCost(server) < selectionCost(servers[*best]))
             best = i;
     }
     return best;
--- a/src/decision/positionrouting.h
+++ b/src/decision/positionrouting.h
@@ -13,28 +13,28 @@
 namespace kelptally::decision {
 
 // How fresh the data has to be that a read finds.
-struct ReadBound
+struct FreshnessRequirement
 {
     // Everything acknowledged; else what was acknowledged before the stated age.
     bool newest = false;
     Duration maxAge {0};
     // And the caller's own writes.
-    std::optional<Position> own;
+    std::optional<Position> ownWrites;
 };
 
 // What is known of one server.
-struct ServerState
+struct ReadCandidate
 {
     bool primary = false;
     // Has a free slot and has not just refused work.
-    bool free = false;
+    bool available = false;
     bool reachable = false;
     bool leaving = false;
     // So long that nothing may reach it any more.
-    bool left = false;
-    bool far = false;
+    bool departed = false;
+    bool inOtherZone = false;
     // It has failed the statement before.
-    bool failed = false;
+    bool failedBefore = false;
     // What speaks against it in percent of its slots, when a connection has to be opened for the
     // statement.
     int openingCost = 0;
@@ -51,14 +51,15 @@
 
 // The position that makes a read right which arrived then; nothing when only the primary is known
 // to. Ages count from the arrival or from now, whichever is earlier.
-std::optional<Position> positionNeeded(const PositionLog &positions, const ReadBound &bound,
-                                       Instant arrived, Instant now);
+std::optional<Position> positionNeeded(const PositionLog &positions,
+                                       const FreshnessRequirement &bound, Instant arrived,
+                                       Instant now);
 
 // Index of the server that a read goes to; nothing when it has to wait. While writes are held the
 // primary is about to be replaced and takes no reads either.
-std::optional<std::size_t> chooseReader(const std::vector<ServerState> &servers,
+std::optional<std::size_t> chooseReader(const std::vector<ReadCandidate> &servers,
                                         const PositionLog &positions,
-                                        std::optional<Position> needed, bool writesHeld,
+                                        std::optional<Position> needed, bool writesPaused,
                                         Instant now);
 
 // Whether a leaving server has had its time: before the one at which nothing may reach it, as the
--- a/src/decision/replicachoice.cpp
+++ b/src/decision/replicachoice.cpp
@@ -8,38 +8,38 @@
 
 // Replicas answer in 1 to 4 ms, and in 25 on a slow host; those that answer within this time are
 // compared even if one that holds everything has been heard already.
-constexpr Duration waitForAll = std::chrono::milliseconds(60);
+constexpr Duration reportWindow = std::chrono::milliseconds(60);
 
 // What the replica surely holds: a position of a term whose beginning it lacks compares below every
 // position that is what it seems.
-Position surelyHeld(const ReplicaState &replica, const ChoiceState &state)
+Position comparablePosition(const ReplicaState &replica, const ReplicaChoiceInput &state)
 {
-    const Position held = *replica.held;
-    const bool lacksBeginning =
-        held.term == state.termBegan.term && held.offset < state.termBegan.offset;
-    return lacksBeginning ? Position {0, held.offset} : held;
+    const Position heldPosition = *replica.heldPosition;
+    const bool lacksTermStart =
+        heldPosition.term == state.termBegan.term && heldPosition.offset < state.termBegan.offset;
+    return lacksTermStart ? Position {0, heldPosition.offset} : heldPosition;
 }
 
 // Of the holders whose logs are not among the compared ones.
-struct Uncompared
+struct UncomparedLogs
 {
     // All of them, and those that may yet come back.
     int all = 0;
     int awaited = 0;
-    bool hasLastLeader = true;
+    bool hasLastPrimary = true;
 };
 
-Uncompared uncomparedOf(const std::vector<ReplicaState> &replicas)
+UncomparedLogs countUncompared(const std::vector<ReplicaState> &replicas)
 {
-    Uncompared uncompared;
+    UncomparedLogs uncompared;
     for (const ReplicaState &replica : replicas) {
-        if (replica.held) {
-            uncompared.hasLastLeader = uncompared.hasLastLeader && !replica.isLastLeader;
+        if (replica.heldPosition) {
+            uncompared.hasLastPrimary = uncompared.hasLastPrimary && !replica.isLastPrimary;
             continue;
         }
         const bool isReplaced =
             std::any_of(replicas.begin(), replicas.end(), [&](const ReplicaState &other) {
-                return other.held && other.endpoint == replica.endpoint;
+                return other.heldPosition && other.endpoint == replica.endpoint;
             });
         ++uncompared.all;
         uncompared.awaited += isReplaced ? 0 : 1;
@@ -49,14 +49,14 @@
 
 } // namespace
 
-const char *ruleName(ChoiceRule rule)
+const char *choiceRuleName(ChoiceRule rule)
 {
     switch (rule) {
-    case ChoiceRule::AllHeard:
+    case ChoiceRule::AllReported:
         return "all_heard";
-    case ChoiceRule::HoldsAll:
+    case ChoiceRule::HoldsAllAcknowledged:
         return "holds_all";
-    case ChoiceRule::TooFewHeard:
+    case ChoiceRule::TooFewReported:
         return "too_few_heard";
     case ChoiceRule::AcknowledgedMissing:
         break;
@@ -64,38 +64,40 @@
     return "acknowledged_missing";
 }
 
-ReplicaChoice chooseReplica(const ChoiceState &state)
+ReplicaChoice chooseReplica(const ReplicaChoiceInput &state)
 {
     // 1. The highest position; of equals one that stays.
     const ReplicaState *best = nullptr;
-    Position most;
+    Position highest;
     for (const ReplicaState &replica : state.replicas) {
-        if (!replica.held)
+        if (!replica.heldPosition)
             continue;
-        const Position held = surelyHeld(replica, state);
-        const bool isBetter =
-            best == nullptr || most < held || (most == held && best->avoided && !replica.avoided);
+        const Position heldPosition = comparablePosition(replica, state);
+        const bool isBetter = best == nullptr || highest < heldPosition
+            || (highest == heldPosition && best->deprioritised && !replica.deprioritised);
         if (!isBetter)
             continue;
         best = &replica;
-        most = held;
+        highest = heldPosition;
     }
     ReplicaChoice choice;
     if (best == nullptr)
         return choice;
-    choice.held = best->held;
+    choice.heldPosition = best->heldPosition;
     // 2. Whether it must hold everything that was acknowledged.
-    const Uncompared uncompared = uncomparedOf(state.replicas);
-    const bool hasInherited = state.inherited <= best->held->offset;
-    const bool allHeard = !uncompared.hasLastLeader || uncompared.awaited == 0
+    const UncomparedLogs uncompared = countUncompared(state.replicas);
+    const bool hasInherited = state.inheritedOffset <= best->heldPosition->offset;
+    const bool allReported = !uncompared.hasLastPrimary || uncompared.awaited == 0
         || (uncompared.all <= 1 && hasInherited);
-    const bool lacksKnown = state.acknowledgedAtLeast && most < *state.acknowledgedAtLeast;
-    const bool holdsAll = state.acknowledgedAtMost && *state.acknowledgedAtMost <= most;
-    if (allHeard)
-        choice.rule = lacksKnown ? ChoiceRule::AcknowledgedMissing : ChoiceRule::AllHeard;
-    else if (holdsAll && !lacksKnown && state.waited >= waitForAll)
-        choice.rule = ChoiceRule::HoldsAll;
-    if (choice.rule == ChoiceRule::AllHeard || choice.rule == ChoiceRule::HoldsAll)
+    const bool lacksAcknowledged =
+        state.acknowledgedAtLeast && highest < *state.acknowledgedAtLeast;
+    const bool holdsAllAcknowledged =
+        state.acknowledgedAtMost && *state.acknowledgedAtMost <= highest;
+    if (allReported)
+        choice.rule = lacksAcknowledged ? ChoiceRule::AcknowledgedMissing : ChoiceRule::AllReported;
+    else if (holdsAllAcknowledged && !lacksAcknowledged && state.waited >= reportWindow)
+        choice.rule = ChoiceRule::HoldsAllAcknowledged;
+    if (choice.rule == ChoiceRule::AllReported || choice.rule == ChoiceRule::HoldsAllAcknowledged)
         choice.server = best->server;
     return choice;
 }
--- a/src/decision/replicachoice.h
+++ b/src/decision/replicachoice.h
@@ -17,14 +17,14 @@
     std::string endpoint;
     // What it held once it had been stopped from receiving, by this owner and in this change;
     // nothing as long as it has not said so.
-    std::optional<Position> held;
-    bool isLastLeader = false;
+    std::optional<Position> heldPosition;
+    bool isLastPrimary = false;
     // Leaving, or it has failed as a candidate: taken only if no other holds as much.
-    bool avoided = false;
+    bool deprioritised = false;
 };
 
 // What is known when a primary has been lost and the next one is chosen.
-struct ChoiceState
+struct ReplicaChoiceInput
 {
     // All that may hold acknowledged commits.
     std::vector<ReplicaState> replicas;
@@ -36,7 +36,7 @@
     // server may show that term and not yet have received what it began with.
     Position termBegan;
     // What the last leader had taken over from the one before it, or more than that.
-    LogOffset inherited = 0;
+    LogOffset inheritedOffset = 0;
     // Since the replicas were first told to stop.
     Duration waited {0};
 };
@@ -44,24 +44,24 @@
 // Why a server was taken, or none.
 enum class ChoiceRule {
     // Everything acknowledged that is not lost for good is in one of the logs that were compared.
-    AllHeard,
+    AllReported,
     // Some are unheard, and the one taken holds all that has been acknowledged.
-    HoldsAll,
+    HoldsAllAcknowledged,
     // Too few have said what they hold.
-    TooFewHeard,
+    TooFewReported,
     // What is known to have been acknowledged is in none of the logs that were compared.
     AcknowledgedMissing,
 };
 
-const char *ruleName(ChoiceRule rule);
+const char *choiceRuleName(ChoiceRule rule);
 
 struct ReplicaChoice
 {
-    ChoiceRule rule = ChoiceRule::TooFewHeard;
+    ChoiceRule rule = ChoiceRule::TooFewReported;
     // Empty unless the rule allows one.
     ServerName server;
     // The highest position that was compared.
-    std::optional<Position> held;
+    std::optional<Position> heldPosition;
 };
 
 // The replica to promote for a lost primary, so that no acknowledged commit is lost.
@@ -77,6 +77,6 @@
 //
 // Once another server is at the address of a missing one nobody waits for that: it has brought the
 // log, or the log is lost for good. With none left to wait for the highest is taken.
-ReplicaChoice chooseReplica(const ChoiceState &state);
+ReplicaChoice chooseReplica(const ReplicaChoiceInput &state);
 
 } // namespace kelptally::decision
--- a/src/decision/routing.cpp
+++ b/src/decision/routing.cpp
@@ -10,85 +10,87 @@
 
 // Longest time that a read waits for a replica to catch up before it asks the primary.
 // Chosen, not measured.
-constexpr Duration longestWait = 30ms;
+constexpr Duration maxReplicaWait = 30ms;
 // What a read at the primary must gain over a busy replica to be worth the primary's budget.
 // Chosen, not measured.
-constexpr Duration spillAfter = 50ms;
+constexpr Duration spillThreshold = 50ms;
 // A waiting read asks again at these intervals.
-constexpr Duration shortestRetry = 1ms;
-constexpr Duration longestRetry = 10ms;
+constexpr Duration minRetryDelay = 1ms;
+constexpr Duration maxRetryDelay = 10ms;
 // A replica not chosen for so long, or for so many times its service time, gets one read whatever
 // its old measurements say: at most 4% of its time goes to finding out that it is still slow.
-constexpr Duration remeasureAfter = 500ms;
+constexpr Duration remeasureInterval = 500ms;
 constexpr int remeasureFactor = 25;
 // Service time that is assumed where none has been measured. Chosen, not measured.
-constexpr Duration assumedService = 2ms;
+constexpr Duration defaultServiceTime = 2ms;
 // Slot time that the budget saves up, for each slot. Chosen, not measured.
 constexpr Duration budgetWindow = 100ms;
 
-bool takesReads(const ServerView &server)
+bool acceptsReads(const ServerView &server)
 {
     return server.reachable && !server.draining && server.slots > 0;
 }
 
-Duration serviceOf(const ServerView &server)
+Duration serviceTimeOf(const ServerView &server)
 {
-    return server.serviceTime > 0ns ? server.serviceTime : assumedService;
+    return server.serviceTime > 0ns ? server.serviceTime : defaultServiceTime;
 }
 
 const ServerView *findPrimary(const std::vector<ServerView> &servers)
 {
     for (const ServerView &server : servers) {
-        if (server.primary && takesReads(server))
+        if (server.primary && acceptsReads(server))
             return &server;
     }
     return nullptr;
 }
 
-const ServerView *quickest(const std::vector<const ServerView *> &servers)
+const ServerView *lowestLatency(const std::vector<const ServerView *> &servers)
 {
     const ServerView *best = nullptr;
     for (const ServerView *server : servers) {
-        if (best == nullptr || expectedFinish(*server) < expectedFinish(*best))
+        if (best == nullptr || expectedLatency(*server) < expectedLatency(*best))
             best = server;
     }
     return best;
 }
 
-bool reachesPosition(const ServerView &replica, const ReadNeeds &needs)
+bool reachesPosition(const ServerView &replica, const ReadRequirements &requirements)
 {
-    return !needs.sessionPosition
-        || (replica.applied && *needs.sessionPosition <= *replica.applied);
+    return !requirements.sessionPosition
+        || (replica.applied && *requirements.sessionPosition <= *replica.applied);
 }
 
 // Time until the replica is expected to qualify; nothing when that can't be said.
-std::optional<Duration> expectedCatchUp(const ServerView &replica, const ReadNeeds &needs)
+std::optional<Duration> expectedCatchUp(const ServerView &replica,
+                                        const ReadRequirements &requirements)
 {
-    if (!takesReads(replica) || replica.primary || !replica.applied)
+    if (!acceptsReads(replica) || replica.primary || !replica.applied)
         return std::nullopt;
     // With this lag even a new sample would not make it fresh enough.
-    if (needs.statedAge && replica.lag + serviceOf(replica) > *needs.statedAge)
+    if (requirements.statedAge && replica.lag + serviceTimeOf(replica) > *requirements.statedAge)
         return std::nullopt;
-    return std::max(shortestRetry, replica.lag);
+    return std::max(minRetryDelay, replica.lag);
 }
 
 // Why no replica qualifies.
-PrimaryCause causeOf(const std::vector<ServerView> &servers, const ReadNeeds &needs)
+PrimaryCause noReplicaCause(const std::vector<ServerView> &servers,
+                            const ReadRequirements &requirements)
 {
     bool anyReplica = false;
     bool anyAtPosition = false;
     for (const ServerView &server : servers) {
-        if (server.primary || !takesReads(server))
+        if (server.primary || !acceptsReads(server))
             continue;
         anyReplica = true;
-        anyAtPosition = anyAtPosition || reachesPosition(server, needs);
+        anyAtPosition = anyAtPosition || reachesPosition(server, requirements);
     }
     if (!anyReplica)
         return PrimaryCause::NoReplica;
     return anyAtPosition ? PrimaryCause::StatedAge : PrimaryCause::SessionPosition;
 }
 
-Reason refusalOf(PrimaryCause cause)
+Reason refusalReason(PrimaryCause cause)
 {
     switch (cause) {
     case PrimaryCause::SessionPosition:
@@ -100,7 +102,7 @@
     }
 }
 
-Route toServer(const ServerView &server, PrimaryCause cause)
+Route serverRoute(const ServerView &server, PrimaryCause cause)
 {
     Route route;
     route.kind = RouteKind::Server;
@@ -109,16 +111,16 @@
     return route;
 }
 
-Route waitFor(Duration time, PrimaryCause cause)
+Route waitRoute(Duration time, PrimaryCause cause)
 {
     Route route;
     route.kind = RouteKind::Wait;
-    route.retryIn = std::clamp(time, shortestRetry, longestRetry);
+    route.retryIn = std::clamp(time, minRetryDelay, maxRetryDelay);
     route.cause = cause;
     return route;
 }
 
-Route refuse(Reason reason, PrimaryCause cause, Duration retryIn)
+Route refusalRoute(Reason reason, PrimaryCause cause, Duration retryIn)
 {
     Route route;
     route.kind = RouteKind::Refuse;
@@ -135,7 +137,7 @@
     switch (cause) {
     case PrimaryCause::None:
         return "none";
-    case PrimaryCause::NewestAsked:
+    case PrimaryCause::NewestRequested:
         return "newest_asked";
     case PrimaryCause::SessionPosition:
         return "session_position";
@@ -149,23 +151,23 @@
     return "unknown";
 }
 
-bool qualifies(const ServerView &replica, const ReadNeeds &needs)
+bool qualifies(const ServerView &replica, const ReadRequirements &requirements)
 {
-    if (replica.primary || !takesReads(replica) || !replica.applied)
+    if (replica.primary || !acceptsReads(replica) || !replica.applied)
         return false;
-    if (!reachesPosition(replica, needs))
+    if (!reachesPosition(replica, requirements))
         return false;
-    if (!needs.statedAge)
+    if (!requirements.statedAge)
         return replica.holdsNewest;
     // The data ages while the statement runs and its answer is under way to us.
-    return replica.age && *replica.age + serviceOf(replica) <= *needs.statedAge;
+    return replica.age && *replica.age + serviceTimeOf(replica) <= *requirements.statedAge;
 }
 
-Duration expectedFinish(const ServerView &server)
+Duration expectedLatency(const ServerView &server)
 {
-    const Duration service = serviceOf(server);
-    if (server.wait)
-        return service + *server.wait;
+    const Duration service = serviceTimeOf(server);
+    if (server.queueDelay)
+        return service + *server.queueDelay;
     const int ahead = server.busy + server.queued + 1 - server.slots;
     if (ahead <= 0 || server.slots <= 0)
         return service;
@@ -176,108 +178,112 @@
     : primaryReadPercent_(std::clamp(primaryReadPercent, 0, 100))
 { }
 
-Route Routing::routeRead(const ReadNeeds &needs, const std::vector<ServerView> &servers,
-                         Instant now)
+Route Routing::routeRead(const ReadRequirements &requirements,
+                         const std::vector<ServerView> &servers, Instant now)
 {
     const ServerView *primary = findPrimary(servers);
 
     // 1. Replicas that have the data.
-    std::vector<const ServerView *> fit;
+    std::vector<const ServerView *> qualified;
     for (const ServerView &server : servers) {
-        if (qualifies(server, needs))
-            fit.push_back(&server);
+        if (qualifies(server, requirements))
+            qualified.push_back(&server);
     }
-    if (const ServerView *due = dueForMeasurement(fit, now))
-        return toServer(*due, PrimaryCause::None);
-    if (const ServerView *replica = quickest(fit)) {
-        chosenAt_[replica->name] = now;
-        return routeToReplica(needs, *replica, primary, now);
+    if (const ServerView *due = dueForMeasurement(qualified, now))
+        return serverRoute(*due, PrimaryCause::None);
+    if (const ServerView *replica = lowestLatency(qualified)) {
+        lastChosenAt_[replica->name] = now;
+        return routeToReplica(requirements, *replica, primary, now);
     }
 
     // 2. The newest data is at the primary alone.
-    if (!needs.statedAge) {
+    if (!requirements.statedAge) {
         if (primary != nullptr)
-            return toServer(*primary, PrimaryCause::NewestAsked);
-        return refuse(Reason::NoPrimary, PrimaryCause::NewestAsked, longestRetry);
+            return serverRoute(*primary, PrimaryCause::NewestRequested);
+        return refusalRoute(Reason::NoPrimary, PrimaryCause::NewestRequested, maxRetryDelay);
     }
 
     // 3. No replica has the data.
-    return routeWithoutReplica(needs, servers, primary, causeOf(servers, needs), now);
+    return routeWithoutReplica(requirements, servers, primary,
+                               noReplicaCause(servers, requirements), now);
 }
 
 // The replica, unless it is so busy that the primary is worth its budget.
-Route Routing::routeToReplica(const ReadNeeds &needs, const ServerView &replica,
+Route Routing::routeToReplica(const ReadRequirements &requirements, const ServerView &replica,
                               const ServerView *primary, Instant now)
 {
-    const Duration finish = expectedFinish(replica);
-    const bool inTime = finish <= needs.deadlineIn;
+    const Duration finish = expectedLatency(replica);
+    const bool inTime = finish <= requirements.deadlineIn;
     if (primary != nullptr) {
-        const Duration primaryFinish = expectedFinish(*primary);
-        const bool worthIt =
-            primaryFinish + spillAfter < finish || (!inTime && primaryFinish <= needs.deadlineIn);
-        if (worthIt && takePrimaryBudget(*primary, now))
-            return toServer(*primary, PrimaryCause::ReplicasBusy);
+        const Duration primaryFinish = expectedLatency(*primary);
+        const bool worthSpilling = primaryFinish + spillThreshold < finish
+            || (!inTime && primaryFinish <= requirements.deadlineIn);
+        if (worthSpilling && takePrimaryBudget(*primary, now))
+            return serverRoute(*primary, PrimaryCause::ReplicasBusy);
     }
     if (inTime)
-        return toServer(replica, PrimaryCause::None);
-    return refuse(Reason::DeadlineTooShort, PrimaryCause::ReplicasBusy, finish - needs.deadlineIn);
+        return serverRoute(replica, PrimaryCause::None);
+    return refusalRoute(Reason::DeadlineTooShort, PrimaryCause::ReplicasBusy,
+                        finish - requirements.deadlineIn);
 }
 
 // A server that was slow once must not be shunned for ever: the one not chosen for long is.
-const ServerView *Routing::dueForMeasurement(const std::vector<const ServerView *> &fit,
+const ServerView *Routing::dueForMeasurement(const std::vector<const ServerView *> &qualified,
                                              Instant now)
 {
-    for (const ServerView *server : fit) {
-        const Instant chosen = chosenAt_.try_emplace(server->name, now).first->second;
-        const Duration pause = std::max(remeasureAfter, remeasureFactor * serviceOf(*server));
-        if (now - chosen >= pause && server->busy < server->slots) {
-            chosenAt_[server->name] = now;
+    for (const ServerView *server : qualified) {
+        const Instant chosen = lastChosenAt_.try_emplace(server->name, now).first->second;
+        const Duration interval =
+            std::max(remeasureInterval, remeasureFactor * serviceTimeOf(*server));
+        if (now - chosen >= interval && server->busy < server->slots) {
+            lastChosenAt_[server->name] = now;
             return server;
         }
     }
     return nullptr;
 }
 
-Route Routing::routeWithoutReplica(const ReadNeeds &needs, const std::vector<ServerView> &servers,
+Route Routing::routeWithoutReplica(const ReadRequirements &requirements,
+                                   const std::vector<ServerView> &servers,
                                    const ServerView *primary, PrimaryCause cause, Instant now)
 {
     std::optional<Duration> catchUp;
     for (const ServerView &server : servers) {
-        const auto time = expectedCatchUp(server, needs);
+        const auto time = expectedCatchUp(server, requirements);
         if (time && (!catchUp || *time < *catchUp))
             catchUp = time;
     }
-    const Duration service = primary != nullptr ? serviceOf(*primary) : assumedService;
-    const bool mayWait = catchUp && *catchUp + service <= needs.deadlineIn;
+    const Duration service = primary != nullptr ? serviceTimeOf(*primary) : defaultServiceTime;
+    const bool mayWait = catchUp && *catchUp + service <= requirements.deadlineIn;
 
     // 1. A short wait spares the primary.
-    if (mayWait && needs.waited + *catchUp <= longestWait)
-        return waitFor(*catchUp, cause);
+    if (mayWait && requirements.waited + *catchUp <= maxReplicaWait)
+        return waitRoute(*catchUp, cause);
 
     // 2. The primary, within its budget.
     if (primary != nullptr && takePrimaryBudget(*primary, now))
-        return toServer(*primary, cause);
+        return serverRoute(*primary, cause);
 
     // 3. A long wait, if the deadline allows it; else the exact reason.
     if (mayWait)
-        return waitFor(*catchUp, cause);
-    const Reason reason = primary != nullptr ? Reason::PrimaryBudgetSpent : refusalOf(cause);
-    return refuse(reason, cause, catchUp.value_or(budgetWindow));
+        return waitRoute(*catchUp, cause);
+    const Reason reason = primary != nullptr ? Reason::PrimaryBudgetSpent : refusalReason(cause);
+    return refusalRoute(reason, cause, catchUp.value_or(budgetWindow));
 }
 
 bool Routing::takePrimaryBudget(const ServerView &primary, Instant now)
 {
-    const Duration full = budgetWindow * primary.slots * primaryReadPercent_ / 100;
-    if (!countedAt_) {
-        countedAt_ = now;
-        budget_ = full;
+    const Duration capacity = budgetWindow * primary.slots * primaryReadPercent_ / 100;
+    if (!refilledAt_) {
+        refilledAt_ = now;
+        budget_ = capacity;
     }
-    const Duration elapsed = std::min(now - *countedAt_, budgetWindow);
-    budget_ = std::min(full, budget_ + elapsed * primary.slots * primaryReadPercent_ / 100);
-    countedAt_ = now;
+    const Duration elapsed = std::min(now - *refilledAt_, budgetWindow);
+    budget_ = std::min(capacity, budget_ + elapsed * primary.slots * primaryReadPercent_ / 100);
+    refilledAt_ = now;
     if (budget_ <= 0ns)
         return false;
-    budget_ -= serviceOf(primary);
+    budget_ -= serviceTimeOf(primary);
     return true;
 }
 
--- a/src/decision/routing.h
+++ b/src/decision/routing.h
@@ -25,7 +25,7 @@
     int queued = 0;
     // Expected wait there for the class and team of the request (see Admission::expectedWait);
     // nothing: worked out from the whole queue.
-    std::optional<Duration> wait;
+    std::optional<Duration> queueDelay;
     // Typical time of one statement there as the owner measures it: the way there and back is in
     // it, queue not counted. Zero: not measured yet.
     Duration serviceTime {0};
@@ -41,7 +41,7 @@
 };
 
 // What a read asks for.
-struct ReadNeeds
+struct ReadRequirements
 {
     // Nothing: the newest data.
     std::optional<Duration> statedAge;
@@ -53,17 +53,17 @@
 
 // Whether this replica may answer the read, as far as data goes. Asked again when the read leaves
 // the queue: the age may have grown since the choice.
-bool qualifies(const ServerView &replica, const ReadNeeds &needs);
+bool qualifies(const ServerView &replica, const ReadRequirements &requirements);
 
 // Expected time until a statement that joins this server's queue now is answered.
-Duration expectedFinish(const ServerView &server);
+Duration expectedLatency(const ServerView &server);
 
 // Why a read went to the primary or was refused; each has a counter.
 enum class PrimaryCause {
     // Served by a replica.
     None,
     // The caller asked for the newest data.
-    NewestAsked,
+    NewestRequested,
     // No replica has reached the session's position.
     SessionPosition,
     // No replica is within the stated age.
@@ -100,22 +100,25 @@
     explicit Routing(int primaryReadPercent);
 
     // The position has been checked against the history by the caller of this function.
-    Route routeRead(const ReadNeeds &needs, const std::vector<ServerView> &servers, Instant now);
+    Route routeRead(const ReadRequirements &requirements, const std::vector<ServerView> &servers,
+                    Instant now);
 
 private:
-    const ServerView *dueForMeasurement(const std::vector<const ServerView *> &fit, Instant now);
-    Route routeToReplica(const ReadNeeds &needs, const ServerView &replica,
+    const ServerView *dueForMeasurement(const std::vector<const ServerView *> &qualified,
+                                        Instant now);
+    Route routeToReplica(const ReadRequirements &requirements, const ServerView &replica,
                          const ServerView *primary, Instant now);
-    Route routeWithoutReplica(const ReadNeeds &needs, const std::vector<ServerView> &servers,
-                              const ServerView *primary, PrimaryCause cause, Instant now);
+    Route routeWithoutReplica(const ReadRequirements &requirements,
+                              const std::vector<ServerView> &servers, const ServerView *primary,
+                              PrimaryCause cause, Instant now);
     bool takePrimaryBudget(const ServerView &primary, Instant now);
 
     const int primaryReadPercent_;
     // Slot time that reads may still take from the primary, and when it was last counted up.
     Duration budget_ {0};
-    std::optional<Instant> countedAt_;
+    std::optional<Instant> refilledAt_;
     // When each server was chosen last, so that one that looks slow is measured again.
-    std::map<ServerName, Instant> chosenAt_;
+    std::map<ServerName, Instant> lastChosenAt_;
 };
 
 } // namespace kelptally::decision
--- a/src/decision/sessiontoken.cpp
+++ b/src/decision/sessiontoken.cpp
@@ -83,7 +83,7 @@
     std::string_view bytes_;
 };
 
-Mac macOf(std::string_view body, std::string_view key)
+Mac computeMac(std::string_view body, std::string_view key)
 {
     std::string input(macLabel);
     input.append(body);
@@ -112,7 +112,7 @@
     return text;
 }
 
-int sextetOf(char c)
+int decodeSextet(char c)
 {
     if (c >= 'A' && c <= 'Z')
         return c - 'A';
@@ -134,7 +134,7 @@
     std::uint32_t bits = 0;
     int count = 0;
     for (const char c : text) {
-        const int sextet = sextetOf(c);
+        const int sextet = decodeSextet(c);
         if (sextet < 0)
             return false;
         bits = (bits << 6) | static_cast<std::uint32_t>(sextet);
@@ -173,7 +173,7 @@
     return reader.readVarint(entry.position.term) && reader.readVarint(entry.position.offset);
 }
 
-absl::Status invalid(std::string_view why)
+absl::Status invalidToken(std::string_view why)
 {
     return absl::InvalidArgumentError(
         std::string("session token: ").append(why.data(), why.size()));
@@ -185,9 +185,9 @@
     unsigned char version = 0;
     std::uint64_t count = 0;
     if (!reader.readByte(version) || version != tokenVersion)
-        return invalid("unknown version");
+        return invalidToken("unknown version");
     if (!reader.readVarint(count))
-        return invalid("cut short");
+        return invalidToken("cut short");
     if (count > maxTokenGroups)
         return absl::ResourceExhaustedError("session token: too many database groups");
     std::vector<SessionPosition> positions;
@@ -195,18 +195,18 @@
     for (std::uint64_t i = 0; i < count; ++i) {
         SessionPosition entry;
         if (!readPosition(reader, entry))
-            return invalid("cut short");
+            return invalidToken("cut short");
         if (!positions.empty() && entry.group <= positions.back().group)
-            return invalid("database groups out of order");
+            return invalidToken("database groups out of order");
         positions.push_back(std::move(entry));
     }
     if (!reader.atEnd())
-        return invalid("bytes after the end");
+        return invalidToken("bytes after the end");
     return positions;
 }
 
 // Largest encoding that a group of this name may come to.
-std::size_t entryBytes(const GroupName &group)
+std::size_t maxEntryBytes(const GroupName &group)
 {
     return 2 + group.size() + 2 * maxVarintBytes;
 }
@@ -224,9 +224,9 @@
         return true;
     if (group.empty() || group.size() > maxGroupNameBytes || positions_.size() >= maxTokenGroups)
         return false;
-    std::size_t bytes = 1 + maxVarintBytes + macBytes + entryBytes(group);
+    std::size_t bytes = 1 + maxVarintBytes + macBytes + maxEntryBytes(group);
     for (const SessionPosition &entry : positions_)
-        bytes += entryBytes(entry.group);
+        bytes += maxEntryBytes(entry.group);
     return bytes <= maxRawBytes;
 }
 
@@ -248,7 +248,7 @@
 std::string SessionToken::seal(std::string_view key) const
 {
     std::string bytes = encodeBody(positions_);
-    const Mac mac = macOf(bytes, key);
+    const Mac mac = computeMac(bytes, key);
     bytes.append(mac.begin(), mac.end());
     return toBase64Url(bytes);
 }
@@ -264,13 +264,13 @@
     // 2. Text to bytes.
     std::string bytes;
     if (!fromBase64Url(text, bytes) || bytes.size() < macBytes + 2)
-        return invalid("not a token");
+        return invalidToken("not a token");
 
     // 3. Signature, compared in constant time, before anything in the body is believed.
     const std::string_view body(bytes.data(), bytes.size() - macBytes);
-    const Mac mac = macOf(body, key);
+    const Mac mac = computeMac(body, key);
     if (CRYPTO_memcmp(mac.data(), bytes.data() + body.size(), macBytes) != 0)
-        return invalid("wrong signature");
+        return invalidToken("wrong signature");
 
     // 4. Content.
     auto positions = decodeBody(body);
--- a/src/decision/transactions.cpp
+++ b/src/decision/transactions.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 // How long and how many ended transactions are remembered. Chosen, not measured.
-constexpr Duration rememberFor = 60s;
-constexpr std::size_t rememberMost = 4096;
+constexpr Duration endedRetention = 60s;
+constexpr std::size_t maxEndedTransactions = 4096;
 
 constexpr char separator = '~';
 constexpr std::string_view idPrefix = "t1";
@@ -57,7 +57,7 @@
     return field ? fromHex(*field) : std::nullopt;
 }
 
-bool sameSecret(std::uint64_t a, std::uint64_t b)
+bool secretsMatch(std::uint64_t a, std::uint64_t b)
 {
     return CRYPTO_memcmp(&a, &b, sizeof(a)) == 0;
 }
@@ -91,9 +91,9 @@
 }
 
 Transactions::Transactions(GroupName group, std::string owner, OwnerEpoch epoch, std::uint64_t seed,
-                           Duration idleLimit, std::size_t limit)
+                           Duration idleLimit, std::size_t maxOpen)
     : group_(std::move(group)), owner_(std::move(owner)), epoch_(epoch), seed_(seed),
-      idleLimit_(idleLimit), limit_(limit)
+      idleLimit_(idleLimit), maxOpen_(maxOpen)
 { }
 
 // A keyed digest, so that ids that a caller has seen tell nothing of the ids of others.
@@ -117,7 +117,7 @@
 
 std::optional<TransactionId> Transactions::begin(Instant now, const TeamName &team)
 {
-    if (open_.size() >= limit_)
+    if (open_.size() >= maxOpen_)
         return std::nullopt;
     const std::uint64_t number = ++lastNumber_;
     const std::uint64_t secret = secretOf(number);
@@ -125,37 +125,38 @@
     return idOf(number, secret);
 }
 
-bool Transactions::isOurs(const TransactionId &id) const
+bool Transactions::isFromThisOwner(const TransactionId &id) const
 {
     return id.group == group_ && id.owner == owner_ && id.epoch == epoch_;
 }
 
-const Transactions::Past *Transactions::findPast(const TransactionId &id) const
+const Transactions::EndedTransaction *Transactions::findEnded(const TransactionId &id) const
 {
-    const auto found = past_.find(id.number);
-    if (!isOurs(id) || found == past_.end() || !sameSecret(found->second.secret, id.secret))
+    const auto found = ended_.find(id.number);
+    if (!isFromThisOwner(id) || found == ended_.end()
+        || !secretsMatch(found->second.secret, id.secret))
         return nullptr;
     return &found->second;
 }
 
-Reason Transactions::whyGone(Instant now, const TransactionId &id) const
+Reason Transactions::rejectionReason(Instant now, const TransactionId &id) const
 {
     // What an earlier owner or epoch had open was rolled back with its connections.
     if (id.group == group_ && (id.epoch < epoch_ || (id.epoch == epoch_ && id.owner != owner_)))
         return Reason::TransactionEnded;
-    const Past *past = findPast(id);
-    if (past == nullptr || past->why == Reason::None || now - past->endedAt > rememberFor)
+    const EndedTransaction *ended = findEnded(id);
+    if (ended == nullptr || ended->reason == Reason::None || now - ended->endedAt > endedRetention)
         return Reason::UnknownTransaction;
-    return past->why;
+    return ended->reason;
 }
 
 Reason Transactions::enter(Instant now, const TransactionId &id, const TeamName &team)
 {
     const auto found = open_.find(id.number);
-    if (!isOurs(id) || found == open_.end())
-        return whyGone(now, id);
-    Open &transaction = found->second;
-    if (!sameSecret(transaction.secret, id.secret))
+    if (!isFromThisOwner(id) || found == open_.end())
+        return rejectionReason(now, id);
+    OpenTransaction &transaction = found->second;
+    if (!secretsMatch(transaction.secret, id.secret))
         return Reason::UnknownTransaction;
     if (transaction.team != team)
         return Reason::Forbidden;
@@ -169,40 +170,40 @@
 void Transactions::leave(Instant now, const TransactionId &id)
 {
     const auto found = open_.find(id.number);
-    if (!isOurs(id) || found == open_.end())
+    if (!isFromThisOwner(id) || found == open_.end())
         return;
     found->second.state = TransactionState::Idle;
     found->second.lastUsed = now;
 }
 
-void Transactions::end(Instant now, const TransactionId &id, Reason why)
+void Transactions::end(Instant now, const TransactionId &id, Reason reason)
 {
     const auto found = open_.find(id.number);
-    if (!isOurs(id) || found == open_.end())
+    if (!isFromThisOwner(id) || found == open_.end())
         return;
-    past_[id.number] = {found->second.secret, why, now};
-    pastOrder_.push_back(id.number);
+    ended_[id.number] = {found->second.secret, reason, now};
+    endedOrder_.push_back(id.number);
     open_.erase(found);
-    forgetOld(now);
+    evictEnded(now);
 }
 
-void Transactions::forgetOld(Instant now)
+void Transactions::evictEnded(Instant now)
 {
-    while (!pastOrder_.empty()) {
-        const auto oldest = past_.find(pastOrder_.front());
+    while (!endedOrder_.empty()) {
+        const auto oldest = ended_.find(endedOrder_.front());
         const bool keep =
-            past_.size() <= rememberMost && now - oldest->second.endedAt <= rememberFor;
+            ended_.size() <= maxEndedTransactions && now - oldest->second.endedAt <= endedRetention;
         if (keep)
             return;
-        past_.erase(oldest);
-        pastOrder_.pop_front();
+        ended_.erase(oldest);
+        endedOrder_.pop_front();
     }
 }
 
 bool Transactions::committed(const TransactionId &id) const
 {
-    const Past *past = findPast(id);
-    return past != nullptr && past->why == Reason::None;
+    const EndedTransaction *ended = findEnded(id);
+    return ended != nullptr && ended->reason == Reason::None;
 }
 
 std::vector<TransactionId> Transactions::expireIdle(Instant now)
--- a/src/decision/transactions.h
+++ b/src/decision/transactions.h
@@ -40,7 +40,7 @@
 {
 public:
     Transactions(GroupName group, std::string owner, OwnerEpoch epoch, std::uint64_t seed,
-                 Duration idleLimit, std::size_t limit);
+                 Duration idleLimit, std::size_t maxOpen);
 
     // Nothing when as many are open as may be.
     std::optional<TransactionId> begin(Instant now, const TeamName &team);
@@ -52,7 +52,7 @@
 
     // Ends it; the reason is told to later requests that name it for a while. Reason::None when its
     // commit was acknowledged.
-    void end(Instant now, const TransactionId &id, Reason why);
+    void end(Instant now, const TransactionId &id, Reason reason);
 
     // Whether it is remembered as committed, so that a repeated commit is answered as done. A
     // commit that finds it ended at another epoch is of unknown outcome: only the record of a key
@@ -66,38 +66,38 @@
     std::size_t openCount() const { return open_.size(); }
 
 private:
-    struct Open
+    struct OpenTransaction
     {
         TeamName team;
         std::uint64_t secret = 0;
         TransactionState state = TransactionState::Idle;
         Instant lastUsed;
     };
-    struct Past
+    struct EndedTransaction
     {
         std::uint64_t secret = 0;
-        Reason why = Reason::None;
+        Reason reason = Reason::None;
         Instant endedAt;
     };
 
-    bool isOurs(const TransactionId &id) const;
+    bool isFromThisOwner(const TransactionId &id) const;
     std::uint64_t secretOf(std::uint64_t number) const;
     TransactionId idOf(std::uint64_t number, std::uint64_t secret) const;
-    Reason whyGone(Instant now, const TransactionId &id) const;
-    const Past *findPast(const TransactionId &id) const;
-    void forgetOld(Instant now);
+    Reason rejectionReason(Instant now, const TransactionId &id) const;
+    const EndedTransaction *findEnded(const TransactionId &id) const;
+    void evictEnded(Instant now);
 
     const GroupName group_;
     const std::string owner_;
     const OwnerEpoch epoch_;
     const std::uint64_t seed_;
     const Duration idleLimit_;
-    const std::size_t limit_;
+    const std::size_t maxOpen_;
     std::uint64_t lastNumber_ = 0;
-    std::map<std::uint64_t, Open> open_;
-    std::map<std::uint64_t, Past> past_;
-    // Numbers of past_ in the order in which they ended.
-    std::deque<std::uint64_t> pastOrder_;
+    std::map<std::uint64_t, OpenTransaction> open_;
+    std::map<std::uint64_t, EndedTransaction> ended_;
+    // Numbers of ended_ in the order in which they ended.
+    std::deque<std::uint64_t> endedOrder_;
 };
 
 } // namespace kelptally::decision
--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -154,7 +154,8 @@
     GroupServer *chooseServer(const JobPtr &job, Instant now);
     GroupServer *chooseReader(const JobPtr &job, Instant now);
     bool hasLeft(const GroupServer &server, Instant now) const;
-    decision::ServerState stateOf(const GroupServer &server, const JobPtr &job, Instant now) const;
+    decision::ReadCandidate stateOf(const GroupServer &server, const JobPtr &job,
+                                    Instant now) const;
     void start(const JobPtr &job, GroupServer &server, const PooledConnectionPtr &connection);
     void sendBegin(const JobPtr &job);
     void sendStatement(const JobPtr &job);
--- a/src/group/grouprunnerchoice.cpp
+++ b/src/group/grouprunnerchoice.cpp
@@ -30,17 +30,17 @@
     return listed.leaving && decision::hasLeft(listed.leavingSince, serverLeaveTime_, now);
 }
 
-decision::ServerState GroupRunner::stateOf(const GroupServer &server, const JobPtr &job,
-                                           Instant now) const
+decision::ReadCandidate GroupRunner::stateOf(const GroupServer &server, const JobPtr &job,
+                                             Instant now) const
 {
-    decision::ServerState state;
+    decision::ReadCandidate state;
     state.primary = server.id() == keeper_.primary();
-    state.free = server.hasSlot() && now >= server.seen.busyUntil;
+    state.available = server.hasSlot() && now >= server.seen.busyUntil;
     state.reachable = !server.isUnreachable();
     state.leaving = server.listed().leaving;
-    state.left = hasLeft(server, now);
-    state.far = server.listed().zone != parts_.zone;
-    state.failed = job->avoid.count(server.id()) != 0;
+    state.departed = hasLeft(server, now);
+    state.inOtherZone = server.listed().zone != parts_.zone;
+    state.failedBefore = job->avoid.count(server.id()) != 0;
     const OrganisationName &organisation = job->statement.organisation;
     if (!organisation.empty() && !server.isHeldBy(organisation))
         state.openingCost = parts_.ways.openingCost;
@@ -55,14 +55,14 @@
 
 GroupServer *GroupRunner::chooseReader(const JobPtr &job, Instant now)
 {
-    decision::ReadBound bound;
+    decision::FreshnessRequirement bound;
     bound.newest = job->statement.rule == inner::ReadRule::Newest;
     bound.maxAge = job->statement.maxAge;
     if (job->statement.rule == inner::ReadRule::OwnWrites)
-        bound.own = job->statement.sessionPosition;
+        bound.ownWrites = job->statement.sessionPosition;
     job->needs = decision::positionNeeded(positions_, bound, job->waiting.arrived, now);
     std::vector<GroupServer *> servers;
-    std::vector<decision::ServerState> states;
+    std::vector<decision::ReadCandidate> states;
     for (const auto &[id, server] : servers_) {
         servers.push_back(server.get());
         states.push_back(stateOf(*server, job, now));
--- a/src/group/grouprunnerwork.cpp
+++ b/src/group/grouprunnerwork.cpp
@@ -354,7 +354,7 @@
     // What the entry needs for reads of its own.
     if (active_ && positions_.newest()) {
         done.logPosition = positions_.newest();
-        done.logAge = parts_.timers.now() - positions_.newestSent();
+        done.logAge = parts_.timers.now() - positions_.newestProbeTime();
     }
     const auto callback = std::move(job->callback);
     job->callback = nullptr;
--- a/src/group/nearreads.cpp
+++ b/src/group/nearreads.cpp
@@ -81,7 +81,7 @@
                                                   const inner::RunStatement &statement) const
 {
     const Instant now = parts_.timers.now();
-    const auto needed = group.positions.holdsAllUntil(now - statement.maxAge + ageMargin);
+    const auto needed = group.positions.positionCovering(now - statement.maxAge + ageMargin);
     const auto &own = statement.sessionPosition;
     if (needed && statement.rule == inner::ReadRule::OwnWrites && own && *needed < *own)
         return own;
--- a/src/group/primarychange.cpp
+++ b/src/group/primarychange.cpp
@@ -230,7 +230,7 @@
     if (choice.server.empty())
         return noteWaiting(choice, now);
     candidate_ = choice.server;
-    recordCandidate(decision::ruleName(choice.rule));
+    recordCandidate(decision::choiceRuleName(choice.rule));
 }
 
 // The candidate must hold what the others acknowledged before they stopped: the old primary's
--- a/src/group/primaryholders.cpp
+++ b/src/group/primaryholders.cpp
@@ -141,9 +141,9 @@
 // While one is chosen
 
 // All that may hold acknowledged commits count, not only those that the list names now.
-decision::ChoiceState PrimaryKeeper::choiceState(Instant now) const
+decision::ReplicaChoiceInput PrimaryKeeper::choiceState(Instant now) const
 {
-    decision::ChoiceState state;
+    decision::ReplicaChoiceInput state;
     state.acknowledgedAtLeast = surelyAcknowledged();
     if (knowsAll_)
         state.acknowledgedAtMost = acknowledgedAtMost_;
@@ -153,21 +153,21 @@
     const bool isRowsTerm = record != nullptr && record->term > term_;
     const Term term = isRowsTerm ? record->term : term_;
     const LogOffset began = isRowsTerm ? record->termBegan : termBegan_;
-    state.inherited = isRowsTerm ? record->firstHeld : firstHeld_;
+    state.inheritedOffset = isRowsTerm ? record->firstHeld : firstHeld_;
     // Where its beginning is not known, nothing was acknowledged in it before it was first seen.
-    state.termBegan = {term, began != 0 ? began : state.inherited};
+    state.termBegan = {term, began != 0 ? began : state.inheritedOffset};
     for (const decision::LogHolder &holder : holders_.all()) {
         decision::ReplicaState replica;
         replica.server = holder.server;
         replica.endpoint = holder.endpoint;
-        replica.isLastLeader = holder.server == oldPrimary_;
+        replica.isLastPrimary = holder.server == oldPrimary_;
         const auto report = stopped_.find(holder.server);
         const auto server = servers_.find(holder.server);
         if (report != stopped_.end() && server != servers_.end())
-            replica.held = report->second.received;
+            replica.heldPosition = report->second.received;
         // One that failed as a candidate still counts by its position: if it holds the most, it is
         // the one again.
-        replica.avoided = excluded_.count(holder.server) != 0
+        replica.deprioritised = excluded_.count(holder.server) != 0
             || (server != servers_.end() && server->second->listed().leaving);
         state.replicas.push_back(std::move(replica));
     }
@@ -182,13 +182,13 @@
         return;
     waitingNotedAt_ = now;
     // One that hears nobody is the one that is cut off, or all servers are.
-    if (choice.held)
+    if (choice.heldPosition)
         askForHearing();
     const auto known = surelyAcknowledged();
-    parts_.log.warning("promotion_waits", decision::ruleName(choice.rule))
+    parts_.log.warning("promotion_waits", decision::choiceRuleName(choice.rule))
         .with("group", group_)
         .with("old_primary", oldPrimary_)
-        .with("held", choice.held ? positionText(*choice.held) : std::string("-"))
+        .with("held", choice.heldPosition ? positionText(*choice.heldPosition) : std::string("-"))
         .with("acknowledged", known ? positionText(*known) : std::string("-"))
         .with("unheard", unheard());
 }
--- a/src/group/primarykeeper.h
+++ b/src/group/primarykeeper.h
@@ -137,7 +137,7 @@
                    bool toldToStop);
     void chooseCandidate(Instant now);
     void chooseForPlannedChange();
-    decision::ChoiceState choiceState(Instant now) const;
+    decision::ReplicaChoiceInput choiceState(Instant now) const;
     std::optional<Position> surelyAcknowledged() const;
     void noteWaiting(const decision::ReplicaChoice &choice, Instant now);
     void askForHearing();
--- a/src/owner/groupservers.cpp
+++ b/src/owner/groupservers.cpp
@@ -165,7 +165,7 @@
     views(now);
     for (decision::ServerView &view : views_) {
         const decision::Admission &admission = servers_.at(view.name).lane->admission();
-        view.wait = admission.expectedWait(requestClass, team);
+        view.queueDelay = admission.expectedWait(requestClass, team);
     }
     return views_;
 }
--- a/src/owner/readrunner.cpp
+++ b/src/owner/readrunner.cpp
@@ -27,7 +27,7 @@
 struct ReadRunner::Read
 {
     RequestPtr request;
-    decision::ReadNeeds needs;
+    decision::ReadRequirements needs;
     int attempts = 0;
     bool queued = false;
     TimerId timer = 0;
--- a/tests/decision/confirmation_test.cpp
+++ b/tests/decision/confirmation_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-ServerReport holding(Term term, LogOffset offset)
+ServerReport reportAt(Term term, LogOffset offset)
 {
     ServerReport report;
     report.term = term;
@@ -24,10 +24,10 @@
     confirmation.add(1, {7, 10});
     confirmation.add(2, {7, 12});
     CHECK(confirmation.waiting());
-    CHECK(confirmation.onReport("r1", holding(7, 9)).empty());
-    CHECK(confirmation.onReport("r2", holding(7, 11)) == std::vector<WriteId> {1});
+    CHECK(confirmation.onReport("r1", reportAt(7, 9)).empty());
+    CHECK(confirmation.onReport("r2", reportAt(7, 11)) == std::vector<WriteId> {1});
     CHECK(confirmation.confirmed() == Position {7, 11});
-    CHECK(confirmation.onReport("r1", holding(7, 12)) == std::vector<WriteId> {2});
+    CHECK(confirmation.onReport("r1", reportAt(7, 12)) == std::vector<WriteId> {2});
     CHECK_FALSE(confirmation.waiting());
 }
 
@@ -36,9 +36,9 @@
     Confirmation confirmation;
     confirmation.onTerm(7, 5);
     confirmation.add(1, {7, 10});
-    CHECK(confirmation.onReport("r1", holding(7, 10)).empty());
-    CHECK(confirmation.onReport("r1", holding(7, 20)).empty());
-    CHECK(confirmation.onReport("r2", holding(7, 10)) == std::vector<WriteId> {1});
+    CHECK(confirmation.onReport("r1", reportAt(7, 10)).empty());
+    CHECK(confirmation.onReport("r1", reportAt(7, 20)).empty());
+    CHECK(confirmation.onReport("r2", reportAt(7, 10)) == std::vector<WriteId> {1});
 }
 
 TEST_CASE("Reports of another term confirm nothing", "[confirmation]")
@@ -46,10 +46,10 @@
     Confirmation confirmation;
     confirmation.onTerm(7, 3);
     confirmation.add(1, {7, 10});
-    CHECK(confirmation.onReport("r1", holding(6, 50)).empty());
-    CHECK(confirmation.onReport("r1", holding(8, 50)).empty());
+    CHECK(confirmation.onReport("r1", reportAt(6, 50)).empty());
+    CHECK(confirmation.onReport("r1", reportAt(8, 50)).empty());
     // Prepared for the term, but its log is still that of an older one.
-    ServerReport divergent = holding(6, 50);
+    ServerReport divergent = reportAt(6, 50);
     divergent.term = 7;
     CHECK(confirmation.onReport("r1", divergent).empty());
 }
@@ -58,13 +58,13 @@
 {
     Confirmation confirmation;
     confirmation.onTerm(7, 3);
-    confirmation.onReport("r1", holding(7, 8));
+    confirmation.onReport("r1", reportAt(7, 8));
     confirmation.add(1, {7, 10});
     confirmation.add(2, {7, 11});
     CHECK(confirmation.onTerm(7, 3).empty());
     CHECK(confirmation.onTerm(8, 3) == std::vector<WriteId> {1, 2});
     confirmation.add(3, {8, 5});
-    CHECK(confirmation.onReport("r1", holding(8, 4)).empty());
+    CHECK(confirmation.onReport("r1", reportAt(8, 4)).empty());
 }
 
 TEST_CASE("The primary's own report counts for nothing", "[confirmation]")
@@ -72,7 +72,7 @@
     Confirmation confirmation;
     confirmation.onTerm(7, 3);
     confirmation.add(1, {7, 10});
-    ServerReport primary = holding(7, 10);
+    ServerReport primary = reportAt(7, 10);
     primary.isPrimary = true;
     CHECK(confirmation.onReport("p", primary).empty());
 }
--- a/tests/decision/positionrouting_test.cpp
+++ b/tests/decision/positionrouting_test.cpp
@@ -11,7 +11,7 @@
 const Instant start = Instant(100s);
 
 // The primary showed position n at start + n * 10 ms.
-PositionLog shownLog()
+PositionLog sampledLog()
 {
     PositionLog log;
     for (std::uint64_t n = 1; n <= 100; ++n)
@@ -19,10 +19,10 @@
     return log;
 }
 
-ServerState replica(std::uint64_t shown, Instant at)
+ReadCandidate replica(std::uint64_t shown, Instant at)
 {
-    ServerState state;
-    state.free = true;
+    ReadCandidate state;
+    state.available = true;
     state.reachable = true;
     state.slots = 2;
     state.shown = Position {1, shown};
@@ -30,9 +30,9 @@
     return state;
 }
 
-ServerState primary()
+ReadCandidate primary()
 {
-    ServerState state = replica(100, start + 2s);
+    ReadCandidate state = replica(100, start + 2s);
     state.primary = true;
     return state;
 }
@@ -41,9 +41,9 @@
 
 TEST_CASE("A read names the position that its rule asks for")
 {
-    const PositionLog log = shownLog();
+    const PositionLog log = sampledLog();
     const Instant now = start + 2s;
-    ReadBound bound;
+    FreshnessRequirement bound;
     bound.newest = true;
     CHECK(positionNeeded(log, bound, now, now) == log.newest());
     bound.newest = false;
@@ -52,8 +52,8 @@
     REQUIRE(aged);
     CHECK(Position {1, 49} < *aged);
     CHECK(*aged < *log.newest());
-    bound.own = Position {1, 90};
-    CHECK(positionNeeded(log, bound, now, now) == bound.own);
+    bound.ownWrites = Position {1, 90};
+    CHECK(positionNeeded(log, bound, now, now) == bound.ownWrites);
     // Nothing was asked since: only the primary is known to be right.
     bound.maxAge = Duration(0);
     CHECK_FALSE(positionNeeded(log, bound, now + 1s, now + 1s));
@@ -61,9 +61,9 @@
 
 TEST_CASE("Replicas that hold the position go before the primary, until they are busier")
 {
-    const PositionLog log = shownLog();
+    const PositionLog log = sampledLog();
     const Instant now = start + 2s;
-    std::vector<ServerState> servers {primary(), replica(60, now), replica(60, now)};
+    std::vector<ReadCandidate> servers {primary(), replica(60, now), replica(60, now)};
     CHECK(chooseReader(servers, log, Position {1, 50}, false, now) == 1u);
     servers[1].inFlight = 1;
     CHECK(chooseReader(servers, log, Position {1, 50}, false, now) == 2u);
@@ -74,23 +74,23 @@
 // Two of three servers lag by seconds: what they cannot hold goes to the primary at once.
 TEST_CASE("A lagging replica takes only what it holds")
 {
-    const PositionLog log = shownLog();
+    const PositionLog log = sampledLog();
     const Instant now = start + 2s;
-    std::vector<ServerState> servers {primary(), replica(10, now), replica(10, now)};
-    for (ServerState &server : servers)
+    std::vector<ReadCandidate> servers {primary(), replica(10, now), replica(10, now)};
+    for (ReadCandidate &server : servers)
         server.lag = server.primary ? Duration(0) : 3s;
     CHECK(chooseReader(servers, log, Position {1, 90}, false, now) == 0u);
     CHECK(chooseReader(servers, log, Position {1, 9}, false, now) != 0u);
     // Without a free slot there it waits.
-    servers[0].free = false;
+    servers[0].available = false;
     CHECK_FALSE(chooseReader(servers, log, Position {1, 90}, false, now));
 }
 
 TEST_CASE("A replica that has shown nothing for a while is tried, but not right after a refusal")
 {
-    const PositionLog log = shownLog();
+    const PositionLog log = sampledLog();
     const Instant now = start + 2s;
-    std::vector<ServerState> servers {replica(10, now - 100ms)};
+    std::vector<ReadCandidate> servers {replica(10, now - 100ms)};
     CHECK(chooseReader(servers, log, Position {1, 90}, false, now) == 0u);
     servers[0].behindUntil = now + 10ms;
     CHECK_FALSE(chooseReader(servers, log, Position {1, 90}, false, now));
@@ -98,18 +98,18 @@
 
 TEST_CASE("Servers that leave, cannot be reached or have failed the read come last or not at all")
 {
-    const PositionLog log = shownLog();
+    const PositionLog log = sampledLog();
     const Instant now = start + 2s;
     const Position needed {1, 50};
-    std::vector<ServerState> servers {replica(60, now), replica(60, now)};
+    std::vector<ReadCandidate> servers {replica(60, now), replica(60, now)};
     servers[0].leaving = true;
     CHECK(chooseReader(servers, log, needed, false, now) == 1u);
     servers[1].leaving = true;
     CHECK(chooseReader(servers, log, needed, false, now) == 0u);
-    servers[0].left = true;
+    servers[0].departed = true;
     CHECK(chooseReader(servers, log, needed, false, now) == 1u);
     servers = {replica(60, now), replica(60, now)};
-    servers[0].failed = true;
+    servers[0].failedBefore = true;
     CHECK(chooseReader(servers, log, needed, false, now) == 1u);
     servers[1].reachable = false;
     CHECK(chooseReader(servers, log, needed, false, now) == 0u);
@@ -117,8 +117,8 @@
 
 TEST_CASE("A primary that is about to be replaced takes no reads")
 {
-    const PositionLog log = shownLog();
-    const std::vector<ServerState> servers {primary()};
+    const PositionLog log = sampledLog();
+    const std::vector<ReadCandidate> servers {primary()};
     CHECK(chooseReader(servers, log, std::nullopt, false, start + 2s) == 0u);
     CHECK_FALSE(chooseReader(servers, log, std::nullopt, true, start + 2s));
 }
--- a/tests/decision/routing_test.cpp
+++ b/tests/decision/routing_test.cpp
@@ -10,7 +10,7 @@
 
 const Instant start {1h};
 
-ServerView serverOf(const ServerName &name, bool primary)
+ServerView makeServer(const ServerName &name, bool primary)
 {
     ServerView view;
     view.name = name;
@@ -24,29 +24,29 @@
     return view;
 }
 
-std::vector<ServerView> group()
+std::vector<ServerView> makeGroup()
 {
-    return {serverOf("a", true), serverOf("b", false), serverOf("c", false)};
+    return {makeServer("a", true), makeServer("b", false), makeServer("c", false)};
 }
 
-ReadNeeds browse()
+ReadRequirements boundedRead()
 {
-    ReadNeeds needs;
-    needs.statedAge = 1s;
-    needs.deadlineIn = 500ms;
-    return needs;
+    ReadRequirements requirements;
+    requirements.statedAge = 1s;
+    requirements.deadlineIn = 500ms;
+    return requirements;
 }
 
 } // namespace
 
 TEST_CASE("a read with a stated age goes to the replica expected to answer first")
 {
-    auto servers = group();
+    auto servers = makeGroup();
     Routing routing(50);
     servers[1].busy = 3;
     servers[1].queued = 2;
     for (int i = 0; i < 10; ++i) {
-        const Route route = routing.routeRead(browse(), servers, start + i * 1ms);
+        const Route route = routing.routeRead(boundedRead(), servers, start + i * 1ms);
         CHECK(route.kind == RouteKind::Server);
         CHECK(route.server == "c");
         CHECK(route.cause == PrimaryCause::None);
@@ -54,18 +54,19 @@
     servers[1].queued = 0;
     servers[1].busy = 0;
     servers[2].serviceTime = 20ms;
-    CHECK(routing.routeRead(browse(), servers, start + 20ms).server == "b");
+    CHECK(routing.routeRead(boundedRead(), servers, start + 20ms).server == "b");
 }
 
 TEST_CASE("a replica that was slow is measured again now and then")
 {
     const auto timesChosen = [](Duration service) {
-        auto servers = group();
+        auto servers = makeGroup();
         servers[2].serviceTime = service;
         Routing routing(50);
         int chosen = 0;
         for (int i = 0; i < 10000; ++i)
-            chosen += routing.routeRead(browse(), servers, start + i * 1ms).server == "c" ? 1 : 0;
+            chosen +=
+                routing.routeRead(boundedRead(), servers, start + i * 1ms).server == "c" ? 1 : 0;
         return chosen;
     };
     // Each 500 ms, and each 2.5 s for one that may be fifty times as slow.
@@ -80,72 +81,72 @@
 
 TEST_CASE("the newest data comes from the primary unless a replica is proven equal")
 {
-    auto servers = group();
-    ReadNeeds needs;
-    needs.deadlineIn = 500ms;
+    auto servers = makeGroup();
+    ReadRequirements requirements;
+    requirements.deadlineIn = 500ms;
     Routing routing(0);
-    Route route = routing.routeRead(needs, servers, start);
+    Route route = routing.routeRead(requirements, servers, start);
     CHECK(route.server == "a");
-    CHECK(route.cause == PrimaryCause::NewestAsked);
+    CHECK(route.cause == PrimaryCause::NewestRequested);
     servers[2].holdsNewest = true;
-    CHECK(routing.routeRead(needs, servers, start).server == "c");
+    CHECK(routing.routeRead(requirements, servers, start).server == "c");
 
-    servers = group();
+    servers = makeGroup();
     servers[0].reachable = false;
-    route = routing.routeRead(needs, servers, start);
+    route = routing.routeRead(requirements, servers, start);
     CHECK(route.kind == RouteKind::Refuse);
     CHECK(route.reason == Reason::NoPrimary);
 }
 
 TEST_CASE("the stated age counts the statement's own time")
 {
-    auto servers = group();
-    ReadNeeds needs = browse();
-    needs.statedAge = 21ms;
-    CHECK_FALSE(qualifies(servers[1], needs));
-    needs.statedAge = 22ms;
-    CHECK(qualifies(servers[1], needs));
+    auto servers = makeGroup();
+    ReadRequirements requirements = boundedRead();
+    requirements.statedAge = 21ms;
+    CHECK_FALSE(qualifies(servers[1], requirements));
+    requirements.statedAge = 22ms;
+    CHECK(qualifies(servers[1], requirements));
     servers[1].age.reset();
-    CHECK_FALSE(qualifies(servers[1], needs));
-    servers[1] = serverOf("b", false);
+    CHECK_FALSE(qualifies(servers[1], requirements));
+    servers[1] = makeServer("b", false);
     servers[1].draining = true;
-    CHECK_FALSE(qualifies(servers[1], needs));
-    servers[1] = serverOf("b", false);
+    CHECK_FALSE(qualifies(servers[1], requirements));
+    servers[1] = makeServer("b", false);
     servers[1].applied.reset();
-    CHECK_FALSE(qualifies(servers[1], needs));
+    CHECK_FALSE(qualifies(servers[1], requirements));
 }
 
 TEST_CASE("a session's position is waited for a little, then read at the primary")
 {
-    auto servers = group();
-    ReadNeeds needs = browse();
-    needs.sessionPosition = Position {1, 101};
+    auto servers = makeGroup();
+    ReadRequirements requirements = boundedRead();
+    requirements.sessionPosition = Position {1, 101};
     Routing routing(50);
-    Route route = routing.routeRead(needs, servers, start);
+    Route route = routing.routeRead(requirements, servers, start);
     CHECK(route.kind == RouteKind::Wait);
     CHECK(route.retryIn == 5ms);
     CHECK(route.cause == PrimaryCause::SessionPosition);
 
-    needs.waited = 40ms;
-    route = routing.routeRead(needs, servers, start);
+    requirements.waited = 40ms;
+    route = routing.routeRead(requirements, servers, start);
     CHECK(route.server == "a");
     CHECK(route.cause == PrimaryCause::SessionPosition);
 
     // A replica of a newer term holds the older position.
     servers[1].applied = Position {2, 90};
-    CHECK(routing.routeRead(needs, servers, start).server == "b");
+    CHECK(routing.routeRead(requirements, servers, start).server == "b");
 }
 
 TEST_CASE("replicas far behind cost the primary its budget and no more")
 {
-    auto servers = group();
+    auto servers = makeGroup();
     servers[1].age = servers[2].age = 10s;
     servers[1].lag = servers[2].lag = 10s;
     Routing routing(50);
     int served = 0;
     int refused = 0;
     for (int i = 0; i < 10000; ++i) {
-        const Route route = routing.routeRead(browse(), servers, start + i * 100us);
+        const Route route = routing.routeRead(boundedRead(), servers, start + i * 100us);
         served += route.kind == RouteKind::Server ? 1 : 0;
         if (route.kind == RouteKind::Refuse) {
             ++refused;
@@ -162,74 +163,74 @@
 
 TEST_CASE("without a primary a refusal names what the replicas lack")
 {
-    auto servers = group();
+    auto servers = makeGroup();
     servers[0].reachable = false;
     Routing routing(50);
-    CHECK(routing.routeRead(browse(), servers, start).kind == RouteKind::Server);
+    CHECK(routing.routeRead(boundedRead(), servers, start).kind == RouteKind::Server);
 
     servers[1].age = servers[2].age = 2s;
     servers[1].lag = servers[2].lag = 2s;
-    CHECK(routing.routeRead(browse(), servers, start).reason == Reason::ReplicaTooStale);
+    CHECK(routing.routeRead(boundedRead(), servers, start).reason == Reason::ReplicaTooStale);
 
-    servers = group();
+    servers = makeGroup();
     servers[0].reachable = false;
-    ReadNeeds needs = browse();
-    needs.sessionPosition = Position {1, 200};
+    ReadRequirements requirements = boundedRead();
+    requirements.sessionPosition = Position {1, 200};
     servers[1].lag = servers[2].lag = 700ms;
-    CHECK(routing.routeRead(needs, servers, start).reason == Reason::PositionNotReached);
+    CHECK(routing.routeRead(requirements, servers, start).reason == Reason::PositionNotReached);
 
     servers[1].reachable = false;
     servers[2].draining = true;
-    const Route route = routing.routeRead(browse(), servers, start);
+    const Route route = routing.routeRead(boundedRead(), servers, start);
     CHECK(route.reason == Reason::NoPrimary);
     CHECK(route.cause == PrimaryCause::NoReplica);
 }
 
 TEST_CASE("busy replicas hand over to the primary only what gains much by it")
 {
-    auto servers = group();
+    auto servers = makeGroup();
     servers[1].busy = servers[2].busy = 3;
     servers[1].queued = servers[2].queued = 60;
     Routing routing(50);
-    CHECK(routing.routeRead(browse(), servers, start).server != "a");
+    CHECK(routing.routeRead(boundedRead(), servers, start).server != "a");
     servers[1].queued = servers[2].queued = 100;
-    Route route = routing.routeRead(browse(), servers, start);
+    Route route = routing.routeRead(boundedRead(), servers, start);
     CHECK(route.server == "a");
     CHECK(route.cause == PrimaryCause::ReplicasBusy);
 
     // The primary's budget bounds it; the rest goes on to the replicas.
     int atPrimary = 0;
     for (int i = 0; i < 1000; ++i)
-        atPrimary += routing.routeRead(browse(), servers, start).server == "a" ? 1 : 0;
+        atPrimary += routing.routeRead(boundedRead(), servers, start).server == "a" ? 1 : 0;
     CHECK(atPrimary >= 70);
     CHECK(atPrimary <= 76);
 }
 
 TEST_CASE("the wait of the request's own class and team goes before the length of the queue")
 {
-    auto servers = group();
+    auto servers = makeGroup();
     servers[1].busy = servers[2].busy = 3;
     servers[1].queued = servers[2].queued = 1000;
-    servers[1].wait = 1ms;
-    CHECK(expectedFinish(servers[1]) == 3ms);
+    servers[1].queueDelay = 1ms;
+    CHECK(expectedLatency(servers[1]) == 3ms);
     Routing routing(50);
-    CHECK(routing.routeRead(browse(), servers, start).server == "b");
+    CHECK(routing.routeRead(boundedRead(), servers, start).server == "b");
 }
 
 TEST_CASE("a read that no server can answer in time is refused as such")
 {
-    auto servers = group();
+    auto servers = makeGroup();
     servers[1].busy = servers[2].busy = 3;
     servers[1].queued = servers[2].queued = 30;
     Routing routing(50);
-    ReadNeeds needs = browse();
-    needs.deadlineIn = 20ms;
-    Route route = routing.routeRead(needs, servers, start);
+    ReadRequirements requirements = boundedRead();
+    requirements.deadlineIn = 20ms;
+    Route route = routing.routeRead(requirements, servers, start);
     CHECK(route.server == "a");
     CHECK(route.cause == PrimaryCause::ReplicasBusy);
     servers[0].busy = 3;
     servers[0].queued = 30;
-    route = routing.routeRead(needs, servers, start);
+    route = routing.routeRead(requirements, servers, start);
     CHECK(route.reason == Reason::DeadlineTooShort);
     CHECK(route.retryIn > 0ms);
 }
--- a/tests/group/serverlist_test.cpp
+++ b/tests/group/serverlist_test.cpp
@@ -176,20 +176,20 @@
 {
     decision::PositionLog log;
     const Instant start {};
-    CHECK(!log.holdsAllUntil(start));
+    CHECK(!log.positionCovering(start));
     log.add(start + 100ms, {1, 10});
     log.add(start + 200ms, {1, 20});
     log.add(start + 300ms, {1, 30});
-    CHECK(log.holdsAllUntil(start + 50ms) == Position {1, 10});
-    CHECK(log.holdsAllUntil(start + 100ms) == Position {1, 10});
-    CHECK(log.holdsAllUntil(start + 101ms) == Position {1, 20});
-    CHECK(log.holdsAllUntil(start + 300ms) == Position {1, 30});
-    CHECK(!log.holdsAllUntil(start + 301ms));
+    CHECK(log.positionCovering(start + 50ms) == Position {1, 10});
+    CHECK(log.positionCovering(start + 100ms) == Position {1, 10});
+    CHECK(log.positionCovering(start + 101ms) == Position {1, 20});
+    CHECK(log.positionCovering(start + 300ms) == Position {1, 30});
+    CHECK(!log.positionCovering(start + 301ms));
     // Late answers with less are no news; an earlier question answered with more is.
     log.add(start + 400ms, {1, 25});
     CHECK(log.newest() == Position {1, 30});
     log.add(start + 250ms, {1, 40});
-    CHECK(log.holdsAllUntil(start + 290ms) == Position {1, 40});
+    CHECK(log.positionCovering(start + 290ms) == Position {1, 40});
     CHECK(log.firstSeen({1, 20}) == start + 200ms);
     CHECK(!log.firstSeen({1, 41}));
     // A later term is more than any offset of an earlier one.
