--- a/src/decision/commitwatch.cpp
+++ b/src/decision/commitwatch.cpp
@@ -6,19 +6,18 @@
 
 namespace {
 
-// A commit takes some 5 to 25 ms with its confirmation, five times that at a slow server.
+// Must exceed the time until a commit is confirmed, also on a slow server.
 constexpr Duration stallTimeout = std::chrono::milliseconds(150);
-// One probe takes a slot for up to 220 ms, until its server is known not to run it: with these, two
-// slots keep three quarters of their time for reads.
+// Limits the slot time that hanging probes take from reads.
 constexpr Duration maxProbeInterval = std::chrono::milliseconds(400);
-// The first ones come sooner: a connection that has gone silent looks the same, and the next
-// commit, on another one, shows that nothing else hangs.
+// The first probe is sent early: if only one connection hangs, a commit on another connection ends
+// the stall.
 constexpr Duration initialProbeInterval = std::chrono::milliseconds(50);
-// The replicas are looked at after 250 ms, and those that were stopped receive again 20 ms later.
+// Leaves time to resume replication on stopped replicas before the primary is replaced.
 constexpr Duration replacementTimeout = std::chrono::milliseconds(700);
-// The last one has had its time, too.
+// Minimum time since the newest commit before the primary is replaced.
 constexpr Duration unansweredTimeout = std::chrono::milliseconds(150);
-// One lost answer, or two, are no stall.
+// Fewer lost answers than this do not justify a replacement.
 constexpr int minUnanswered = 3;
 
 } // namespace
@@ -40,7 +39,7 @@
     if (sentAt < newestAnsweredSentAt_)
         return;
     newestAnsweredSentAt_ = sentAt;
-    // Those sent later have not had their time yet.
+    // The answered commit was sent before the unanswered ones, which stay pending.
     if (!firstUnanswered_ || sentAt < *firstUnanswered_)
         return;
     if (lastSent_ <= sentAt) {
--- a/src/decision/commitwatch.h
+++ b/src/decision/commitwatch.h
@@ -6,37 +6,34 @@
 
 namespace kelptally::decision {
 
-// Whether a primary that confirms synchronously still has its commits acknowledged. One whose
-// replicas receive nothing answers reads and lets every commit hang: each takes a slot until it is
-// noticed, ends in doubt, and its caller may not repeat it.
-//
-// The load it answers: two slots, twenty writes a second, and no confirmation for seconds. Sent on
-// as usual, hanging commits take both slots from the reads, and all end in doubt. So once they are
-// seen to hang, a few go as probes and the rest wait unsent, where a refusal is true; and when they
-// go on hanging the primary is due to be replaced.
+// Detects a primary with synchronous replication whose commits hang because no replica confirms
+// them. Hanging commits occupy the slots that reads need, and their outcome is unknown. While
+// commits are stalled only a few are sent as probes, and the others wait unsent, where they can
+// still be refused safely. If the stall persists, the primary should be replaced.
 class CommitWatch
 {
 public:
-    // A commit that leaves something was sent.
+    // A commit with writes was sent.
     void sent(Instant now);
-    // One that was sent then was answered: what was sent before it and is still open is lost, not
-    // held up.
+    // The commit sent at this time was answered. Earlier commits that are still unanswered are
+    // treated as lost, not as stalled.
     void answered(Instant sentAt);
-    // Another primary, or the same one found anew.
+    // Forgets all commits; must be called when the primary changes or is found again.
     void reset();
 
     bool isStalled(Instant now) const;
-    // Whether another one may be sent: always, or as a probe.
+    // Returns whether another commit may be sent: always, or only as a probe during a stall.
     bool maySend(Instant now) const;
-    // Nothing has been acknowledged for so long, and of so many, that another primary should lead.
+    // Returns whether enough commits have gone unanswered for so long that the primary should be
+    // replaced.
     bool replacementDue(Instant now) const;
 
 private:
-    // Of those sent after the newest answered one: the first, the last, and how many.
+    // First, last and number of the commits sent after the newest answered one.
     std::optional<Instant> firstUnanswered_;
     Instant lastSent_ {};
     int unansweredCount_ = 0;
-    // From the last one to the next probe, while they hang.
+    // Interval between probes during a stall.
     Duration probeInterval_ {0};
     Instant newestAnsweredSentAt_ {};
 };
--- a/src/decision/confirmation.cpp
+++ b/src/decision/confirmation.cpp
@@ -29,8 +29,8 @@
 std::vector<WriteId> Confirmation::onReport(const ServerName &replica, const ServerReport &report)
 {
     std::vector<WriteId> confirmedWrites;
-    // A replica that has moved to another term, or whose newest record is of an older one, says
-    // nothing about this term's log: its records at these offsets may be others.
+    // A replica of another term, or whose newest record is of an older term, may hold different
+    // records at the same offsets.
     const bool holdsTerm = report.term == term_ && report.received.term == term_;
     if (holdsTerm && !report.isPrimary) {
         LogOffset &received = receivedOffsets_[replica];
@@ -52,7 +52,7 @@
 
 Position Confirmation::confirmed() const
 {
-    // The primary holds all of its own log; these replicas make it a majority.
+    // Replicas needed for a majority together with the primary.
     const std::size_t replicasNeeded = serverCount_ / 2;
     if (replicasNeeded == 0)
         return {term_, std::numeric_limits<LogOffset>::max()};
--- a/src/decision/confirmation.h
+++ b/src/decision/confirmation.h
@@ -13,29 +13,29 @@
 
 using WriteId = std::uint64_t;
 
-// Holds back the acknowledgement of committed writes until a majority of the group's servers (the
-// primary and enough replicas) holds them in the same term. All waiting writes share one probe for
-// each replica.
+// Tracks committed writes until a majority of the group's servers (the primary and enough replicas)
+// holds them in the same term and they may be acknowledged.
 class Confirmation
 {
 public:
     explicit Confirmation(bool requireMajority = true);
 
-    // A new primary; what waits for an older term is returned as unknown.
+    // Sets the current term and the size of the group. If the term is new, returns the pending
+    // writes of the previous one, whose outcome is unknown.
     std::vector<WriteId> onTerm(Term term, std::size_t serverCount);
 
-    // A write committed at the primary at this position, which is of the current term. In a group
-    // of one server, or without the majority rule, it is confirmed by the next report.
+    // Adds a write that the primary has committed at this position of the current term. In a group
+    // of one server, or without the majority rule, the next report confirms it.
     void add(WriteId write, Position position);
 
-    // A server's report; returns the writes that are confirmed by it. The primary's own counts for
-    // nothing: the primary holds its writes anyway.
+    // Processes a server's report and returns the writes that are now confirmed. A report of the
+    // primary does not count, since the primary is already part of the majority.
     std::vector<WriteId> onReport(const ServerName &replica, const ServerReport &report);
 
-    // Whether any write waits, so that replicas should be probed at once.
+    // Returns whether any write is pending, so that replicas should be probed at once.
     bool waiting() const;
 
-    // Newest position that a majority holds.
+    // Returns the newest position held by a majority.
     Position confirmed() const;
 
 private:
@@ -43,7 +43,7 @@
     Term term_ = 0;
     std::size_t serverCount_ = 0;
     std::multimap<LogOffset, WriteId> pendingWrites_;
-    // Newest offset of the current term that each replica has reported.
+    // Newest offset in the current term reported by each replica.
     std::map<ServerName, LogOffset> receivedOffsets_;
 };
 
--- a/src/decision/freshness.cpp
+++ b/src/decision/freshness.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// At one sample each 50 ms this covers 50 s in full detail, which is above the ages that callers
-// state; beyond that the older half is thinned. Chosen, not measured.
+// Bounds memory. Covers the ages that callers state at the usual sampling interval; beyond it the
+// older half is thinned.
 constexpr std::size_t maxSamples = 1024;
 
 } // namespace
@@ -17,8 +17,8 @@
     return !term_ || isInHistory(position, *term_, history_);
 }
 
-// A server may call the end of the old term's log by the new term before the new term's first
-// record; both names then stand for the same records.
+// Maps a position that carries a term but lies before that term's first record to the preceding
+// term. Servers may label the end of the old term's log with the new term.
 Position Freshness::normalized(Position position) const
 {
     for (std::size_t i = history_.size(); i > 1; --i) {
@@ -35,16 +35,16 @@
     if (!isUsable(position))
         return;
 
-    // 1. The place by time; answers may come out of order.
+    // 1. Find the insertion point by time; answers may arrive out of order.
     auto at = samples_.end();
     while (at != samples_.begin() && std::prev(at)->at > probeSent)
         --at;
 
-    // 2. A later sample that asks no more of a replica makes this one useless.
+    // 2. Skip this sample if a later one has the same or a lower position.
     if (at != samples_.end() && at->position <= position)
         return;
 
-    // 3. This one makes earlier samples useless that ask as much.
+    // 3. Insert it in place of earlier samples with the same or a higher position.
     auto first = at;
     while (first != samples_.begin() && position <= std::prev(first)->position)
         --first;
@@ -53,7 +53,7 @@
     if (samples_.size() > maxSamples)
         thinOldSamples();
 
-    // 4. Replicas that hold the position already are that much fresher.
+    // 4. Tighten the bounds of replicas that have already applied the position.
     for (auto &entry : replicas_) {
         ReplicaBound &bound = entry.second;
         if (position <= bound.applied && isUsable(bound.applied))
@@ -61,7 +61,7 @@
     }
 }
 
-// Drops every other sample of the older half: bounds then err towards older.
+// Drops every other sample of the older half. The remaining bounds can only become older.
 void Freshness::thinOldSamples()
 {
     std::deque<Sample> kept;
--- a/src/decision/freshness.h
+++ b/src/decision/freshness.h
@@ -11,36 +11,37 @@
 
 namespace kelptally::decision {
 
-// Bounds the age of each server's data without synchronised clocks: it keeps samples of (time,
-// primary's position), and a replica that has applied a sample's position is no older than the
-// sample.
+// Bounds the age of each replica's data without synchronised clocks. It samples the primary's
+// position over time; the data of a replica that has applied a sampled position is no older than
+// the sample.
 class Freshness
 {
 public:
-    // The primary had this position at some time after the probe was sent. Uses the send time, so
-    // that the bound errs towards older.
+    // Records the primary's position as answered to a probe. The send time of the probe is used, so
+    // that the age is never underestimated.
     void onPrimarySample(Instant probeSent, Position position);
 
-    // A replica had applied this position when it answered. A lower position than before (a rebuilt
-    // replica) lowers its bound.
+    // Records the position that a replica has applied. A lower position than before (a rebuilt
+    // replica) discards its previous bound.
     void onReplicaReport(const ServerName &replica, Position applied);
 
-    // After a failover: replicas keep their bounds only as far as the new history holds them.
+    // Starts a new term after a failover. Samples and bounds that are not part of the new history
+    // are dropped.
     void onNewTerm(Term term, const std::vector<TermStart> &history);
 
-    // Drops what is known of a server, as when its last connection is lost: it may come back with
-    // less than it had.
+    // Drops the state of a server, for example when its last connection is lost: it may come back
+    // with less data.
     void forget(const ServerName &server);
 
-    // Upper bound of the age of what a read at this replica sees, or nothing when unknown.
+    // Returns an upper bound on the age of the replica's data, or nothing if unknown.
     std::optional<Duration> age(const ServerName &replica, Instant now) const;
 
-    // How far the replica was behind the primary's newest sample when it reported last: about the
-    // time until it holds what is written now. Zero for one that had caught up.
+    // Returns how far the replica was behind the primary's newest sample at its last report; zero
+    // if it had caught up or if this is unknown.
     Duration lag(const ServerName &replica) const;
 
-    // Newest position that the replica is known to have applied; nothing when it is unknown or not
-    // part of the current history, so that nothing may be read there.
+    // Returns the newest position that the replica has applied, or nothing if it is unknown or not
+    // part of the current history; the replica must not serve reads then.
     std::optional<Position> applied(const ServerName &replica) const;
 
 private:
@@ -62,9 +63,9 @@
     void thinOldSamples();
     std::optional<Instant> asOf(Position applied) const;
 
-    // Ascending in time and in position, both strictly.
+    // Strictly ascending by both time and position.
     std::deque<Sample> samples_;
-    // Nothing until the first term is known: positions are then compared as they are.
+    // Not set until the first term is known; until then every position is usable.
     std::optional<Term> term_;
     std::vector<TermStart> history_;
     std::map<ServerName, ReplicaBound> replicas_;
--- a/src/decision/positionlog.cpp
+++ b/src/decision/positionlog.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Samples closer together than this tell a read nothing new: 1% of the shortest stated age in use.
+// Samples closer together than this are merged.
 constexpr Duration minSampleInterval = std::chrono::milliseconds(15);
-// Longer than any stated age that is served by replicas.
+// Must exceed every stated age that replicas serve.
 constexpr Duration retention = std::chrono::seconds(10);
 
 } // namespace
@@ -19,8 +19,7 @@
         Sample &last = samples_.back();
         if (position < last.position)
             return;
-        // An earlier question that was answered later with more: its position also holds what the
-        // later question's does.
+        // An earlier probe was answered later, with a position that also covers the later probe.
         if (sentAt <= last.sentAt) {
             last.position = position;
             return;
--- a/src/decision/positionlog.h
+++ b/src/decision/positionlog.h
@@ -8,28 +8,30 @@
 
 namespace kelptally::decision {
 
-// Positions that a group's primary has shown, each with the time at which the question was sent.
-// Everything acknowledged before that time is in the log at that position.
+// Log positions reported by a group's primary, each with the time at which the probe was sent. The
+// log up to a position contains every write acknowledged before its probe was sent.
 class PositionLog
 {
 public:
-    // Ignores a position below the newest one, as answers overtake each other.
+    // Adds a reported position. Ignores one below the newest, since answers may arrive out of
+    // order.
     void add(Instant sentAt, Position position);
 
-    // A position that holds everything acknowledged up to the instant; nothing when the primary has
-    // not been asked since.
+    // Returns a position that covers every write acknowledged up to the instant, or nothing if the
+    // primary has not been probed since.
     std::optional<Position> positionCovering(Instant instant) const;
 
-    // Highest position shown; nothing before the first.
+    // Returns the highest reported position, if any.
     std::optional<Position> newest() const;
-    // When the question was sent that was answered with it.
+    // Returns when the probe that reported the newest position was sent; Instant() if there is
+    // none.
     Instant newestProbeTime() const
     {
         return samples_.empty() ? Instant() : samples_.back().sentAt;
     }
 
-    // When a position of at least this one was first seen; nothing when it has not been, or long
-    // ago.
+    // Returns when the first known probe that reported this position or a higher one was sent, or
+    // nothing if there was none.
     std::optional<Instant> firstSeen(Position position) const;
 
     void clear() { samples_.clear(); }
@@ -41,7 +43,7 @@
         Position position;
     };
 
-    // Ascending in time; positions never fall.
+    // Ascending by time; positions never decrease.
     std::deque<Sample> samples_;
 };
 
--- a/src/decision/positionrouting.cpp
+++ b/src/decision/positionrouting.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 
-// A replica is guessed to hold a position this long after the primary showed it, on top of twice
-// its lag.
+// A replica is assumed to hold a position once twice its lag plus this margin has passed since the
+// primary reported the position.
 constexpr Duration catchUpMargin = std::chrono::milliseconds(5);
-// A replica that has shown nothing for this long is tried all the same: the refusal of one that is
-// behind costs no slot, and its lag may be over.
+// A replica whose last report is older than this is tried regardless of its position: it may have
+// caught up, and a refusal uses no slot.
 constexpr Duration maxReportAge = std::chrono::milliseconds(60);
+// Allows for statements in transit to a leaving server.
 constexpr Duration leaveMargin = std::chrono::milliseconds(500);
-// What makes a server the worse choice for a read, in percent of its slots: the primary alone can
-// write, another zone costs time and bytes, and one that has just failed the read may do so again.
+// Penalties in percent of a server's slots. They keep the primary free for writes, avoid traffic
+// between availability zones, and avoid servers on which the read has already failed.
 constexpr int primaryCost = 30;
 constexpr int otherZoneCost = 40;
 constexpr int priorFailureCost = 400;
@@ -51,8 +52,8 @@
     return needed && bound.ownWrites && *needed < *bound.ownWrites ? bound.ownWrites : needed;
 }
 
-// Any server whose log surely or probably holds the position; replicas go before the primary, which
-// alone can write.
+// Chooses the server of lowest cost among the primary and the replicas that probably hold the
+// position.
 std::optional<std::size_t> chooseReader(const std::vector<ReadCandidate> &servers,
                                         const PositionLog &positions,
                                         std::optional<Position> needed, bool writesPaused,
--- a/src/decision/positionrouting.h
+++ b/src/decision/positionrouting.h
@@ -7,63 +7,64 @@
 #include <optional>
 #include <vector>
 
-// Which server of a group a statement goes to, where servers show the positions of their logs and
-// refuse a read whose position they do not hold. So an estimate that is wrong costs a repeat, never
-// a stale answer.
+// Chooses the server of a group that runs a read. Servers report the positions of their logs and
+// refuse a read whose required position they do not hold, so a wrong estimate of a replica's
+// position costs a retry but never a stale answer.
 namespace kelptally::decision {
 
-// How fresh the data has to be that a read finds.
+// How fresh the data returned by a read must be.
 struct FreshnessRequirement
 {
-    // Everything acknowledged; else what was acknowledged before the stated age.
+    // Whether the read must see every acknowledged write. If not, it must see those acknowledged
+    // longer than maxAge ago.
     bool newest = false;
     Duration maxAge {0};
-    // And the caller's own writes.
+    // Position of the session's own writes, which the read must see as well.
     std::optional<Position> ownWrites;
 };
 
-// What is known of one server.
+// State of one server as a candidate for a read.
 struct ReadCandidate
 {
     bool primary = false;
-    // Has a free slot and has not just refused work.
+    // Whether it has a free slot and has not recently refused work.
     bool available = false;
     bool reachable = false;
     bool leaving = false;
-    // So long that nothing may reach it any more.
+    // It has been leaving for so long that no statement may be sent to it.
     bool departed = false;
     bool inOtherZone = false;
-    // It has failed the statement before.
+    // An earlier attempt of the statement failed on it.
     bool failedBefore = false;
-    // What speaks against it in percent of its slots, when a connection has to be opened for the
-    // statement.
+    // Penalty, in percent of its slots, if a connection must be opened for the statement.
     int openingCost = 0;
     int inFlight = 0;
     int slots = 1;
-    // Highest position that it has shown, and when.
+    // Highest position that it has reported, and when it last reported one.
     std::optional<Position> shown;
     Instant shownAt {};
-    // How far it was behind when it was last known.
+    // Replication lag at its last report.
     Duration lag {0};
-    // It has refused a read as too new for it; not asked again before.
+    // After refusing a read for a position it lacks, it gets no such read before this time.
     Instant behindUntil {};
 };
 
-// The position that makes a read right which arrived then; nothing when only the primary is known
-// to. Ages count from the arrival or from now, whichever is earlier.
+// Returns the position that a server must hold to serve the read, or nothing if only the primary is
+// known to be fresh enough. Ages are measured back from the read's arrival or now, whichever is
+// earlier.
 std::optional<Position> positionNeeded(const PositionLog &positions,
                                        const FreshnessRequirement &bound, Instant arrived,
                                        Instant now);
 
-// Index of the server that a read goes to; nothing when it has to wait. While writes are held the
-// primary is about to be replaced and takes no reads either.
+// Returns the index of the server that runs the read, or nothing if the read must wait.
+// writesPaused means that the primary is about to be replaced; it then gets no reads either.
 std::optional<std::size_t> chooseReader(const std::vector<ReadCandidate> &servers,
                                         const PositionLog &positions,
                                         std::optional<Position> needed, bool writesPaused,
                                         Instant now);
 
-// Whether a leaving server has had its time: before the one at which nothing may reach it, as the
-// way there takes time.
+// Returns whether a leaving server gets no more statements. True a short time before leaveTime has
+// passed, so that statements in transit arrive in time.
 bool hasLeft(Instant leavingSince, Duration leaveTime, Instant now);
 
 } // namespace kelptally::decision
--- a/src/decision/replicachoice.cpp
+++ b/src/decision/replicachoice.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// Replicas answer in 1 to 4 ms, and in 25 on a slow host; those that answer within this time are
-// compared even if one that holds everything has been heard already.
+// Minimum time to wait for reports before a replica is chosen while some are missing, so that
+// replicas that answer promptly are compared.
 constexpr Duration reportWindow = std::chrono::milliseconds(60);
 
-// What the replica surely holds: a position of a term whose beginning it lacks compares below every
-// position that is what it seems.
+// Returns the replica's position for comparison. If the replica reports the newest term without
+// having received the log up to the term's start, the position sorts below all valid ones.
 Position comparablePosition(const ReplicaState &replica, const ReplicaChoiceInput &state)
 {
     const Position heldPosition = *replica.heldPosition;
@@ -20,10 +20,10 @@
     return lacksTermStart ? Position {0, heldPosition.offset} : heldPosition;
 }
 
-// Of the holders whose logs are not among the compared ones.
+// Counts of the servers whose logs are not among the compared ones.
 struct UncomparedLogs
 {
-    // All of them, and those that may yet come back.
+    // All such servers, and those that may still report.
     int all = 0;
     int awaited = 0;
     bool hasLastPrimary = true;
@@ -66,7 +66,7 @@
 
 ReplicaChoice chooseReplica(const ReplicaChoiceInput &state)
 {
-    // 1. The highest position; of equals one that stays.
+    // 1. Find the highest position; among equals prefer one that is not deprioritised.
     const ReplicaState *best = nullptr;
     Position highest;
     for (const ReplicaState &replica : state.replicas) {
@@ -84,7 +84,7 @@
     if (best == nullptr)
         return choice;
     choice.heldPosition = best->heldPosition;
-    // 2. Whether it must hold everything that was acknowledged.
+    // 2. Decide whether it is certain to hold every acknowledged commit.
     const UncomparedLogs uncompared = countUncompared(state.replicas);
     const bool hasInherited = state.inheritedOffset <= best->heldPosition->offset;
     const bool allReported = !uncompared.hasLastPrimary || uncompared.awaited == 0
--- a/src/decision/replicachoice.h
+++ b/src/decision/replicachoice.h
@@ -8,48 +8,50 @@
 
 namespace kelptally::decision {
 
-// One server that may hold acknowledged commits, the last leader among them, as the owner knows it
+// A server that may hold acknowledged commits, including the last primary, as known to the owner
 // when the primary is lost.
 struct ReplicaState
 {
     ServerName server;
     // "ip:port"
     std::string endpoint;
-    // What it held once it had been stopped from receiving, by this owner and in this change;
-    // nothing as long as it has not said so.
+    // Position it reported after this owner had stopped its replication for this failover; not set
+    // until it reports.
     std::optional<Position> heldPosition;
     bool isLastPrimary = false;
-    // Leaving, or it has failed as a candidate: taken only if no other holds as much.
+    // The server is leaving or its promotion has failed before; chosen only if no other server
+    // holds as much.
     bool deprioritised = false;
 };
 
-// What is known when a primary has been lost and the next one is chosen.
+// Everything known about the group when a replica is chosen for promotion.
 struct ReplicaChoiceInput
 {
-    // All that may hold acknowledged commits.
+    // All servers that may hold acknowledged commits.
     std::vector<ReplicaState> replicas;
-    // Everything up to the first position has been acknowledged, as far as is known, and nothing
-    // above the second one; nothing when the one or the other is not known.
+    // Bounds on the newest acknowledged position: everything up to acknowledgedAtLeast and nothing
+    // above acknowledgedAtMost has been acknowledged. Not set if unknown.
     std::optional<Position> acknowledgedAtLeast;
     std::optional<Position> acknowledgedAtMost;
-    // Where the newest known term began: the last leader's position when it was promoted. A
-    // server may show that term and not yet have received what it began with.
+    // Start of the newest known term: the last primary's position when it was promoted. A server
+    // may report that term without having received the log up to its start.
     Position termBegan;
-    // What the last leader had taken over from the one before it, or more than that.
+    // Upper bound on the offset up to which the last primary inherited its log from its
+    // predecessor.
     LogOffset inheritedOffset = 0;
-    // Since the replicas were first told to stop.
+    // Time since replication was first stopped on the replicas.
     Duration waited {0};
 };
 
-// Why a server was taken, or none.
+// Why a server was chosen, or why none was.
 enum class ChoiceRule {
-    // Everything acknowledged that is not lost for good is in one of the logs that were compared.
+    // The compared logs contain every acknowledged commit that is not lost permanently.
     AllReported,
-    // Some are unheard, and the one taken holds all that has been acknowledged.
+    // Some servers have not reported, but the chosen one holds every acknowledged commit.
     HoldsAllAcknowledged,
-    // Too few have said what they hold.
+    // Too few servers have reported their positions.
     TooFewReported,
-    // What is known to have been acknowledged is in none of the logs that were compared.
+    // None of the compared logs contains every commit that is known to be acknowledged.
     AcknowledgedMissing,
 };
 
@@ -58,25 +60,27 @@
 struct ReplicaChoice
 {
     ChoiceRule rule = ChoiceRule::TooFewReported;
-    // Empty unless the rule allows one.
+    // Empty if no server may be promoted.
     ServerName server;
-    // The highest position that was compared.
+    // Position of the best server that reported, whether or not it was chosen.
     std::optional<Position> heldPosition;
 };
 
-// The replica to promote for a lost primary, so that no acknowledged commit is lost.
+// Chooses the replica to promote after the primary is lost, so that no acknowledged commit is lost.
+// Requires that replication is stopped on all replicas that report and that no other owner can
+// resume it, so that no further commits are acknowledged.
 //
-// Each acknowledged commit was in the leader's log and in one more, and no more are acknowledged
-// once all replicas have stopped and no other owner can let them receive again. So it is in one of
-// any logs that leave out one holder at most, and in the last leader's. The highest position of
-// such logs has it. With more missing the same follows only from knowing every acknowledgement. In
-// no case is a server taken that lacks one that is known.
+// Every acknowledged commit is in the log of the primary and of at least one replica. It is
+// therefore in the last primary's log, and in the highest of any set of logs that omits at most one
+// holder. If more logs are missing, a server is chosen only if it holds the upper bound of the
+// acknowledged position. A server that lacks a commit known to be acknowledged is never chosen.
 //
-// What the last leader took over from the one before it was in its log alone when its term began.
-// So without that log a replica is taken only if it reaches that far.
+// The log that the last primary had when its term began may be in its log alone. Without that log a
+// replica is chosen only if it reaches inheritedOffset.
 //
-// Once another server is at the address of a missing one nobody waits for that: it has brought the
-// log, or the log is lost for good. With none left to wait for the highest is taken.
+// A missing server is not waited for once another server reports from its address: that server
+// either has its log, or the log is lost permanently. If no missing server is left to wait for, the
+// highest log is chosen.
 ReplicaChoice chooseReplica(const ReplicaChoiceInput &state);
 
 } // namespace kelptally::decision
--- a/src/decision/routing.cpp
+++ b/src/decision/routing.cpp
@@ -8,22 +8,21 @@
 
 namespace {
 
-// Longest time that a read waits for a replica to catch up before it asks the primary.
-// Chosen, not measured.
+// Maximum time that a read waits for a replica to catch up before it goes to the primary.
 constexpr Duration maxReplicaWait = 30ms;
-// What a read at the primary must gain over a busy replica to be worth the primary's budget.
-// Chosen, not measured.
+// A read that a busy replica can answer in time goes to the primary only if it saves more than
+// this.
 constexpr Duration spillThreshold = 50ms;
-// A waiting read asks again at these intervals.
+// Bounds on the interval after which a waiting read is routed again.
 constexpr Duration minRetryDelay = 1ms;
 constexpr Duration maxRetryDelay = 10ms;
-// A replica not chosen for so long, or for so many times its service time, gets one read whatever
-// its old measurements say: at most 4% of its time goes to finding out that it is still slow.
+// A replica that has not been chosen for this long, and for this many times its service time, gets
+// one read to refresh its measurements. The factor bounds the time a slow replica spends on these.
 constexpr Duration remeasureInterval = 500ms;
 constexpr int remeasureFactor = 25;
-// Service time that is assumed where none has been measured. Chosen, not measured.
+// Assumed for a server whose service time has not been measured yet.
 constexpr Duration defaultServiceTime = 2ms;
-// Slot time that the budget saves up, for each slot. Chosen, not measured.
+// Period over which unused budget accumulates.
 constexpr Duration budgetWindow = 100ms;
 
 bool acceptsReads(const ServerView &server)
@@ -61,19 +60,19 @@
         || (replica.applied && *requirements.sessionPosition <= *replica.applied);
 }
 
-// Time until the replica is expected to qualify; nothing when that can't be said.
+// Returns the expected time until the replica qualifies, or nothing if it can't be estimated.
 std::optional<Duration> expectedCatchUp(const ServerView &replica,
                                         const ReadRequirements &requirements)
 {
     if (!acceptsReads(replica) || replica.primary || !replica.applied)
         return std::nullopt;
-    // With this lag even a new sample would not make it fresh enough.
+    // With this lag the data would exceed the stated age even right after a report.
     if (requirements.statedAge && replica.lag + serviceTimeOf(replica) > *requirements.statedAge)
         return std::nullopt;
     return std::max(minRetryDelay, replica.lag);
 }
 
-// Why no replica qualifies.
+// Returns why no replica qualifies.
 PrimaryCause noReplicaCause(const std::vector<ServerView> &servers,
                             const ReadRequirements &requirements)
 {
@@ -159,7 +158,7 @@
         return false;
     if (!requirements.statedAge)
         return replica.holdsNewest;
-    // The data ages while the statement runs and its answer is under way to us.
+    // The data ages further while the statement runs and its answer is in transit.
     return replica.age && *replica.age + serviceTimeOf(replica) <= *requirements.statedAge;
 }
 
@@ -183,7 +182,7 @@
 {
     const ServerView *primary = findPrimary(servers);
 
-    // 1. Replicas that have the data.
+    // 1. Use a replica that has the data.
     std::vector<const ServerView *> qualified;
     for (const ServerView &server : servers) {
         if (qualifies(server, requirements))
@@ -196,19 +195,20 @@
         return routeToReplica(requirements, *replica, primary, now);
     }
 
-    // 2. The newest data is at the primary alone.
+    // 2. Only the primary has the newest data.
     if (!requirements.statedAge) {
         if (primary != nullptr)
             return serverRoute(*primary, PrimaryCause::NewestRequested);
         return refusalRoute(Reason::NoPrimary, PrimaryCause::NewestRequested, maxRetryDelay);
     }
 
-    // 3. No replica has the data.
+    // 3. No replica has the data yet.
     return routeWithoutReplica(requirements, servers, primary,
                                noReplicaCause(servers, requirements), now);
 }
 
-// The replica, unless it is so busy that the primary is worth its budget.
+// Routes to the replica, or within the primary's budget to the primary if that is much faster or
+// only the primary meets the deadline.
 Route Routing::routeToReplica(const ReadRequirements &requirements, const ServerView &replica,
                               const ServerView *primary, Instant now)
 {
@@ -227,7 +227,8 @@
                         finish - requirements.deadlineIn);
 }
 
-// A server that was slow once must not be shunned for ever: the one not chosen for long is.
+// Returns a server that has not been chosen for a long time and has a free slot. Without this a
+// server that was slow once would never be measured, and so never be chosen, again.
 const ServerView *Routing::dueForMeasurement(const std::vector<const ServerView *> &qualified,
                                              Instant now)
 {
@@ -256,15 +257,15 @@
     const Duration service = primary != nullptr ? serviceTimeOf(*primary) : defaultServiceTime;
     const bool mayWait = catchUp && *catchUp + service <= requirements.deadlineIn;
 
-    // 1. A short wait spares the primary.
+    // 1. Wait briefly to save the primary's budget.
     if (mayWait && requirements.waited + *catchUp <= maxReplicaWait)
         return waitRoute(*catchUp, cause);
 
-    // 2. The primary, within its budget.
+    // 2. Use the primary within its budget.
     if (primary != nullptr && takePrimaryBudget(*primary, now))
         return serverRoute(*primary, cause);
 
-    // 3. A long wait, if the deadline allows it; else the exact reason.
+    // 3. Wait longer if the deadline allows it, otherwise refuse.
     if (mayWait)
         return waitRoute(*catchUp, cause);
     const Reason reason = primary != nullptr ? Reason::PrimaryBudgetSpent : refusalReason(cause);
--- a/src/decision/routing.h
+++ b/src/decision/routing.h
@@ -12,7 +12,7 @@
 
 namespace kelptally::decision {
 
-// What the router knows of one server at the moment of a choice.
+// State of one server of a group as seen by the routing of reads.
 struct ServerView
 {
     ServerName name;
@@ -23,54 +23,57 @@
     int slots = 0;
     int busy = 0;
     int queued = 0;
-    // Expected wait there for the class and team of the request (see Admission::expectedWait);
-    // nothing: worked out from the whole queue.
+    // Expected time in the server's queue for the request's class and team (see
+    // Admission::expectedWait); if not set, it is estimated from the length of the queue.
     std::optional<Duration> queueDelay;
-    // Typical time of one statement there as the owner measures it: the way there and back is in
-    // it, queue not counted. Zero: not measured yet.
+    // Typical time of one statement, including the network round trip but not the queue; zero until
+    // it has been measured.
     Duration serviceTime {0};
-    // Upper bound of its data's age; nothing: unknown.
+    // Upper bound on the age of the server's data; not set if unknown.
     std::optional<Duration> age;
-    // Newest position it has applied.
+    // Newest position that the server has applied.
     std::optional<Position> applied;
-    // Time until the replica is expected to reach a position just written; from its lag.
+    // Replication lag: expected time until the replica applies a position that is written now.
     Duration lag {0};
-    // Proven to hold every write that was acknowledged before now; such a replica may serve reads
-    // of the newest data too.
+    // Whether the replica is known to hold every write acknowledged so far, so that it can serve
+    // reads of the newest data.
     bool holdsNewest = false;
 };
 
-// What a read asks for.
+// Freshness and deadline that a read requires.
 struct ReadRequirements
 {
-    // Nothing: the newest data.
+    // Maximum age of the data that the caller accepts; not set if the newest data is required.
     std::optional<Duration> statedAge;
+    // Newest position that the session has seen.
     std::optional<Position> sessionPosition;
+    // Time left until the caller's deadline.
     Duration deadlineIn {0};
-    // How long it has waited for a replica already.
+    // Time that the read has already waited for a replica.
     Duration waited {0};
 };
 
-// Whether this replica may answer the read, as far as data goes. Asked again when the read leaves
-// the queue: the age may have grown since the choice.
+// Returns whether the replica's data is fresh enough for the read. Must be checked again when the
+// read leaves the queue, because the data has aged since the server was chosen.
 bool qualifies(const ServerView &replica, const ReadRequirements &requirements);
 
-// Expected time until a statement that joins this server's queue now is answered.
+// Estimates the time until a statement that joins the server's queue now is answered.
 Duration expectedLatency(const ServerView &server);
 
-// Why a read went to the primary or was refused; each has a counter.
+// Why a read went to the primary or was refused. Each value has its own counter.
 enum class PrimaryCause {
-    // Served by a replica.
+    // The read is served by a replica.
     None,
-    // The caller asked for the newest data.
+    // The caller requires the newest data.
     NewestRequested,
     // No replica has reached the session's position.
     SessionPosition,
-    // No replica is within the stated age.
+    // No replica's data is within the stated age.
     StatedAge,
-    // No replica is reachable or all are draining.
+    // Every replica is unreachable or draining.
     NoReplica,
-    // Replicas qualify but their queues are longer than the primary's by more than it costs.
+    // Replicas qualify but are too busy: the primary answers much sooner, or no replica meets the
+    // deadline.
     ReplicasBusy,
 };
 constexpr int primaryCauseCount = 6;
@@ -78,7 +81,7 @@
 
 enum class RouteKind {
     Server,
-    // Wait for a replica to catch up, then ask again; at the latest after retryIn.
+    // Wait for a replica to catch up and route again after retryIn at the latest.
     Wait,
     Refuse,
 };
@@ -92,14 +95,16 @@
     Reason reason = Reason::None;
 };
 
-// Chooses where a read runs. Stateless but for the budget of reads that the primary takes in place
-// of replicas.
+// Chooses the server that runs a read. Keeps a token bucket that limits the reads sent to the
+// primary in place of replicas, and the time at which each server was last chosen.
 class Routing
 {
 public:
+    // primaryReadPercent: share of the primary's slot time available to reads that no replica can
+    // serve in time; clamped to 0..100.
     explicit Routing(int primaryReadPercent);
 
-    // The position has been checked against the history by the caller of this function.
+    // The caller must have checked that the session position is part of the current history.
     Route routeRead(const ReadRequirements &requirements, const std::vector<ServerView> &servers,
                     Instant now);
 
@@ -114,10 +119,11 @@
     bool takePrimaryBudget(const ServerView &primary, Instant now);
 
     const int primaryReadPercent_;
-    // Slot time that reads may still take from the primary, and when it was last counted up.
+    // Slot time of the primary that reads may still use, and when it was last refilled.
     Duration budget_ {0};
     std::optional<Instant> refilledAt_;
-    // When each server was chosen last, so that one that looks slow is measured again.
+    // When each server was last chosen, so that the service time of an unused one is measured
+    // again.
     std::map<ServerName, Instant> lastChosenAt_;
 };
 
--- a/src/decision/sessiontoken.cpp
+++ b/src/decision/sessiontoken.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t maxVarintBytes = 10;
 constexpr std::size_t maxGroupNameBytes = 255;
 constexpr std::size_t maxRawBytes = maxTokenBytes / 4 * 3;
-// Mixed into the MAC, so that a signature of another kind under the same key is no token.
+// Domain separation: a signature made for another purpose with the same key is not a valid token.
 constexpr std::string_view macLabel = "kelptally session token:";
 constexpr std::string_view alphabet =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
@@ -35,7 +35,7 @@
     out.push_back(static_cast<char>(value));
 }
 
-// Reads a body from front to back; nothing is read past its end.
+// Bounds-checked sequential reader.
 class Reader
 {
 public:
@@ -50,7 +50,7 @@
         return true;
     }
 
-    // Only the shortest encoding of a number is taken.
+    // Accepts only the shortest encoding of a number.
     bool readVarint(std::uint64_t &value)
     {
         value = 0;
@@ -125,7 +125,7 @@
     return c == '_' ? 63 : -1;
 }
 
-// Only the one text that toBase64Url() makes of the bytes is taken.
+// Accepts only the canonical text that toBase64Url() produces.
 bool fromBase64Url(std::string_view text, std::string &bytes)
 {
     if (text.size() % 4 == 1)
@@ -187,7 +187,7 @@
     if (!reader.readByte(version) || version != tokenVersion)
         return invalidToken("unknown version");
     if (!reader.readVarint(count))
-        return invalidToken("cut short");
+        return invalidToken("truncated");
     if (count > maxTokenGroups)
         return absl::ResourceExhaustedError("session token: too many database groups");
     std::vector<SessionPosition> positions;
@@ -195,17 +195,17 @@
     for (std::uint64_t i = 0; i < count; ++i) {
         SessionPosition entry;
         if (!readPosition(reader, entry))
-            return invalidToken("cut short");
+            return invalidToken("truncated");
         if (!positions.empty() && entry.group <= positions.back().group)
-            return invalidToken("database groups out of order");
+            return invalidToken("database groups not in ascending order");
         positions.push_back(std::move(entry));
     }
     if (!reader.atEnd())
-        return invalidToken("bytes after the end");
+        return invalidToken("trailing bytes");
     return positions;
 }
 
-// Largest encoding that a group of this name may come to.
+// Returns the maximum encoded size of an entry of this group.
 std::size_t maxEntryBytes(const GroupName &group)
 {
     return 2 + group.size() + 2 * maxVarintBytes;
@@ -255,24 +255,24 @@
 
 absl::StatusOr<SessionToken> SessionToken::open(std::string_view text, std::string_view key)
 {
-    // 1. A new session has no token yet; bounds come before any allocation.
+    // 1. Handle new sessions, and check the size before allocating.
     if (text.empty())
         return SessionToken();
     if (text.size() > maxTokenBytes)
         return absl::ResourceExhaustedError("session token: too long");
 
-    // 2. Text to bytes.
+    // 2. Decode the text.
     std::string bytes;
     if (!fromBase64Url(text, bytes) || bytes.size() < macBytes + 2)
-        return invalidToken("not a token");
+        return invalidToken("malformed encoding");
 
-    // 3. Signature, compared in constant time, before anything in the body is believed.
+    // 3. Verify the signature in constant time before parsing the body.
     const std::string_view body(bytes.data(), bytes.size() - macBytes);
     const Mac mac = computeMac(body, key);
     if (CRYPTO_memcmp(mac.data(), bytes.data() + body.size(), macBytes) != 0)
         return invalidToken("wrong signature");
 
-    // 4. Content.
+    // 4. Parse the body.
     auto positions = decodeBody(body);
     if (!positions.ok())
         return positions.status();
--- a/src/decision/sessiontoken.h
+++ b/src/decision/sessiontoken.h
@@ -13,35 +13,38 @@
 constexpr std::size_t maxTokenBytes = 4096;
 constexpr std::size_t maxTokenGroups = 64;
 
-// Newest position that a session has seen in one group.
+// Newest position that a session has seen in a group.
 struct SessionPosition
 {
     GroupName group;
     Position position;
 };
 
-// What a session has seen, by group.
+// Newest position that a session has seen in each group. Sealed into a signed text that the caller
+// sends back with its next request.
 class SessionToken
 {
 public:
-    // Whether a write to this group may still be recorded within the bounds of a token; asked
-    // before the write runs, since a token over a bound would be refused ever after.
+    // Returns whether the token can record a position of this group without exceeding its size
+    // limits. Must be checked before a write runs: an oversized token would be refused from then
+    // on.
     bool hasRoomFor(const GroupName &group) const;
 
-    // Raises the group's position; never lowers it.
+    // Raises the group's position to at least this one.
     void advance(const GroupName &group, Position position);
     const Position *find(const GroupName &group) const;
     const std::vector<SessionPosition> &positions() const { return positions_; }
 
-    // Opaque text for the caller: URL-safe, signed with the key.
+    // Returns the token as opaque, URL-safe text signed with the key.
     std::string seal(std::string_view key) const;
 
-    // InvalidArgument when altered, cut short or signed otherwise; ResourceExhausted when over a
-    // bound. An empty text is the token of a new session.
+    // Verifies and decodes the text. An empty text gives the token of a new session. Returns
+    // InvalidArgument if the text is malformed or its signature is wrong, ResourceExhausted if it
+    // exceeds a size limit.
     static absl::StatusOr<SessionToken> open(std::string_view text, std::string_view key);
 
 private:
-    // In ascending order of group.
+    // Sorted by group.
     std::vector<SessionPosition> positions_;
 };
 
--- a/src/decision/transactions.cpp
+++ b/src/decision/transactions.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// How long and how many ended transactions are remembered. Chosen, not measured.
+// Limits on the time and number of ended transactions that are remembered.
 constexpr Duration endedRetention = 60s;
 constexpr std::size_t maxEndedTransactions = 4096;
 
@@ -30,7 +30,7 @@
     return std::string(buffer.data(), end.ptr);
 }
 
-// Only the text that toHex() makes of the number is taken.
+// Accepts only the canonical form that toHex() produces.
 std::optional<std::uint64_t> fromHex(std::string_view text)
 {
     std::uint64_t value = 0;
@@ -40,7 +40,7 @@
     return value;
 }
 
-// Takes the text before the next separator off the front.
+// Removes and returns the text before the next separator.
 std::optional<std::string_view> takeField(std::string_view &text)
 {
     const std::size_t at = text.find(separator);
@@ -96,7 +96,7 @@
       idleLimit_(idleLimit), maxOpen_(maxOpen)
 { }
 
-// A keyed digest, so that ids that a caller has seen tell nothing of the ids of others.
+// Derived with a keyed digest, so that known ids reveal nothing about other ids.
 std::uint64_t Transactions::secretOf(std::uint64_t number) const
 {
     const std::string input = idOf(number, 0).toText();
@@ -141,7 +141,7 @@
 
 Reason Transactions::rejectionReason(Instant now, const TransactionId &id) const
 {
-    // What an earlier owner or epoch had open was rolled back with its connections.
+    // Transactions of earlier owners and epochs were rolled back when their connections closed.
     if (id.group == group_ && (id.epoch < epoch_ || (id.epoch == epoch_ && id.owner != owner_)))
         return Reason::TransactionEnded;
     const EndedTransaction *ended = findEnded(id);
--- a/src/decision/transactions.h
+++ b/src/decision/transactions.h
@@ -13,8 +13,8 @@
 
 namespace kelptally::decision {
 
-// Id of a transaction as callers see it. Names group, owner's address and epoch, so that any entry
-// finds the owner, and a random part that cannot be guessed.
+// Id of a transaction as given to callers. Contains the group and the owner's address and epoch, so
+// that any entry finds the owner, and a secret that callers cannot guess.
 struct TransactionId
 {
     GroupName group;
@@ -28,40 +28,43 @@
 };
 
 enum class TransactionState {
-    // Begun, no statement runs.
+    // Open with no step running.
     Idle,
-    // A statement, the commit or the rollback runs.
+    // A statement, commit or rollback is running.
     Busy,
     Ended,
 };
 
-// The open transactions of one group at its owner, each pinned to one connection by its number.
+// Tracks the transactions of one group at its owner. Open ones are limited in number and in idle
+// time; ended ones are remembered for a while to answer late requests.
 class Transactions
 {
 public:
     Transactions(GroupName group, std::string owner, OwnerEpoch epoch, std::uint64_t seed,
                  Duration idleLimit, std::size_t maxOpen);
 
-    // Nothing when as many are open as may be.
+    // Opens a transaction; returns nothing if the limit of open transactions is reached.
     std::optional<TransactionId> begin(Instant now, const TeamName &team);
 
-    // Claims the transaction for one step. Reason::None, or why not: unknown, ended (with the
-    // reason it ended for), busy, or another team's.
+    // Marks the transaction as busy for one step. Returns Reason::None, or the reason of refusal:
+    // unknown, busy, owned by another team, or the reason with which it ended.
     Reason enter(Instant now, const TransactionId &id, const TeamName &team);
+    // Ends the step; the transaction is idle from now on.
     void leave(Instant now, const TransactionId &id);
 
-    // Ends it; the reason is told to later requests that name it for a while. Reason::None when its
-    // commit was acknowledged.
+    // Ends the transaction. Later requests that name it are refused with the reason; Reason::None
+    // means that its commit was acknowledged.
     void end(Instant now, const TransactionId &id, Reason reason);
 
-    // Whether it is remembered as committed, so that a repeated commit is answered as done. A
-    // commit that finds it ended at another epoch is of unknown outcome: only the record of a key
-    // tells.
+    // Returns whether the transaction is known to have committed, so that a repeated commit is
+    // answered as done. The outcome of a commit in another epoch is known only from the record of
+    // its idempotency key.
     bool committed(const TransactionId &id) const;
 
-    // Those idle for too long, now ended with TransactionIdle: their connections are rolled back.
+    // Ends transactions that exceed the idle limit with Reason::TransactionIdle and returns them.
+    // The caller must roll back their connections.
     std::vector<TransactionId> expireIdle(Instant now);
-    // All open ones, as when the owner loses its lease or drains.
+    // Returns all open transactions.
     std::vector<TransactionId> open() const;
     std::size_t openCount() const { return open_.size(); }
 
@@ -96,7 +99,7 @@
     std::uint64_t lastNumber_ = 0;
     std::map<std::uint64_t, OpenTransaction> open_;
     std::map<std::uint64_t, EndedTransaction> ended_;
-    // Numbers of ended_ in the order in which they ended.
+    // Keys of ended_ from the oldest to the newest.
     std::deque<std::uint64_t> endedOrder_;
 };
 
--- a/tests/decision/commitwatch_test.cpp
+++ b/tests/decision/commitwatch_test.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE("Commits that are acknowledged are never held back")
+TEST_CASE("Acknowledged commits never cause a stall")
 {
     CommitWatch watch;
     for (int i = 0; i < 100; ++i) {
@@ -25,7 +25,7 @@
     }
 }
 
-TEST_CASE("A commit whose answer alone is lost holds nothing back once a later one is acknowledged")
+TEST_CASE("A lost answer causes no stall once a later commit is acknowledged")
 {
     CommitWatch watch;
     watch.sent(start);
@@ -36,7 +36,7 @@
     CHECK_FALSE(watch.replacementDue(start + 5s));
 }
 
-TEST_CASE("A lost answer is no reason to replace a primary that nobody writes to")
+TEST_CASE("Single lost answers do not replace a primary with few writes")
 {
     CommitWatch watch;
     watch.sent(start);
@@ -45,8 +45,7 @@
     CHECK_FALSE(watch.replacementDue(start + 20s));
 }
 
-// Twenty writes a second want to commit, and no replica receives anything.
-TEST_CASE("While commits hang only probes are sent, and the primary is due to be replaced")
+TEST_CASE("During a stall only probes are sent and the primary becomes due for replacement")
 {
     CommitWatch watch;
     int sent = 0;
@@ -60,15 +59,14 @@
         if (!due && watch.replacementDue(now))
             due = at;
     }
-    // Three before they are seen to hang, then some probes, the later ones 400 ms apart; all 60
-    // without the watch.
+    // Three commits before the stall is detected, then probes up to 400 ms apart.
     CHECK(sent <= 12);
     REQUIRE(due);
     CHECK(*due >= 700ms);
     CHECK(*due < 1s);
 }
 
-TEST_CASE("The first acknowledgement ends the stall")
+TEST_CASE("An acknowledgement ends the stall")
 {
     CommitWatch watch;
     watch.sent(start);
@@ -80,7 +78,7 @@
     CHECK_FALSE(watch.replacementDue(start + 2s));
 }
 
-TEST_CASE("What was sent after the acknowledged one counts from its own sending")
+TEST_CASE("The stall time of commits after the acknowledged one starts when they are sent")
 {
     CommitWatch watch;
     watch.sent(start);
@@ -91,7 +89,7 @@
     CHECK_FALSE(watch.replacementDue(start + 1100ms));
 }
 
-TEST_CASE("Another primary starts anew")
+TEST_CASE("reset() clears the stall")
 {
     CommitWatch watch;
     for (int i = 0; i < 5; ++i)
--- a/tests/decision/confirmation_test.cpp
+++ b/tests/decision/confirmation_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("A write is confirmed by the replica that makes a majority", "[confirmation]")
+TEST_CASE("A write is confirmed once a majority holds it", "[confirmation]")
 {
     Confirmation confirmation;
     confirmation.onTerm(7, 3);
@@ -31,7 +31,7 @@
     CHECK_FALSE(confirmation.waiting());
 }
 
-TEST_CASE("Five servers need two replicas", "[confirmation]")
+TEST_CASE("A group of five servers needs two replicas to confirm", "[confirmation]")
 {
     Confirmation confirmation;
     confirmation.onTerm(7, 5);
@@ -48,13 +48,13 @@
     confirmation.add(1, {7, 10});
     CHECK(confirmation.onReport("r1", reportAt(6, 50)).empty());
     CHECK(confirmation.onReport("r1", reportAt(8, 50)).empty());
-    // Prepared for the term, but its log is still that of an older one.
+    // The replica is in the term, but its newest record is of an older one.
     ServerReport divergent = reportAt(6, 50);
     divergent.term = 7;
     CHECK(confirmation.onReport("r1", divergent).empty());
 }
 
-TEST_CASE("A new term makes waiting writes unknown", "[confirmation]")
+TEST_CASE("A new term returns pending writes as unknown", "[confirmation]")
 {
     Confirmation confirmation;
     confirmation.onTerm(7, 3);
@@ -67,7 +67,7 @@
     CHECK(confirmation.onReport("r1", reportAt(8, 4)).empty());
 }
 
-TEST_CASE("The primary's own report counts for nothing", "[confirmation]")
+TEST_CASE("Reports of the primary confirm nothing", "[confirmation]")
 {
     Confirmation confirmation;
     confirmation.onTerm(7, 3);
--- a/tests/decision/freshness_test.cpp
+++ b/tests/decision/freshness_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("a replica is as old as the newest sample that it has reached")
+TEST_CASE("The age of a replica is that of the newest sample it has applied")
 {
     Freshness freshness;
     CHECK_FALSE(freshness.age("b", start));
@@ -32,7 +32,7 @@
     CHECK(freshness.applied("b") == Position {1, 20});
 }
 
-TEST_CASE("an idle primary keeps its replicas fresh, a silent one lets them age")
+TEST_CASE("Replicas stay fresh while an idle primary is sampled and age without samples")
 {
     Freshness freshness;
     freshness.onPrimarySample(at(0ms), {1, 10});
@@ -43,7 +43,7 @@
     CHECK(freshness.age("b", at(4s)) == 3s);
 }
 
-TEST_CASE("a replica that stops ages while the primary goes on")
+TEST_CASE("A replica that stops applying ages while the primary advances")
 {
     Freshness freshness;
     for (int i = 0; i < 10000; ++i) {
@@ -56,7 +56,7 @@
     CHECK(freshness.age("live", at(100s)) == 10ms);
 }
 
-TEST_CASE("lag is how far a replica was behind at its last report")
+TEST_CASE("Lag is the delay of a replica at its last report")
 {
     Freshness freshness;
     freshness.onPrimarySample(at(0ms), {1, 10});
@@ -70,7 +70,7 @@
     CHECK(freshness.lag("b") == 0ms);
 }
 
-TEST_CASE("thinned samples make a bound older, never younger")
+TEST_CASE("Thinning samples never underestimates the age")
 {
     Freshness freshness;
     constexpr int count = 5000;
@@ -84,7 +84,7 @@
     }
 }
 
-TEST_CASE("samples that arrive out of order give the same bounds")
+TEST_CASE("Samples that arrive out of order give the same bounds")
 {
     Freshness freshness;
     freshness.onPrimarySample(at(100ms), {1, 30});
@@ -95,7 +95,7 @@
     CHECK(freshness.age("b", at(100ms)) == 50ms);
 }
 
-TEST_CASE("a rebuilt replica that comes back with less is older again")
+TEST_CASE("A rebuilt replica that returns with a lower position is older again")
 {
     Freshness freshness;
     freshness.onPrimarySample(at(0ms), {1, 10});
@@ -108,7 +108,7 @@
     CHECK_FALSE(freshness.age("b", at(50ms)));
 }
 
-TEST_CASE("after a failover a replica ahead of the new history serves nothing")
+TEST_CASE("After a failover a replica ahead of the new history is not usable")
 {
     Freshness freshness;
     freshness.onNewTerm(1, {{1, 0}});
@@ -124,21 +124,21 @@
     CHECK(freshness.age("level", at(100ms)) == 50ms);
     CHECK(freshness.applied("level") == Position {1, 19});
 
-    // The old primary's records past the new term's start are no sample any more.
+    // Samples of the old primary past the start of the new term are dropped.
     freshness.onReplicaReport("level", {2, 20});
     CHECK(freshness.age("level", at(100ms)) == 50ms);
     freshness.onPrimarySample(at(90ms), {2, 20});
     CHECK(freshness.age("level", at(100ms)) == 10ms);
-    // A late answer of the old primary is ignored.
+    // Late answers of the old primary are ignored.
     freshness.onPrimarySample(at(99ms), {1, 26});
     CHECK(freshness.age("level", at(100ms)) == 10ms);
 
-    // Once it has followed the new primary it counts again.
+    // The replica is usable again once it follows the new primary.
     freshness.onReplicaReport("ahead", {2, 21});
     CHECK(freshness.age("ahead", at(100ms)) == 10ms);
 }
 
-TEST_CASE("a replica that follows an unknown newer term is not trusted")
+TEST_CASE("A replica of an unknown newer term is not usable")
 {
     Freshness freshness;
     freshness.onNewTerm(2, {{1, 0}, {2, 20}});
@@ -148,7 +148,7 @@
     CHECK_FALSE(freshness.applied("b"));
 }
 
-TEST_CASE("two failovers in a row keep only the common history")
+TEST_CASE("After two failovers only positions in the common history are usable")
 {
     Freshness freshness;
     freshness.onNewTerm(3, {{1, 0}, {2, 20}, {3, 30}});
@@ -163,7 +163,7 @@
     CHECK_FALSE(freshness.applied("e"));
 }
 
-TEST_CASE("the end of the old log, called by the new term, is reached by who holds it")
+TEST_CASE("The end of the old log labelled with the new term counts as the old term's position")
 {
     Freshness freshness;
     freshness.onNewTerm(2, {{1, 0}, {2, 20}});
--- a/tests/decision/positionrouting_test.cpp
+++ b/tests/decision/positionrouting_test.cpp
@@ -10,7 +10,7 @@
 
 const Instant start = Instant(100s);
 
-// The primary showed position n at start + n * 10 ms.
+// The primary reported position n at start + n * 20 ms.
 PositionLog sampledLog()
 {
     PositionLog log;
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("A read names the position that its rule asks for")
+TEST_CASE("The required position follows from the freshness requirement")
 {
     const PositionLog log = sampledLog();
     const Instant now = start + 2s;
@@ -54,12 +54,12 @@
     CHECK(*aged < *log.newest());
     bound.ownWrites = Position {1, 90};
     CHECK(positionNeeded(log, bound, now, now) == bound.ownWrites);
-    // Nothing was asked since: only the primary is known to be right.
+    // Without a newer probe only the primary is known to be fresh enough.
     bound.maxAge = Duration(0);
     CHECK_FALSE(positionNeeded(log, bound, now + 1s, now + 1s));
 }
 
-TEST_CASE("Replicas that hold the position go before the primary, until they are busier")
+TEST_CASE("Replicas that hold the position are preferred to the primary until they are busier")
 {
     const PositionLog log = sampledLog();
     const Instant now = start + 2s;
@@ -71,8 +71,7 @@
     CHECK(chooseReader(servers, log, Position {1, 50}, false, now) == 0u);
 }
 
-// Two of three servers lag by seconds: what they cannot hold goes to the primary at once.
-TEST_CASE("A lagging replica takes only what it holds")
+TEST_CASE("A lagging replica gets only reads whose position it holds")
 {
     const PositionLog log = sampledLog();
     const Instant now = start + 2s;
@@ -81,12 +80,12 @@
         server.lag = server.primary ? Duration(0) : 3s;
     CHECK(chooseReader(servers, log, Position {1, 90}, false, now) == 0u);
     CHECK(chooseReader(servers, log, Position {1, 9}, false, now) != 0u);
-    // Without a free slot there it waits.
+    // The read waits if the primary has no free slot.
     servers[0].available = false;
     CHECK_FALSE(chooseReader(servers, log, Position {1, 90}, false, now));
 }
 
-TEST_CASE("A replica that has shown nothing for a while is tried, but not right after a refusal")
+TEST_CASE("A replica without a recent report is tried, but not right after a refusal")
 {
     const PositionLog log = sampledLog();
     const Instant now = start + 2s;
@@ -96,7 +95,7 @@
     CHECK_FALSE(chooseReader(servers, log, Position {1, 90}, false, now));
 }
 
-TEST_CASE("Servers that leave, cannot be reached or have failed the read come last or not at all")
+TEST_CASE("Leaving, unreachable and failed servers are chosen last or not at all")
 {
     const PositionLog log = sampledLog();
     const Instant now = start + 2s;
@@ -115,7 +114,7 @@
     CHECK(chooseReader(servers, log, needed, false, now) == 0u);
 }
 
-TEST_CASE("A primary that is about to be replaced takes no reads")
+TEST_CASE("A primary that is about to be replaced gets no reads")
 {
     const PositionLog log = sampledLog();
     const std::vector<ReadCandidate> servers {primary()};
@@ -123,7 +122,7 @@
     CHECK_FALSE(chooseReader(servers, log, std::nullopt, true, start + 2s));
 }
 
-TEST_CASE("A leaving server gets nothing shortly before its time")
+TEST_CASE("A leaving server gets no statements shortly before its leave time ends")
 {
     CHECK_FALSE(hasLeft(start, 7s, start + 6s));
     CHECK(hasLeft(start, 7s, start + 6600ms));
--- a/tests/decision/replicachoice_test.cpp
+++ b/tests/decision/replicachoice_test.cpp
@@ -33,18 +33,18 @@
     return replica;
 }
 
-// At the address of another one.
+// Puts the replica at the address of another server.
 ReplicaState atAddressOf(const ServerName &address, ReplicaState replica)
 {
     replica.endpoint = address + ":1";
     return replica;
 }
 
-// One group at the moment at which its primary is lost: what each log holds, how much of it was
-// acknowledged, and which replicas have said what they hold.
+// A group that has lost its primary: the length of each log, the acknowledged part, and the servers
+// that have reported.
 struct LostPrimary
 {
-    // The last leader first.
+    // The last primary comes first.
     std::vector<LogOffset> logs;
     LogOffset acknowledged = 0;
     unsigned reportedMask = 0;
@@ -65,7 +65,7 @@
     return state;
 }
 
-// Calls with every group of so many servers and logs of up to three commits.
+// Visits every group with this many servers and logs of up to three commits.
 template <typename Visit>
 void forEachLostPrimary(std::size_t servers, Visit visit)
 {
@@ -90,7 +90,7 @@
 
 } // namespace
 
-TEST_CASE("Whatever was acknowledged is in the chosen log, in every group of two to four servers")
+TEST_CASE("The chosen log holds every acknowledged commit, for all groups of two to four servers")
 {
     int chosen = 0;
     for (std::size_t servers = 2; servers <= 4; ++servers)
@@ -109,7 +109,7 @@
     CHECK(chosen > 1'000);
 }
 
-TEST_CASE("One that knows every acknowledgement loses none, whoever was heard")
+TEST_CASE("With exact acknowledgement bounds no commit is lost, whichever servers report")
 {
     int early = 0;
     for (std::size_t servers = 2; servers <= 4; ++servers)
@@ -125,7 +125,7 @@
     CHECK(early > 100);
 }
 
-TEST_CASE("All but the last leader are heard, and it is not waited for")
+TEST_CASE("The last primary is not waited for once all other servers have reported")
 {
     ReplicaChoiceInput state;
     state.replicas = {asLastPrimary(unreported("a")), reported("b", {1, 106}), unreported("c")};
@@ -135,7 +135,7 @@
     CHECK(chooseReplica(state).rule == ChoiceRule::AllReported);
 }
 
-TEST_CASE("The last leader's own log holds everything, whoever else is unheard")
+TEST_CASE("The last primary's log suffices without any other report")
 {
     ReplicaChoiceInput state;
     state.replicas = {asLastPrimary(reported("a", {1, 167})), unreported("b"), unreported("c")};
@@ -144,8 +144,7 @@
     CHECK(chooseReplica(state).server.empty());
 }
 
-TEST_CASE(
-    "A server at the address of another has not its log for certain, but ends the wait for it")
+TEST_CASE("A server at the address of a missing one ends the wait but need not have its log")
 {
     ReplicaChoiceInput state;
     state.replicas = {asLastPrimary(unreported("a")), reported("b", {1, 106}), unreported("c"),
@@ -158,7 +157,7 @@
     CHECK(chooseReplica(state).rule == ChoiceRule::AllReported);
 }
 
-TEST_CASE("With all missing logs lost for good the highest that is left is taken")
+TEST_CASE("The highest remaining log is chosen if all missing logs are lost permanently")
 {
     ReplicaChoiceInput state;
     state.replicas = {asLastPrimary(unreported("a")), atAddressOf("a", reported("a2", {1, 0})),
@@ -167,7 +166,7 @@
     CHECK(chooseReplica(state).server == "b");
 }
 
-TEST_CASE("Without the last leader's log a replica must reach what its term began with")
+TEST_CASE("Without the last primary's log a replica must reach the start of its term")
 {
     ReplicaChoiceInput state;
     state.inheritedOffset = 167;
@@ -176,12 +175,12 @@
     CHECK(chooseReplica(state).rule == ChoiceRule::TooFewReported);
     state.replicas[2].heldPosition = Position {2, 168};
     CHECK(chooseReplica(state).server == "c");
-    // The whole log of the term before is as good as the beginning of this one.
+    // The complete log of the previous term is equivalent to the start of this one.
     state.replicas[2].heldPosition = Position {1, 167};
     CHECK(chooseReplica(state).server == "c");
 }
 
-TEST_CASE("What is known to be acknowledged is never given up, also when all were heard")
+TEST_CASE("A known acknowledged commit is never given up, even if all servers have reported")
 {
     ReplicaChoiceInput state;
     state.waited = afterReportWindow;
@@ -193,7 +192,7 @@
     CHECK(chooseReplica(state).server == "back");
 }
 
-TEST_CASE("Those that answer in time are compared before one is taken that holds everything")
+TEST_CASE("No replica is chosen before the report window ends while reports are missing")
 {
     ReplicaChoiceInput state;
     state.acknowledgedAtMost = Position {1, 100};
@@ -204,7 +203,7 @@
     CHECK(chooseReplica(state).rule == ChoiceRule::HoldsAllAcknowledged);
 }
 
-TEST_CASE("Of equal logs one that stays is taken, of others the one that holds more")
+TEST_CASE("The longest log is chosen; among equal logs one that is not leaving")
 {
     ReplicaChoiceInput state;
     state.replicas = {reported("leaving", {2, 50}), reported("stays", {2, 50}), unreported("a")};
@@ -212,7 +211,7 @@
     CHECK(chooseReplica(state).server == "stays");
     state.replicas[0].heldPosition = Position {2, 51};
     CHECK(chooseReplica(state).server == "leaving");
-    // A longer log of a lower term is that of a replaced primary.
+    // A longer log of a lower term comes from a replaced primary.
     state.replicas[0].heldPosition = Position {1, 60};
     CHECK(chooseReplica(state).server == "stays");
 }
--- a/tests/decision/routing_test.cpp
+++ b/tests/decision/routing_test.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("a read with a stated age goes to the replica expected to answer first")
+TEST_CASE("A read with a stated age goes to the replica expected to answer first")
 {
     auto servers = makeGroup();
     Routing routing(50);
@@ -57,7 +57,7 @@
     CHECK(routing.routeRead(boundedRead(), servers, start + 20ms).server == "b");
 }
 
-TEST_CASE("a replica that was slow is measured again now and then")
+TEST_CASE("A replica that was slow is measured again periodically")
 {
     const auto timesChosen = [](Duration service) {
         auto servers = makeGroup();
@@ -69,17 +69,18 @@
                 routing.routeRead(boundedRead(), servers, start + i * 1ms).server == "c" ? 1 : 0;
         return chosen;
     };
-    // Each 500 ms, and each 2.5 s for one that may be fifty times as slow.
+    // Every 500 ms, or every 25 service times if that is longer.
     CHECK(timesChosen(10ms) >= 18);
     CHECK(timesChosen(10ms) <= 20);
     CHECK(timesChosen(100ms) >= 3);
     CHECK(timesChosen(100ms) <= 4);
-    // 7.5 s for one that took longer than a deadline allows, 25 s for one that took a second.
+    // Every 7.5 s and every 25 s, within a run of 10 s.
     CHECK(timesChosen(1s) == 0);
     CHECK(timesChosen(300ms) == 1);
 }
 
-TEST_CASE("the newest data comes from the primary unless a replica is proven equal")
+TEST_CASE(
+    "A read of the newest data goes to the primary unless a replica holds every acknowledged write")
 {
     auto servers = makeGroup();
     ReadRequirements requirements;
@@ -98,7 +99,7 @@
     CHECK(route.reason == Reason::NoPrimary);
 }
 
-TEST_CASE("the stated age counts the statement's own time")
+TEST_CASE("The stated age includes the service time of the statement")
 {
     auto servers = makeGroup();
     ReadRequirements requirements = boundedRead();
@@ -116,7 +117,8 @@
     CHECK_FALSE(qualifies(servers[1], requirements));
 }
 
-TEST_CASE("a session's position is waited for a little, then read at the primary")
+TEST_CASE(
+    "A read waits briefly for a replica to reach the session position, then goes to the primary")
 {
     auto servers = makeGroup();
     ReadRequirements requirements = boundedRead();
@@ -137,7 +139,7 @@
     CHECK(routing.routeRead(requirements, servers, start).server == "b");
 }
 
-TEST_CASE("replicas far behind cost the primary its budget and no more")
+TEST_CASE("Reads that lagging replicas cannot serve stay within the primary's read budget")
 {
     auto servers = makeGroup();
     servers[1].age = servers[2].age = 10s;
@@ -155,13 +157,13 @@
             CHECK(route.retryIn > 0ms);
         }
     }
-    // Half of 3 slots for 1 s at 2 ms each is 750, and 75 were saved up.
+    // Half of 3 slots for 1 s at 2 ms per read is 750, plus 75 from the full bucket.
     CHECK(served >= 750);
     CHECK(served <= 830);
     CHECK(served + refused == 10000);
 }
 
-TEST_CASE("without a primary a refusal names what the replicas lack")
+TEST_CASE("Without a primary the refusal reason says what the replicas lack")
 {
     auto servers = makeGroup();
     servers[0].reachable = false;
@@ -186,7 +188,8 @@
     CHECK(route.cause == PrimaryCause::NoReplica);
 }
 
-TEST_CASE("busy replicas hand over to the primary only what gains much by it")
+TEST_CASE(
+    "Reads spill from busy replicas to the primary only for a large gain and within its budget")
 {
     auto servers = makeGroup();
     servers[1].busy = servers[2].busy = 3;
@@ -198,7 +201,7 @@
     CHECK(route.server == "a");
     CHECK(route.cause == PrimaryCause::ReplicasBusy);
 
-    // The primary's budget bounds it; the rest goes on to the replicas.
+    // Reads beyond the primary's budget still go to the replicas.
     int atPrimary = 0;
     for (int i = 0; i < 1000; ++i)
         atPrimary += routing.routeRead(boundedRead(), servers, start).server == "a" ? 1 : 0;
@@ -206,7 +209,8 @@
     CHECK(atPrimary <= 76);
 }
 
-TEST_CASE("the wait of the request's own class and team goes before the length of the queue")
+TEST_CASE(
+    "The queue delay of the request's class and team overrides the estimate from the queue length")
 {
     auto servers = makeGroup();
     servers[1].busy = servers[2].busy = 3;
@@ -217,7 +221,7 @@
     CHECK(routing.routeRead(boundedRead(), servers, start).server == "b");
 }
 
-TEST_CASE("a read that no server can answer in time is refused as such")
+TEST_CASE("A read that no server can answer within its deadline is refused")
 {
     auto servers = makeGroup();
     servers[1].busy = servers[2].busy = 3;
--- a/tests/decision/sessiontoken_test.cpp
+++ b/tests/decision/sessiontoken_test.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("a token comes back as it was sealed")
+TEST_CASE("A sealed token opens with the same positions")
 {
     SessionToken token;
     token.advance("offers", {makeTerm(7, 2), 123456789});
@@ -36,7 +36,7 @@
     CHECK(SessionToken::open("", key)->positions().empty());
 }
 
-TEST_CASE("a token's position never goes down, over terms too")
+TEST_CASE("A position in a token never decreases, also across terms")
 {
     SessionToken token;
     token.advance("offers", {2, 50});
@@ -47,7 +47,7 @@
     CHECK(*token.find("offers") == Position {3, 10});
 }
 
-TEST_CASE("every altered, cut or extended token is refused")
+TEST_CASE("Every altered, truncated or extended token is refused")
 {
     const std::string good = tokenOf(3).seal(key);
     for (std::size_t i = 0; i < good.size(); ++i) {
@@ -64,7 +64,7 @@
     CHECK(absl::IsInvalidArgument(SessionToken::open(good, "another key").status()));
 }
 
-TEST_CASE("no text of random bytes opens as a token")
+TEST_CASE("Random bytes never open as a token")
 {
     std::mt19937_64 random(1);
     for (int i = 0; i < 2000; ++i) {
@@ -75,7 +75,7 @@
     }
 }
 
-TEST_CASE("a token over a bound is refused as such, and writes can tell before")
+TEST_CASE("An oversized token is refused, and hasRoomFor() detects it before a write")
 {
     CHECK(absl::IsResourceExhausted(
         SessionToken::open(std::string(maxTokenBytes + 1, 'A'), key).status()));
@@ -88,7 +88,7 @@
     CHECK(absl::IsResourceExhausted(SessionToken::open(over.seal(key), key).status()));
 }
 
-TEST_CASE("as long as there is room, the sealed token is within the bounds")
+TEST_CASE("A token filled while hasRoomFor() holds stays within the size limits")
 {
     SessionToken token;
     for (int i = 0; token.hasRoomFor(std::string(200, 'a') + std::to_string(i)); ++i)
--- a/tests/decision/transactions_test.cpp
+++ b/tests/decision/transactions_test.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("a transaction's id survives its text form, and no other text is one")
+TEST_CASE("A transaction id round-trips through its text form, and malformed text is rejected")
 {
     Transactions transactions = makeTransactions();
     const TransactionId id = *transactions.begin(start, "web");
@@ -43,7 +43,7 @@
     CHECK_FALSE(TransactionId::fromText(text + std::string(600, 'x')));
 }
 
-TEST_CASE("steps of a transaction don't overlap, and another team never gets in")
+TEST_CASE("Steps of a transaction do not overlap, and other teams are refused")
 {
     Transactions transactions = makeTransactions();
     const TransactionId id = *transactions.begin(start, "web");
@@ -54,7 +54,7 @@
     CHECK(transactions.enter(start, id, "web") == Reason::None);
 }
 
-TEST_CASE("an id can't be guessed from others")
+TEST_CASE("A transaction id cannot be derived from others")
 {
     Transactions transactions = makeTransactions();
     const TransactionId id = *transactions.begin(start, "web");
@@ -74,7 +74,7 @@
     CHECK(secrets.size() == 200);
 }
 
-TEST_CASE("only idle transactions end on the idle limit, and are told why")
+TEST_CASE("Only idle transactions end at the idle limit, with the reason TransactionIdle")
 {
     Transactions transactions = makeTransactions();
     const TransactionId idle = *transactions.begin(start, "web");
@@ -91,7 +91,7 @@
     CHECK(transactions.expireIdle(start + 30s).size() == 1);
 }
 
-TEST_CASE("an ended transaction is remembered for a while, and a commit as such")
+TEST_CASE("An ended transaction and its outcome are remembered for a limited time")
 {
     Transactions transactions = makeTransactions();
     const TransactionId lost = *transactions.begin(start, "web");
@@ -108,7 +108,7 @@
     CHECK(transactions.enter(start + 2min, lost, "web") == Reason::UnknownTransaction);
 }
 
-TEST_CASE("what is remembered and what is open is bounded")
+TEST_CASE("The numbers of open and remembered transactions are bounded")
 {
     Transactions transactions = makeTransactions();
     std::vector<TransactionId> ids;
@@ -125,7 +125,7 @@
     CHECK(transactions.open().size() == 3);
 }
 
-TEST_CASE("a transaction of an earlier epoch has ended, one of a later epoch is unknown")
+TEST_CASE("A transaction of an earlier epoch has ended, one of a later epoch is unknown")
 {
     Transactions before = makeTransactions(5);
     const TransactionId id = *before.begin(start, "web");
