--- a/src/group/failovercontroller.h
+++ b/src/group/failovercontroller.h
@@ -140,7 +140,7 @@
                       bool stopRequested);
     void chooseCandidate(Instant now);
     void chooseForPlannedChange();
-    decision::ChoiceState choiceState(Instant now) const;
+    decision::ReplicaChoiceInput choiceState(Instant now) const;
     std::optional<Position> knownAcknowledged() const;
     void logPromotionWait(const decision::ReplicaChoice &choice, Instant now);
     void requestTakeOverForReplica();
--- a/src/group/primarychange.cpp
+++ b/src/group/primarychange.cpp
@@ -233,7 +233,7 @@
     if (choice.server.empty())
         return logPromotionWait(choice, now);
     candidate_ = choice.server;
-    recordCandidate(decision::ruleName(choice.rule));
+    recordCandidate(decision::choiceRuleName(choice.rule));
 }
 
 // The candidate must hold all that the other replicas confirmed before they stopped, that is, reach
--- a/src/group/primaryholders.cpp
+++ b/src/group/primaryholders.cpp
@@ -146,9 +146,9 @@
 // While a replica is chosen
 
 // Includes all servers that may hold acknowledged commits, not only the listed ones.
-decision::ChoiceState FailoverController::choiceState(Instant now) const
+decision::ReplicaChoiceInput FailoverController::choiceState(Instant now) const
 {
-    decision::ChoiceState state;
+    decision::ReplicaChoiceInput state;
     state.acknowledgedAtLeast = knownAcknowledged();
     if (sawAllAcknowledgements_)
         state.acknowledgedAtMost = acknowledgedUpperBound_;
@@ -158,20 +158,20 @@
     const bool isRowTermNewer = record != nullptr && record->term > term_;
     const Term term = isRowTermNewer ? record->term : term_;
     const LogOffset began = isRowTermNewer ? record->termBegan : termBegan_;
-    state.inherited = isRowTermNewer ? record->firstHeld : firstHeld_;
+    state.inheritedOffset = isRowTermNewer ? record->firstHeld : firstHeld_;
     // If the start of the term is unknown, nothing was acknowledged in it before it was first seen.
-    state.termBegan = {term, began != 0 ? began : state.inherited};
+    state.termBegan = {term, began != 0 ? began : state.inheritedOffset};
     for (const decision::LogHolder &holder : holders_.all()) {
         decision::ReplicaState replica;
         replica.server = holder.server;
         replica.endpoint = holder.endpoint;
-        replica.isLastLeader = holder.server == oldPrimary_;
+        replica.isLastPrimary = holder.server == oldPrimary_;
         const auto report = stopReports_.find(holder.server);
         const auto server = servers_.find(holder.server);
         if (report != stopReports_.end() && server != servers_.end())
-            replica.held = report->second.received;
+            replica.heldPosition = report->second.received;
         // A failed candidate is chosen again if it alone has the highest position.
-        replica.avoided = failedCandidates_.count(holder.server) != 0
+        replica.deprioritised = failedCandidates_.count(holder.server) != 0
             || (server != servers_.end() && server->second->listed().leaving);
         state.replicas.push_back(std::move(replica));
     }
@@ -187,13 +187,13 @@
         return;
     waitLoggedAt_ = now;
     // If no server answers, this process is probably cut off, or all servers are.
-    if (choice.held)
+    if (choice.heldPosition)
         requestTakeOverForReplica();
     const auto known = knownAcknowledged();
-    parts_.log.warning("promotion_waits", decision::ruleName(choice.rule))
+    parts_.log.warning("promotion_waits", decision::choiceRuleName(choice.rule))
         .with("group", group_)
         .with("old_primary", oldPrimary_)
-        .with("held", choice.held ? positionText(*choice.held) : std::string("-"))
+        .with("held", choice.heldPosition ? positionText(*choice.heldPosition) : std::string("-"))
         .with("acknowledged", known ? positionText(*known) : std::string("-"))
         .with("unheard", describeMissingReports());
 }
