--- a/src/bench/groupowner.cpp
+++ b/src/bench/groupowner.cpp
@@ -253,7 +253,7 @@
         backend.queued.erase(work->id);
         send(backend, *work, task);
     }
-    for (const Dropped &dropped : backend.admission->expire(now)) {
+    for (const DroppedWork &dropped : backend.admission->expire(now)) {
         const TaskPtr task = backend.queued[dropped.id];
         backend.queued.erase(dropped.id);
         const Executed executed = task->maybeRun ? Executed::Unknown : Executed::No;
--- a/src/bench/kelptally.cpp
+++ b/src/bench/kelptally.cpp
@@ -470,9 +470,9 @@
         return;
     const TraceRequest &what = *request->request;
     request->maybeRun = request->maybeRun || (what.write && executed != Executed::No);
-    Attempt attempt;
+    FailedAttempt attempt;
     attempt.reason = reason;
-    attempt.executedNo = executed == Executed::No;
+    attempt.notExecuted = executed == Executed::No;
     attempt.repeatable = what.repeatable;
     attempt.hasKey = !what.repeatable;
     attempt.number = request->attempts++;
--- a/src/bench/pressure.cpp
+++ b/src/bench/pressure.cpp
@@ -121,9 +121,9 @@
     {
         ++request.attempts;
         const Duration left = request.asked + request.kind->deadline - now;
-        request.waiting = decision::waitingStatement(now, request.kind->objective, left,
-                                                     request.kind->priority, false);
-        request.waiting.service = times_.usual(request.kind->objective, request.kind->priority);
+        request.waiting = decision::makeWaitingStatement(now, request.kind->objective, left,
+                                                         request.kind->priority, false);
+        request.waiting.service = times_.typical(request.kind->objective, request.kind->priority);
         queue_.push_back(request);
     }
 
@@ -163,7 +163,7 @@
     void giveUp(Duration at, Instant now)
     {
         decision::WaitState state;
-        state.owned = true;
+        state.ownsGroup = true;
         state.hasPrimary = !plan_.leaderless.holds(at);
         state.primarySince =
             now < start + plan_.leaderless.to ? start : start + plan_.leaderless.to;
@@ -197,7 +197,7 @@
     {
         if (order_ == PressureOrder::Ranked)
             queue_.sort([now](const Request &a, const Request &b) {
-                return decision::goesBefore(a.waiting, b.waiting, now);
+                return decision::precedes(a.waiting, b.waiting, now);
             });
         for (auto each = queue_.begin(); each != queue_.end();) {
             Server *server = choose(*each, at, now);
--- a/src/bench/scripts.cpp
+++ b/src/bench/scripts.cpp
@@ -160,7 +160,7 @@
             signature.add(next->id);
             running.emplace(now + 500us + random.upTo(3ms), *next);
         }
-        for (const Dropped &dropped : admission.expire(now)) {
+        for (const DroppedWork &dropped : admission.expire(now)) {
             signature.add(dropped.id);
             signature.add(dropped.retryAfter);
         }
@@ -178,9 +178,9 @@
             policy.onSuccess();
             continue;
         }
-        Attempt attempt;
+        FailedAttempt attempt;
         attempt.reason = allReasons()[random.below(allReasons().size())].reason;
-        attempt.executedNo = random.oneIn(2);
+        attempt.notExecuted = random.oneIn(2);
         attempt.repeatable = random.oneIn(2);
         attempt.hasKey = random.oneIn(3);
         attempt.number = static_cast<int>(random.below(8));
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -10,15 +10,15 @@
 
 // Share of slot time, in percent, that each class gets when all classes want more than there is;
 // what one leaves goes to the others in order of class. Chosen, not measured.
-constexpr std::array<int, settings::requestClassCount> guaranteedShare = {50, 25, 15, 10};
+constexpr std::array<int, settings::requestClassCount> guaranteedSharePercent = {50, 25, 15, 10};
 // Weight of a new sample in the running means is one in so many.
-constexpr int meanWeight = 8;
-constexpr int deviationWeight = 4;
+constexpr int meanDivisor = 8;
+constexpr int deviationDivisor = 4;
 // Service time that is assumed where none has been measured. Chosen, not measured.
-constexpr Duration assumedService = 2ms;
+constexpr Duration defaultServiceTime = 2ms;
 // Bounds of the time after which a refused caller is asked to come back.
-constexpr Duration shortestRetryAfter = 10ms;
-constexpr Duration longestRetryAfter = 5s;
+constexpr Duration minRetryAfter = 10ms;
+constexpr Duration maxRetryAfter = 5s;
 
 Duration absolute(Duration duration)
 {
@@ -26,9 +26,9 @@
 }
 
 // Up to half as long again, so that those who were refused together come back apart.
-Duration spread(Duration retryAfter, WorkId id)
+Duration withJitter(Duration retryAfter, WorkId id)
 {
-    retryAfter = std::clamp(retryAfter, shortestRetryAfter, longestRetryAfter);
+    retryAfter = std::clamp(retryAfter, minRetryAfter, maxRetryAfter);
     const std::uint64_t mixed = id * 0x9e3779b97f4a7c15u >> 56;
     return retryAfter + retryAfter / 512 * static_cast<Duration::rep>(mixed);
 }
@@ -47,8 +47,8 @@
         deviation = sample / 2;
         return;
     }
-    deviation += (absolute(sample - mean) - deviation) / deviationWeight;
-    mean += (sample - mean) / meanWeight;
+    deviation += (absolute(sample - mean) - deviation) / deviationDivisor;
+    mean += (sample - mean) / meanDivisor;
 }
 
 Admission::Admission(int slots, int queueLength) : slots_(slots), queueLength_(queueLength) { }
@@ -60,7 +60,7 @@
 
 void Admission::setBrowseSlots(int slots)
 {
-    browseSlots_ = slots;
+    maxBrowseSlots_ = slots;
 }
 
 void Admission::setTeamShares(const std::vector<settings::Team> &teams)
@@ -95,66 +95,66 @@
     return service_.mean;
 }
 
-Duration Admission::typicalService(const ClassQueue &queue) const
+Duration Admission::meanServiceTime(const ClassQueue &queue) const
 {
     if (queue.service.mean > 0ns)
         return queue.service.mean;
-    return service_.mean > 0ns ? service_.mean : assumedService;
+    return service_.mean > 0ns ? service_.mean : defaultServiceTime;
 }
 
-Duration Admission::highService(const ClassQueue &queue) const
+Duration Admission::serviceTimeBound(const ClassQueue &queue) const
 {
-    return queue.service.mean > 0ns ? queue.service.high() : typicalService(queue);
+    return queue.service.mean > 0ns ? queue.service.upperBound() : meanServiceTime(queue);
 }
 
 // 1. In order of class: all that waits in this class and those before it, slowed by the shares of
 //    the classes behind that wait too.
 // 2. By the guaranteed share: this class's own queue at its share of the slots.
 // The shorter holds. Within the class, a team need not wait for more than its part.
-Duration Admission::waitBehind(std::size_t classIndex, const TeamName *team) const
+Duration Admission::estimatedWait(std::size_t classIndex, const TeamName *team) const
 {
     const ClassQueue &own = classes_[classIndex];
     if (busy_ < slots_ && queued_ == 0)
         return 0ns;
     if (slots_ <= 0)
-        return longestRetryAfter;
+        return maxRetryAfter;
 
-    Duration ownWork = typicalService(own) * own.queued;
+    Duration ownWork = meanServiceTime(own) * own.queued;
     if (team != nullptr) {
         int totalWeight = weightOf(*team);
         int ahead = 0;
         for (const auto &[name, teamQueue] : own.teams) {
             if (name == *team)
-                ahead = static_cast<int>(teamQueue.works.size());
+                ahead = static_cast<int>(teamQueue.items.size());
             else
-                totalWeight += teamQueue.works.empty() ? 0 : teamQueue.weight;
+                totalWeight += teamQueue.items.empty() ? 0 : teamQueue.weight;
         }
-        ownWork = std::min(ownWork, typicalService(own) * ahead * totalWeight / weightOf(*team));
+        ownWork = std::min(ownWork, meanServiceTime(own) * ahead * totalWeight / weightOf(*team));
     }
 
     Duration before = 0ns;
     int sharesBehind = 0;
     for (std::size_t i = 0; i < classes_.size(); ++i) {
         if (i < classIndex)
-            before += typicalService(classes_[i]) * classes_[i].queued;
+            before += meanServiceTime(classes_[i]) * classes_[i].queued;
         if (i > classIndex && classes_[i].queued > 0)
-            sharesBehind += guaranteedShare[i];
+            sharesBehind += guaranteedSharePercent[i];
     }
     // One statement, on average half done, runs in each slot.
     const Duration running = busy_ >= slots_ ? service_.mean / 2 : 0ns;
     const Duration inOrder = running + (before + ownWork) * 100 / (100 - sharesBehind) / slots_;
-    const Duration byShare = running + ownWork * 100 / guaranteedShare[classIndex] / slots_;
+    const Duration byShare = running + ownWork * 100 / guaranteedSharePercent[classIndex] / slots_;
     return std::min(inOrder, byShare);
 }
 
 Duration Admission::expectedWait(settings::RequestClass requestClass) const
 {
-    return waitBehind(indexOf(requestClass), nullptr);
+    return estimatedWait(indexOf(requestClass), nullptr);
 }
 
 Duration Admission::expectedWait(settings::RequestClass requestClass, const TeamName &team) const
 {
-    return waitBehind(indexOf(requestClass), &team);
+    return estimatedWait(indexOf(requestClass), &team);
 }
 
 // Where several teams come, each may fill half of what the others leave free, at most its share: so
@@ -165,7 +165,7 @@
         return queueLength_;
     int others = 0;
     for (const auto &[name, teamQueue] : queue.teams)
-        others += name == team ? 0 : static_cast<int>(teamQueue.works.size());
+        others += name == team ? 0 : static_cast<int>(teamQueue.items.size());
     const int half = (queueLength_ - others) / 2;
     return std::max(1, std::min(half, queueLength_ * weightOf(team) / 100));
 }
@@ -174,28 +174,28 @@
 {
     const std::size_t classIndex = indexOf(work.requestClass);
     ClassQueue &queue = classes_[classIndex];
-    const Duration wait = waitBehind(classIndex, &work.team);
+    const Duration wait = estimatedWait(classIndex, &work.team);
 
     // 1. Room in the queue of the class, and in the team's part of it.
     TeamQueue &team = queue.teams[work.team];
     if (queue.queued >= queueLength_)
-        return {Reason::QueueFull, spread(wait, work.id)};
-    if (static_cast<int>(team.works.size()) >= queueLimit(queue, work.team))
-        return {Reason::TeamLimit, spread(wait, work.id)};
+        return {Reason::QueueFull, withJitter(wait, work.id)};
+    if (static_cast<int>(team.items.size()) >= queueLimit(queue, work.team))
+        return {Reason::TeamLimit, withJitter(wait, work.id)};
 
     // 2. Time enough: what can't finish is refused now, not when its deadline is near. An idle
     //    server is tried in any case, or an estimate that was once high would stay for ever.
     const Duration left = work.deadline - now;
-    const Duration needed = isIdle() ? 0ns : wait + highService(queue);
+    const Duration needed = isIdle() ? 0ns : wait + serviceTimeBound(queue);
     if (needed > left)
-        return {Reason::DeadlineTooShort, spread(needed - left, work.id)};
+        return {Reason::DeadlineTooShort, withJitter(needed - left, work.id)};
 
     // 3. A team that was idle starts level with the others.
-    if (team.works.empty()) {
+    if (team.items.empty()) {
         team.weight = weightOf(work.team);
         team.virtualTime = std::max(team.virtualTime, queue.virtualTime);
     }
-    team.works.push_back(work);
+    team.items.push_back(work);
     queue.earliestDeadline = std::min(queue.earliestDeadline, work.deadline);
     ++queue.queued;
     ++queued_;
@@ -206,7 +206,7 @@
 {
     const ClassQueue &queue = classes_[classIndex];
     const bool browse = classIndex == indexOf(settings::RequestClass::Browse);
-    const bool limited = browse && browseSlots_ > 0 && queue.busy >= browseSlots_;
+    const bool limited = browse && maxBrowseSlots_ > 0 && queue.busy >= maxBrowseSlots_;
     return queue.queued > 0 && !limited;
 }
 
@@ -219,46 +219,46 @@
             continue;
         if (!first)
             first = i;
-        if (classes_[i].credit >= typicalService(classes_[i]))
+        if (classes_[i].credit >= meanServiceTime(classes_[i]))
             return i;
     }
     return first;
 }
 
 // Counts the shares of all waiting classes up by the slot time that is given out now.
-void Admission::payFor(std::size_t chosen)
+void Admission::updateCredits(std::size_t chosen)
 {
-    const Duration service = typicalService(classes_[chosen]);
+    const Duration service = meanServiceTime(classes_[chosen]);
     for (std::size_t i = 0; i < classes_.size(); ++i) {
         ClassQueue &queue = classes_[i];
         if (queue.queued > 0)
-            queue.credit += service * guaranteedShare[i] / 100;
+            queue.credit += service * guaranteedSharePercent[i] / 100;
         else if (i != chosen)
             queue.credit = 0ns;
     }
     classes_[chosen].credit = std::max(Duration(0), classes_[chosen].credit - service);
 }
 
-void Admission::removed(ClassQueue &queue)
+void Admission::decrementQueued(ClassQueue &queue)
 {
     --queue.queued;
     --queued_;
 }
 
 // The oldest work of the team that has had the least.
-Work Admission::takeFrom(ClassQueue &queue)
+Work Admission::dequeue(ClassQueue &queue)
 {
     TeamQueue *least = nullptr;
     for (auto &[name, team] : queue.teams) {
         const bool less = least == nullptr || team.virtualTime < least->virtualTime;
-        if (!team.works.empty() && less)
+        if (!team.items.empty() && less)
             least = &team;
     }
-    const Work work = least->works.front();
-    least->works.pop_front();
+    const Work work = least->items.front();
+    least->items.pop_front();
     queue.virtualTime = least->virtualTime;
-    least->virtualTime += typicalService(queue) * 100 / least->weight;
-    removed(queue);
+    least->virtualTime += meanServiceTime(queue) * 100 / least->weight;
+    decrementQueued(queue);
     return work;
 }
 
@@ -267,13 +267,13 @@
     if (busy_ >= slots_)
         return std::nullopt;
     for (std::size_t i = 0; i < classes_.size(); ++i)
-        dropHopeless(now, i);
+        dropInfeasible(now, i);
     const auto chosen = chooseClass();
     if (!chosen)
         return std::nullopt;
-    payFor(*chosen);
+    updateCredits(*chosen);
     ClassQueue &queue = classes_[*chosen];
-    const Work work = takeFrom(queue);
+    const Work work = dequeue(queue);
     ++queue.busy;
     ++busy_;
     return work;
@@ -281,18 +281,18 @@
 
 void Admission::finished(const Work &work, Duration serviceTime)
 {
-    freeSlot(work, serviceTime);
+    releaseSlot(work, serviceTime);
 }
 
 void Admission::abandoned(const Work &work)
 {
-    freeSlot(work, std::nullopt);
+    releaseSlot(work, std::nullopt);
 }
 
-void Admission::freeSlot(const Work &work, std::optional<Duration> serviceTime)
+void Admission::releaseSlot(const Work &work, std::optional<Duration> serviceTime)
 {
     ClassQueue &queue = queueOf(work.requestClass);
-    const Duration expected = typicalService(queue);
+    const Duration expected = meanServiceTime(queue);
     queue.busy = std::max(0, queue.busy - 1);
     busy_ = std::max(0, busy_ - 1);
     if (serviceTime) {
@@ -312,52 +312,52 @@
 
 void Admission::drop(const Work &work, Reason reason, Duration retryAfter)
 {
-    dropped_.push_back({work.id, reason, spread(retryAfter, work.id)});
+    dropped_.push_back({work.id, reason, withJitter(retryAfter, work.id)});
 }
 
 // Drops what would miss its deadline even if it started now.
-void Admission::dropHopeless(Instant now, std::size_t classIndex)
+void Admission::dropInfeasible(Instant now, std::size_t classIndex)
 {
     ClassQueue &queue = classes_[classIndex];
-    const Instant latest = busy_ == 0 ? now : now + highService(queue);
+    const Instant latest = busy_ == 0 ? now : now + serviceTimeBound(queue);
     if (queue.queued == 0 || queue.earliestDeadline >= latest)
         return;
-    const auto hopeless = [latest](const Work &work) { return work.deadline < latest; };
-    const Duration wait = waitBehind(classIndex, nullptr);
+    const auto infeasible = [latest](const Work &work) { return work.deadline < latest; };
+    const Duration wait = estimatedWait(classIndex, nullptr);
     queue.earliestDeadline = Instant::max();
     for (auto &[name, team] : queue.teams) {
-        for (const Work &work : team.works) {
-            if (!hopeless(work)) {
+        for (const Work &work : team.items) {
+            if (!infeasible(work)) {
                 queue.earliestDeadline = std::min(queue.earliestDeadline, work.deadline);
                 continue;
             }
             drop(work, Reason::DeadlineTooShort, wait);
-            removed(queue);
+            decrementQueued(queue);
         }
-        team.works.erase(std::remove_if(team.works.begin(), team.works.end(), hopeless),
-                         team.works.end());
+        team.items.erase(std::remove_if(team.items.begin(), team.items.end(), infeasible),
+                         team.items.end());
     }
 }
 
-std::vector<Dropped> Admission::expire(Instant now)
+std::vector<DroppedWork> Admission::expire(Instant now)
 {
     for (std::size_t i = 0; i < classes_.size(); ++i)
-        dropHopeless(now, i);
-    std::vector<Dropped> dropped;
+        dropInfeasible(now, i);
+    std::vector<DroppedWork> dropped;
     dropped.swap(dropped_);
     return dropped;
 }
 
 bool Admission::cancel(WorkId id)
 {
-    const auto isIt = [id](const Work &work) { return work.id == id; };
+    const auto hasId = [id](const Work &work) { return work.id == id; };
     for (ClassQueue &queue : classes_) {
         for (auto &[name, team] : queue.teams) {
-            const auto found = std::find_if(team.works.begin(), team.works.end(), isIt);
-            if (found == team.works.end())
+            const auto found = std::find_if(team.items.begin(), team.items.end(), hasId);
+            if (found == team.items.end())
                 continue;
-            team.works.erase(found);
-            removed(queue);
+            team.items.erase(found);
+            decrementQueued(queue);
             return true;
         }
     }
@@ -369,8 +369,8 @@
     std::vector<Work> all;
     for (ClassQueue &queue : classes_) {
         for (auto &[name, team] : queue.teams) {
-            all.insert(all.end(), team.works.begin(), team.works.end());
-            team.works.clear();
+            all.insert(all.end(), team.items.begin(), team.items.end());
+            team.items.clear();
         }
         queue.queued = 0;
         queue.credit = 0ns;
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -34,7 +34,7 @@
 };
 
 // Work that left the queue unserved.
-struct Dropped
+struct DroppedWork
 {
     WorkId id = 0;
     Reason reason = Reason::None;
@@ -67,7 +67,7 @@
 
     // Work whose deadline can no longer be met; asked after each next() and on a tick, so that
     // it gets its answer at once.
-    std::vector<Dropped> expire(Instant now);
+    std::vector<DroppedWork> expire(Instant now);
     bool cancel(WorkId id);
     // Everything that waits, as when a server is gone.
     std::vector<Work> takeAll();
@@ -89,11 +89,11 @@
         Duration deviation {0};
 
         void add(Duration sample);
-        Duration high() const { return mean + 2 * deviation; }
+        Duration upperBound() const { return mean + 2 * deviation; }
     };
     struct TeamQueue
     {
-        std::deque<Work> works;
+        std::deque<Work> items;
         int weight = 100;
         // Slot time used divided by weight, in step with the other teams that wait.
         Duration virtualTime {0};
@@ -113,30 +113,30 @@
 
     ClassQueue &queueOf(settings::RequestClass requestClass);
     const ClassQueue &queueOf(settings::RequestClass requestClass) const;
-    Duration typicalService(const ClassQueue &queue) const;
-    Duration highService(const ClassQueue &queue) const;
-    Duration waitBehind(std::size_t classIndex, const TeamName *team) const;
+    Duration meanServiceTime(const ClassQueue &queue) const;
+    Duration serviceTimeBound(const ClassQueue &queue) const;
+    Duration estimatedWait(std::size_t classIndex, const TeamName *team) const;
     int queueLimit(const ClassQueue &queue, const TeamName &team) const;
     int weightOf(const TeamName &team) const;
     bool mayStart(std::size_t classIndex) const;
     std::optional<std::size_t> chooseClass() const;
-    Work takeFrom(ClassQueue &queue);
-    void payFor(std::size_t chosen);
+    Work dequeue(ClassQueue &queue);
+    void updateCredits(std::size_t chosen);
     void drop(const Work &work, Reason reason, Duration retryAfter);
-    void dropHopeless(Instant now, std::size_t classIndex);
+    void dropInfeasible(Instant now, std::size_t classIndex);
     bool isIdle() const { return busy_ == 0 && queued_ == 0; }
-    void removed(ClassQueue &queue);
-    void freeSlot(const Work &work, std::optional<Duration> serviceTime);
+    void decrementQueued(ClassQueue &queue);
+    void releaseSlot(const Work &work, std::optional<Duration> serviceTime);
 
     int slots_;
-    int browseSlots_ = 0;
+    int maxBrowseSlots_ = 0;
     const int queueLength_;
     int busy_ = 0;
     int queued_ = 0;
     std::map<TeamName, int> teamShares_;
     std::array<ClassQueue, settings::requestClassCount> classes_;
     Estimate service_;
-    std::vector<Dropped> dropped_;
+    std::vector<DroppedWork> dropped_;
 };
 
 } // namespace kelptally::decision
--- a/src/decision/connectionplaces.h
+++ b/src/decision/connectionchoice.h
@@ -13,11 +13,11 @@
 struct IdleConnection
 {
     // It belongs to the statement's organisation.
-    bool belongs = false;
+    bool sameOrganisation = false;
     // It holds just the values of the statement's session, so that nothing has to be set.
-    bool holdsValues = false;
+    bool hasSessionValues = false;
     // When it last answered.
-    Instant usedAt;
+    Instant lastUsedAt;
 };
 
 // The connections of one server as one owner has them.
@@ -29,28 +29,28 @@
     int share = 0;
     // Being opened, of all organisations and of the statement's.
     int opening = 0;
-    int openingForIt = 0;
+    int openingForOrganisation = 0;
     // What the server does at the same time; opening a connection takes a slot meanwhile.
     int slots = 1;
     // The server may be dialled; it has not just refused a connection.
     bool mayOpen = true;
     // One that has rested for less may not make room: its organisation is likely to ask again.
-    Duration leastRest {0};
+    Duration minIdleTime {0};
 };
 
 // What one owner may have of a server's connections, in percent.
 struct OwnerShare
 {
-    int usual = 0;
+    int basePercent = 0;
     // With those that rest inside transactions, which serve nobody else meanwhile.
-    int withResting = 0;
+    int maxPercent = 0;
 };
 
 // How many connections an owner may have. The rest is for the next owner, for whom a server keeps
 // those of a host that lost power.
-int ownerShare(int maxConnections, int resting, const OwnerShare &share);
+int maxOwnerConnections(int maxConnections, int idleInTransaction, const OwnerShare &share);
 
-enum class Place {
+enum class ConnectionAction {
     // An idle connection of the organisation.
     Use,
     // A new one, within the share.
@@ -60,19 +60,19 @@
     // One of the organisation is being opened, or as many as may be at a time.
     WaitForOpening,
     // Every connection is in use.
-    WaitForUse,
+    WaitForIdle,
     // The server is not dialled for the moment.
     WaitForServer,
 };
 
-constexpr std::size_t placeCount = 6;
+constexpr std::size_t connectionActionCount = 6;
 
 // As metrics and logs name it.
-const char *placeName(Place place);
+const char *connectionActionName(ConnectionAction action);
 
-struct PlaceChoice
+struct ConnectionChoice
 {
-    Place place = Place::WaitForUse;
+    ConnectionAction action = ConnectionAction::WaitForIdle;
     // Of the idle connection to use, or to close.
     std::size_t index = 0;
 };
@@ -83,7 +83,7 @@
 // Making room by the longest rest keeps the connections of those that ask most. One opening at a
 // time for an organisation: several of its statements that wait would each open one, and close
 // those of others for it.
-PlaceChoice choosePlace(const std::vector<IdleConnection> &idle, const ServerConnections &server,
-                        Instant now);
+ConnectionChoice chooseConnection(const std::vector<IdleConnection> &idle,
+                                  const ServerConnections &server, Instant now);
 
 } // namespace kelptally::decision
--- a/src/decision/ways.h
+++ b/src/decision/policyoptions.h
@@ -5,24 +5,24 @@
 namespace kelptally::decision {
 
 // Which statement of a priority goes first.
-enum class WaitRule {
+enum class QueueDiscipline {
     // The one that would be late first; but an organisation without a quota that has had more than
     // its share goes behind the others.
     FairUnlessLimited,
     // The same for organisations with a quota.
     Fair,
     // The one that would be late first.
-    Due,
+    EarliestDueDate,
 };
 
-struct Ways
+struct PolicyOptions
 {
-    WaitRule wait = WaitRule::FairUnlessLimited;
+    QueueDiscipline queueDiscipline = QueueDiscipline::FairUnlessLimited;
     // Of a server's connections an owner may have this part, in percent, where each belongs to an
     // organisation.
-    int ownerShare = 60;
+    int ownerSharePercent = 60;
     // And up to this part for connections that rest inside transactions.
-    int restingShare = 85;
+    int maxOwnerSharePercent = 85;
     // What speaks against a server to which a connection would have to be opened, in percent of its
     // slots.
     int openingCost = 100;
--- a/src/decision/quota.cpp
+++ b/src/decision/quota.cpp
@@ -17,29 +17,29 @@
 // for what is on its way. Small organisations need what is kept: with 0.6 and 0.3, and accounts
 // that began half full, one of seven operations a second had less than one at each of eight owners,
 // and 0.9% of what could be served on a calm day was refused.
-constexpr double keptShare = 0.85;
-constexpr double doubledShare = 0.1;
+constexpr double capacityFraction = 0.85;
+constexpr double overlapFraction = 0.1;
 // Owners that take a group begin with something, too: room for a quarter of the groups changing
 // hands within a window.
 constexpr double accountsPerGroup = 1.25;
 // Below this part of its capacity an account gives nothing away; others are asked for so much.
-constexpr double lowShare = 0.5;
+constexpr double reserveFraction = 0.5;
 // They are asked when less is left than what comes in this time, or when an operation has found
 // nothing. When an account asked all others as soon as half was gone, one that is used at its usual
 // rate sent 22 messages a second for 3.3 operations (the count in quota_test).
 constexpr Duration lookAhead = std::chrono::milliseconds(200);
 // An owner can spare this part of what it may, most of the time; when an operation waits, more are
 // asked: with two of seven asked 1.5% of a small organisation's operations were refused.
-constexpr int missedCaution = 4;
+constexpr int missedGrantDivisor = 4;
 // An answer takes a message each way, 1 to 3 ms between zones.
-constexpr Duration giftTime = std::chrono::milliseconds(20);
+constexpr Duration grantTimeout = std::chrono::milliseconds(20);
 // After an answer the next question may follow soon; without one nobody has anything to spare.
-constexpr Duration askAgain = std::chrono::milliseconds(40);
-constexpr Duration askAfterNothing = std::chrono::milliseconds(400);
+constexpr Duration minRequestInterval = std::chrono::milliseconds(40);
+constexpr Duration unansweredBackoff = std::chrono::milliseconds(400);
 // What was given to an owner that holds no part, and not used, is not kept for longer.
-constexpr Duration keepGifts = std::chrono::seconds(1);
+constexpr Duration unusedGrantTimeout = std::chrono::seconds(1);
 // A caller is not told to wait for longer than this: what is asked may fall at any time.
-constexpr Duration longestWait = std::chrono::seconds(2);
+constexpr Duration maxRetryDelay = std::chrono::seconds(2);
 
 double seconds(Duration duration)
 {
@@ -50,26 +50,29 @@
 
 // The load it answers: an organisation at 7.5 times its usual rate, beside cuts after which both
 // halves have an owner for the same group.
-QuotaPart quotaPart(const Quota &quota, const QuotaTolerance &tolerance,
-                    const QuotaHolders &holders)
+QuotaShare quotaShare(const Quota &quota, const QuotaTolerance &tolerance,
+                      const QuotaHolders &holders)
 {
-    const double plain = quota.perSecond * seconds(tolerance.window);
-    const double extra = (plain + quota.burst) * (1 + tolerance.over) + tolerance.slack - plain;
-    if (holders.all == 0 || plain + quota.burst <= 0)
+    const double nominal = quota.perSecond * seconds(tolerance.window);
+    const double headroom =
+        (nominal + quota.burst) * (1 + tolerance.overshoot) + tolerance.slack - nominal;
+    if (holders.total == 0 || nominal + quota.burst <= 0)
         return {};
     // 1. Rate: an equal part for each holder. Where two owners may act, the later one earns as much
     // as keeps all of these together within the tolerance.
-    double doubled = 1;
-    if (holders.doubled > 0 && plain > 0)
-        doubled = std::min(1.0, doubledShare * extra / plain * holders.all / holders.doubled);
-    const double parts = holders.owned - holders.ownedDoubled + doubled * holders.ownedDoubled;
-    QuotaPart part;
-    part.perSecond = quota.perSecond * parts / holders.all;
+    double overlapping = 1;
+    if (holders.overlapping > 0 && nominal > 0)
+        overlapping = std::min(
+            1.0, overlapFraction * headroom / nominal * holders.total / holders.overlapping);
+    const double ownedShares =
+        holders.owned - holders.ownedOverlapping + overlapping * holders.ownedOverlapping;
+    QuotaShare share;
+    share.perSecond = quota.perSecond * ownedShares / holders.total;
     // 2. Capacity: for each group owned here; an owner that holds none keeps one account's gifts.
     // Less than one operation could never be run.
-    const double perGroup = keptShare * extra / (accountsPerGroup * holders.all);
-    part.capacity = std::max(1.0, perGroup * std::max(1, holders.owned));
-    return part;
+    const double perGroup = capacityFraction * headroom / (accountsPerGroup * holders.total);
+    share.capacity = std::max(1.0, perGroup * std::max(1, holders.owned));
+    return share;
 }
 
 std::vector<GroupName> quotaHolders(const OrganisationName &organisation,
@@ -90,36 +93,36 @@
     return holders;
 }
 
-void QuotaAccount::set(Instant now, const QuotaPart &part)
+void QuotaAccount::set(Instant now, const QuotaShare &share)
 {
-    earn(now);
-    const bool begins = part_.perSecond <= 0 && part.perSecond > 0;
-    if (!isSet_ || begins)
-        available_ = part.capacity;
-    else if (part.capacity > part_.capacity)
-        available_ += part.capacity - part_.capacity;
+    refill(now);
+    const bool startsRefilling = share_.perSecond <= 0 && share.perSecond > 0;
+    if (!isSet_ || startsRefilling)
+        available_ = share.capacity;
+    else if (share.capacity > share_.capacity)
+        available_ += share.capacity - share_.capacity;
     isSet_ = true;
-    part_ = part;
-    available_ = std::min(available_, part_.capacity);
+    share_ = share;
+    available_ = std::min(available_, share_.capacity);
 }
 
-void QuotaAccount::earn(Instant now)
+void QuotaAccount::refill(Instant now)
 {
-    const Duration passed = std::max(Duration(0), now - earnedAt_);
-    if (part_.perSecond <= 0 && passed > keepGifts)
+    const Duration passed = std::max(Duration(0), now - refilledAt_);
+    if (share_.perSecond <= 0 && passed > unusedGrantTimeout)
         available_ = 0;
     if (isSet_)
-        available_ = std::min(part_.capacity, available_ + part_.perSecond * seconds(passed));
-    earnedAt_ = std::max(earnedAt_, now);
+        available_ = std::min(share_.capacity, available_ + share_.perSecond * seconds(passed));
+    refilledAt_ = std::max(refilledAt_, now);
 }
 
 bool QuotaAccount::take(Instant now)
 {
-    earn(now);
-    missed_ = available_ < 1;
-    if (!missed_)
+    refill(now);
+    lastTakeFailed_ = available_ < 1;
+    if (!lastTakeFailed_)
         available_ -= 1;
-    return !missed_;
+    return !lastTakeFailed_;
 }
 
 void QuotaAccount::giveBack(Instant now)
@@ -127,59 +130,61 @@
     receive(now, 1);
 }
 
-double QuotaAccount::give(Instant now, double wanted)
+double QuotaAccount::grant(Instant now, double wanted)
 {
-    earn(now);
-    const double spare = available_ - part_.capacity * lowShare;
-    const double given = std::clamp(wanted, 0.0, std::max(0.0, spare));
-    available_ -= given;
-    return given;
+    refill(now);
+    const double spare = available_ - share_.capacity * reserveFraction;
+    const double granted = std::clamp(wanted, 0.0, std::max(0.0, spare));
+    available_ -= granted;
+    return granted;
 }
 
 void QuotaAccount::receive(Instant now, double operations)
 {
-    earn(now);
-    available_ = std::min(part_.capacity, available_ + operations);
-    askAfter_ = std::min(askAfter_, askedAt_ + askAgain);
+    refill(now);
+    available_ = std::min(share_.capacity, available_ + operations);
+    nextRequestAt_ = std::min(nextRequestAt_, requestedAt_ + minRequestInterval);
 }
 
-std::optional<QuotaAccount::Need> QuotaAccount::needs(Instant now)
+std::optional<QuotaAccount::GrantRequest> QuotaAccount::nextGrantRequest(Instant now)
 {
-    earn(now);
-    const double soon = part_.perSecond * seconds(lookAhead);
-    const double low = missed_ ? 1 : std::min(soon, part_.capacity * lowShare);
-    if (now < askAfter_ || available_ >= low)
+    refill(now);
+    const double lookAheadAmount = share_.perSecond * seconds(lookAhead);
+    const double threshold =
+        lastTakeFailed_ ? 1 : std::min(lookAheadAmount, share_.capacity * reserveFraction);
+    if (now < nextRequestAt_ || available_ >= threshold)
         return std::nullopt;
-    askedAt_ = now;
-    askAfter_ = now + askAfterNothing;
-    const double wanted = std::max(1.0, part_.capacity * lowShare) - available_;
-    const double usualGift = part_.capacity * lowShare / (missed_ ? missedCaution : 2);
-    return Need {wanted, static_cast<std::size_t>(std::ceil(wanted / usualGift))};
+    requestedAt_ = now;
+    nextRequestAt_ = now + unansweredBackoff;
+    const double wanted = std::max(1.0, share_.capacity * reserveFraction) - available_;
+    const double expectedGrant =
+        share_.capacity * reserveFraction / (lastTakeFailed_ ? missedGrantDivisor : 2);
+    return GrantRequest {wanted, static_cast<std::size_t>(std::ceil(wanted / expectedGrant))};
 }
 
-bool QuotaAccount::awaitsGifts(Instant now) const
+bool QuotaAccount::awaitsGrants(Instant now) const
 {
-    return now - askedAt_ < giftTime;
+    return now - requestedAt_ < grantTimeout;
 }
 
-Duration QuotaAccount::untilRoom(Instant now)
+Duration QuotaAccount::retryDelay(Instant now)
 {
-    earn(now);
-    if (part_.perSecond <= 0)
-        return longestWait;
+    refill(now);
+    if (share_.perSecond <= 0)
+        return maxRetryDelay;
     const auto time = [this](double operations) {
         return std::chrono::duration_cast<Duration>(
-            std::chrono::duration<double>(operations / part_.perSecond));
+            std::chrono::duration<double>(operations / share_.perSecond));
     };
     const Instant first = now + time(std::max(0.0, 1 - available_));
-    spokenFor_ = std::max(first, spokenFor_ + time(1));
-    spokenFor_ = std::min(spokenFor_, now + longestWait);
-    return spokenFor_ - now;
+    reservedUntil_ = std::max(first, reservedUntil_ + time(1));
+    reservedUntil_ = std::min(reservedUntil_, now + maxRetryDelay);
+    return reservedUntil_ - now;
 }
 
 double QuotaAccount::available(Instant now)
 {
-    earn(now);
+    refill(now);
     return available_;
 }
 
--- a/src/decision/quota.h
+++ b/src/decision/quota.h
@@ -30,7 +30,7 @@
 struct QuotaTolerance
 {
     Duration window {std::chrono::seconds(5)};
-    double over = 0;
+    double overshoot = 0;
     double slack = 0;
 };
 
@@ -38,23 +38,23 @@
 struct QuotaHolders
 {
     // How many there are, and in how many of them an earlier owner may act beside the present one.
-    int all = 0;
-    int doubled = 0;
+    int total = 0;
+    int overlapping = 0;
     // Of those, the ones that this host owns.
     int owned = 0;
-    int ownedDoubled = 0;
+    int ownedOverlapping = 0;
 };
 
 // What one host earns and may keep.
-struct QuotaPart
+struct QuotaShare
 {
     double perSecond = 0;
     // Most that it keeps of what it has earned or been given.
     double capacity = 0;
 };
 
-QuotaPart quotaPart(const Quota &quota, const QuotaTolerance &tolerance,
-                    const QuotaHolders &holders);
+QuotaShare quotaShare(const Quota &quota, const QuotaTolerance &tolerance,
+                      const QuotaHolders &holders);
 
 // The groups whose owners hold the organisation's quota, by an order that all hosts agree on.
 std::vector<GroupName> quotaHolders(const OrganisationName &organisation,
@@ -66,7 +66,7 @@
 public:
     // From now on it earns and keeps this much. What is new of the capacity is there at once, and
     // all of it when the account begins to earn, as its host takes a group.
-    void set(Instant now, const QuotaPart &part);
+    void set(Instant now, const QuotaShare &share);
 
     // Takes one operation; false when there is none.
     bool take(Instant now);
@@ -74,9 +74,9 @@
     void giveBack(Instant now);
 
     // What can be spared of what another owner asks for; it is gone here.
-    double give(Instant now, double wanted);
+    double grant(Instant now, double wanted);
     void receive(Instant now, double operations);
-    struct Need
+    struct GrantRequest
     {
         // To ask each for, and how many to ask.
         double wanted = 0;
@@ -84,29 +84,29 @@
     };
     // What should be asked of other owners; nothing when there is enough, or when it is too early
     // to ask again. They are taken to have been asked.
-    std::optional<Need> needs(Instant now);
+    std::optional<GrantRequest> nextGrantRequest(Instant now);
     // They have been asked a moment ago and may still answer.
-    bool awaitsGifts(Instant now) const;
+    bool awaitsGrants(Instant now) const;
 
     // When there is room for one more that is refused now. Each refusal reckons with those before
     // it, so that callers come back one after the other.
-    Duration untilRoom(Instant now);
+    Duration retryDelay(Instant now);
 
     double available(Instant now);
 
 private:
-    void earn(Instant now);
+    void refill(Instant now);
 
-    QuotaPart part_;
+    QuotaShare share_;
     double available_ = 0;
-    Instant earnedAt_ {};
+    Instant refilledAt_ {};
     // Until when what comes is spoken for by callers that were refused.
-    Instant spokenFor_ {};
-    Instant askedAt_ {};
-    Instant askAfter_ {};
+    Instant reservedUntil_ {};
+    Instant requestedAt_ {};
+    Instant nextRequestAt_ {};
     bool isSet_ = false;
     // The last operation found nothing.
-    bool missed_ = false;
+    bool lastTakeFailed_ = false;
 };
 
 } // namespace kelptally::decision
--- a/src/decision/retrypolicy.h
+++ b/src/decision/retrypolicy.h
@@ -24,14 +24,14 @@
     const int percent_;
     // In hundredths of a retry.
     int credit_;
-    int refusedInARow_ = 0;
+    int consecutiveRefusals_ = 0;
 };
 
 // What is known of a failed attempt.
-struct Attempt
+struct FailedAttempt
 {
     Reason reason = Reason::None;
-    bool executedNo = true;
+    bool notExecuted = true;
     bool repeatable = true;
     bool hasKey = false;
     int number = 0;
@@ -47,7 +47,7 @@
 
     void onSuccess();
     // The delay with jitter, or nothing when the failure is final.
-    std::optional<Duration> retryAfter(const Attempt &attempt);
+    std::optional<Duration> retryAfter(const FailedAttempt &attempt);
     // Whether the last refusal was for the budget alone.
     bool budgetSpent() const { return budgetSpent_; }
 
--- a/src/decision/slotadmission.cpp
+++ b/src/decision/slotadmission.cpp
@@ -8,40 +8,40 @@
 namespace {
 
 // Statements that wait in one group. Chosen, not measured: some seconds of a small group's work.
-constexpr std::size_t maxQueued = 512;
+constexpr std::size_t maxQueueLength = 512;
 // How long a statement may wait for a server: one and a half times its route's objective, within
 // these bounds. Longer waits end late, are given up by their callers, and keep others from being in
 // time. Between one and two and a half times, three sites differ by less than 0.005 in worth.
-constexpr int holdNumerator = 3;
-constexpr int holdDenominator = 2;
-constexpr Duration leastHold = std::chrono::milliseconds(250);
-constexpr Duration longestHold = std::chrono::milliseconds(2000);
+constexpr int queueTimeNumerator = 3;
+constexpr int queueTimeDenominator = 2;
+constexpr Duration minQueueTime = std::chrono::milliseconds(250);
+constexpr Duration maxQueueTime = std::chrono::milliseconds(2000);
 // Weights of RFC 6298, as shifts; and how many deviations most samples are within.
-constexpr int meanShare = 8;
-constexpr int deviationShare = 4;
-constexpr int deviations = 1;
+constexpr int meanDivisor = 8;
+constexpr int deviationDivisor = 4;
+constexpr int deviationFactor = 1;
 // An organisation that is ahead of the others by some statements has had more than its share.
-constexpr Duration aheadBy = std::chrono::milliseconds(50);
+constexpr Duration shareTolerance = std::chrono::milliseconds(50);
 // Of a statement whose kind has not been seen yet.
-constexpr Duration leastCost = std::chrono::milliseconds(1);
+constexpr Duration minServiceTime = std::chrono::milliseconds(1);
 // What a caller is told to wait when a group has no primary, or is full.
-constexpr Duration primaryHint = std::chrono::milliseconds(400);
-constexpr Duration fullHint = std::chrono::milliseconds(100);
+constexpr Duration noPrimaryRetryHint = std::chrono::milliseconds(400);
+constexpr Duration queueFullRetryHint = std::chrono::milliseconds(100);
 
 } // namespace
 
-WaitingStatement waitingStatement(Instant arrived, Duration objective, Duration timeLeft,
-                                  int priority, bool continuesTransaction)
+WaitingStatement makeWaitingStatement(Instant arrived, Duration objective, Duration timeLeft,
+                                      int priority, bool continuesTransaction)
 {
-    const Duration hold =
-        std::clamp(objective * holdNumerator / holdDenominator, leastHold, longestHold);
+    const Duration queueTime = std::clamp(objective * queueTimeNumerator / queueTimeDenominator,
+                                          minQueueTime, maxQueueTime);
     WaitingStatement statement;
     statement.continuesTransaction = continuesTransaction;
     statement.priority = priority;
     statement.arrived = arrived;
     statement.due = arrived + objective;
     statement.deadline = arrived + timeLeft;
-    statement.holdUntil = std::min(statement.deadline, arrived + hold);
+    statement.queueDeadline = std::min(statement.deadline, arrived + queueTime);
     return statement;
 }
 
@@ -54,16 +54,16 @@
         return;
     }
     const Duration error = sample - estimate.mean;
-    estimate.deviation += (std::max(error, -error) - estimate.deviation) / deviationShare;
-    estimate.mean += error / meanShare;
+    estimate.deviation += (std::max(error, -error) - estimate.deviation) / deviationDivisor;
+    estimate.mean += error / meanDivisor;
 }
 
-Duration ServiceTimes::usual(Duration objective, int priority) const
+Duration ServiceTimes::typical(Duration objective, int priority) const
 {
     const auto kind = kinds_.find({objective, priority});
     if (kind == kinds_.end())
         return Duration(0);
-    return kind->second.mean + deviations * kind->second.deviation;
+    return kind->second.mean + deviationFactor * kind->second.deviation;
 }
 
 // Open transactions hold connections that others need, so they go on first. Then by the routes'
@@ -73,12 +73,12 @@
 // The load it answers: a sixth more than two slots can do. In the order of arrival, and also with a
 // bonus for what is in time that knew nothing of the time that servers take, 38% were in time; with
 // this, 86% (the replay in slotadmission_test).
-bool goesBefore(const WaitingStatement &a, const WaitingStatement &b, Instant now)
+bool precedes(const WaitingStatement &a, const WaitingStatement &b, Instant now)
 {
     const auto rank = [now](const WaitingStatement &statement) {
         const bool late = now + statement.service > statement.due;
         return std::make_tuple(statement.continuesTransaction ? 0 : 1, statement.priority, late,
-                               statement.aheadOfShare, late ? statement.deadline : statement.due);
+                               statement.overShare, late ? statement.deadline : statement.due);
     };
     return rank(a) < rank(b);
 }
@@ -88,50 +88,51 @@
 // fairshare_test). A quota bounds an organisation before it waits: for those that have one no
 // difference was measured (mean worth of six days 0.635 by due, 0.628 by equal shares, 0.635 by
 // shares as large as the quotas; the same days again differ by 0.025).
-Duration OrganisationTurns::onArrival(const OrganisationName &organisation, Duration service)
+Duration StartTimeFairQueuing::onArrival(const OrganisationName &organisation, Duration service)
 {
     if (organisation.empty())
-        return reached_;
-    Duration &end = ends_[organisation];
-    const Duration turn = std::max(reached_, end);
-    end = turn + std::max(service, leastCost);
-    return turn;
+        return virtualTime_;
+    Duration &end = finishTags_[organisation];
+    const Duration startTag = std::max(virtualTime_, end);
+    end = startTag + std::max(service, minServiceTime);
+    return startTag;
 }
 
-void OrganisationTurns::onStart(Duration turn)
+void StartTimeFairQueuing::onStart(Duration startTag)
 {
-    reached_ = std::max(reached_, turn);
+    virtualTime_ = std::max(virtualTime_, startTag);
 }
 
-bool OrganisationTurns::isAhead(Duration turn) const
+bool StartTimeFairQueuing::isOverShare(Duration startTag) const
 {
-    return turn > reached_ + aheadBy;
+    return startTag > virtualTime_ + shareTolerance;
 }
 
 // One that has been sent keeps its time, and one that had to wait for a primary gets its turn once
 // there is one; any other that still waits is refused.
 Instant giveUpAt(const WaitingStatement &statement, const WaitState &state, Instant now)
 {
-    if (state.underWay)
+    if (state.executing)
         return statement.deadline;
-    if (now < statement.holdUntil)
-        return statement.holdUntil;
-    if (!state.owned || !state.needsPrimary)
-        return statement.holdUntil;
+    if (now < statement.queueDeadline)
+        return statement.queueDeadline;
+    if (!state.ownsGroup || !state.needsPrimary)
+        return statement.queueDeadline;
     if (!state.hasPrimary)
         return statement.deadline;
-    const Duration hold = statement.holdUntil - statement.arrived;
-    return std::min(statement.deadline, std::max(statement.holdUntil, state.primarySince + hold));
+    const Duration queueTime = statement.queueDeadline - statement.arrived;
+    return std::min(statement.deadline,
+                    std::max(statement.queueDeadline, state.primarySince + queueTime));
 }
 
 bool isQueueFull(std::size_t queued)
 {
-    return queued >= maxQueued;
+    return queued >= maxQueueLength;
 }
 
 Duration retryHint(bool hasPrimary)
 {
-    return hasPrimary ? fullHint : primaryHint;
+    return hasPrimary ? queueFullRetryHint : noPrimaryRetryHint;
 }
 
 } // namespace kelptally::decision
--- a/src/decision/slotadmission.h
+++ b/src/decision/slotadmission.h
@@ -27,26 +27,26 @@
     // Its caller or route gives it up.
     Instant deadline;
     // Refused if it has not been sent by then.
-    Instant holdUntil;
+    Instant queueDeadline;
     // Its place among its organisation's statements; and whether that organisation has had more
     // than others that wait.
-    Duration turn {0};
-    bool aheadOfShare = false;
+    Duration startTag {0};
+    bool overShare = false;
 };
 
 // Start-time fair queuing of organisations: each statement's turn is the end of its organisation's
 // one before it, or the turn that the group has come to.
-class OrganisationTurns
+class StartTimeFairQueuing
 {
 public:
     // The statement will take about so long at a server.
     Duration onArrival(const OrganisationName &organisation, Duration service);
-    void onStart(Duration turn);
-    bool isAhead(Duration turn) const;
+    void onStart(Duration startTag);
+    bool isOverShare(Duration startTag) const;
 
 private:
-    Duration reached_ {0};
-    std::map<OrganisationName, Duration> ends_;
+    Duration virtualTime_ {0};
+    std::map<OrganisationName, Duration> finishTags_;
 };
 
 // How long servers take for statements of each kind: those of one objective and priority. Mean and
@@ -56,7 +56,7 @@
 public:
     void add(Duration objective, int priority, Duration sample);
     // What most of them take; zero before the first one.
-    Duration usual(Duration objective, int priority) const;
+    Duration typical(Duration objective, int priority) const;
 
 private:
     struct Estimate
@@ -72,20 +72,20 @@
 struct WaitState
 {
     // It runs, or its acknowledgement is being verified.
-    bool underWay = false;
+    bool executing = false;
     bool needsPrimary = false;
     // This process owns the group.
-    bool owned = false;
+    bool ownsGroup = false;
     bool hasPrimary = false;
     // When the present primary began to lead.
     Instant primarySince {};
 };
 
 // The statement that arrived with this objective and deadline.
-WaitingStatement waitingStatement(Instant arrived, Duration objective, Duration timeLeft,
-                                  int priority, bool continuesTransaction);
+WaitingStatement makeWaitingStatement(Instant arrived, Duration objective, Duration timeLeft,
+                                      int priority, bool continuesTransaction);
 
-bool goesBefore(const WaitingStatement &a, const WaitingStatement &b, Instant now);
+bool precedes(const WaitingStatement &a, const WaitingStatement &b, Instant now);
 
 // When the statement is given up, as things are now.
 Instant giveUpAt(const WaitingStatement &statement, const WaitState &state, Instant now);
--- a/src/decision/statementretry.cpp
+++ b/src/decision/statementretry.cpp
@@ -9,45 +9,45 @@
 // A read that met so many failing servers is refused. Chosen, not measured.
 constexpr int maxAttempts = 8;
 // A slot is free again after some milliseconds of work.
-constexpr Duration afterBusy = std::chrono::milliseconds(8);
+constexpr Duration busyDelay = std::chrono::milliseconds(8);
 // Replicas are usually some 10 ms behind; the first read after a lag waits for no more than the
 // longest pause.
-constexpr Duration afterBehind = std::chrono::milliseconds(10);
-constexpr Duration longestAfterBehind = std::chrono::milliseconds(160);
+constexpr Duration minLaggingDelay = std::chrono::milliseconds(10);
+constexpr Duration maxLaggingDelay = std::chrono::milliseconds(160);
 // The primary is looked for meanwhile.
-constexpr Duration afterReadOnly = std::chrono::milliseconds(20);
+constexpr Duration readOnlyDelay = std::chrono::milliseconds(20);
 
-bool isNotRun(ServerError error)
+bool isNotExecuted(ServerError error)
 {
     return error == ServerError::Busy || error == ServerError::Lagging
         || error == ServerError::ReadOnly || error == ServerError::UnknownStatement;
 }
 
-Verdict again(Reason reason, Duration pause = {})
+RetryDecision sendAgain(Reason reason, Duration pause = {})
 {
-    Verdict verdict;
-    verdict.again = true;
-    verdict.reason = reason;
-    verdict.pause = pause;
-    return verdict;
+    RetryDecision result;
+    result.sendAgain = true;
+    result.reason = reason;
+    result.pause = pause;
+    return result;
 }
 
-Verdict refused(Reason reason, Executed executed, bool endsTransaction = false)
+RetryDecision refused(Reason reason, Executed executed, bool endsTransaction = false)
 {
-    Verdict verdict;
-    verdict.reason = reason;
-    verdict.executed = executed;
-    verdict.endsTransaction = endsTransaction;
-    return verdict;
+    RetryDecision result;
+    result.reason = reason;
+    result.executed = executed;
+    result.endsTransaction = endsTransaction;
+    return result;
 }
 
 // A statement that was only refused can be sent again; any other error ends the transaction, and a
 // commit that ran may have taken effect.
-Verdict inTransaction(const FailedStatement &statement)
+RetryDecision inTransaction(const FailedStatement &statement)
 {
-    if (statement.error == ServerError::Busy && statement.stillOpen)
-        return again(Reason::QueueFull, afterBusy);
-    const bool ran = !isNotRun(statement.error);
+    if (statement.error == ServerError::Busy && statement.transactionStillOpen)
+        return sendAgain(Reason::QueueFull, busyDelay);
+    const bool ran = !isNotExecuted(statement.error);
     if (statement.commit && ran)
         return refused(Reason::Unconfirmed, Executed::Unknown, true);
     const bool plain = statement.error == ServerError::Failed;
@@ -56,22 +56,22 @@
 
 } // namespace
 
-Verdict onServerError(const FailedStatement &statement)
+RetryDecision onServerError(const FailedStatement &statement)
 {
     if (statement.inTransaction)
         return inTransaction(statement);
-    const bool notRun = isNotRun(statement.error);
-    const bool repeats = statement.read || statement.begins;
-    if (notRun || (repeats && statement.attempts < maxAttempts)) {
+    const bool notExecuted = isNotExecuted(statement.error);
+    const bool mayRepeat = statement.read || statement.begins;
+    if (notExecuted || (mayRepeat && statement.attempts < maxAttempts)) {
         switch (statement.error) {
         case ServerError::Busy:
-            return again(Reason::QueueFull);
+            return sendAgain(Reason::QueueFull);
         case ServerError::Lagging:
-            return again(Reason::PositionNotReached);
+            return sendAgain(Reason::PositionNotReached);
         case ServerError::ReadOnly:
-            return again(Reason::NoPrimary, afterReadOnly);
+            return sendAgain(Reason::NoPrimary, readOnlyDelay);
         default:
-            return again(Reason::StatementFailed);
+            return sendAgain(Reason::StatementFailed);
         }
     }
     if (statement.error == ServerError::TimedOut)
@@ -79,26 +79,26 @@
     return refused(Reason::StatementFailed, statement.read ? Executed::No : Executed::Yes);
 }
 
-Verdict onAnswerLost(const FailedStatement &statement)
+RetryDecision onAnswerLost(const FailedStatement &statement)
 {
-    const bool repeats =
+    const bool mayRepeat =
         (statement.single && statement.read) || (statement.begins && !statement.commit);
-    if (repeats && statement.attempts < maxAttempts)
-        return again(Reason::Unconfirmed);
-    const bool mayStay = statement.commit || (statement.single && !statement.read);
-    if (mayStay)
+    if (mayRepeat && statement.attempts < maxAttempts)
+        return sendAgain(Reason::Unconfirmed);
+    const bool mayBeCommitted = statement.commit || (statement.single && !statement.read);
+    if (mayBeCommitted)
         return refused(Reason::Unconfirmed, Executed::Unknown, true);
     return refused(Reason::TransactionEnded, Executed::No, true);
 }
 
-Duration busyPause()
+Duration busyBackoff()
 {
-    return afterBusy;
+    return busyDelay;
 }
 
-Duration nextBehindPause(Duration last)
+Duration nextLaggingBackoff(Duration last)
 {
-    return std::clamp(2 * last, afterBehind, longestAfterBehind);
+    return std::clamp(2 * last, minLaggingDelay, maxLaggingDelay);
 }
 
 } // namespace kelptally::decision
--- a/src/decision/statementretry.h
+++ b/src/decision/statementretry.h
@@ -34,14 +34,14 @@
     // A transaction is open at the server, by this statement or one before it.
     bool inTransaction = false;
     // The server says that it still is.
-    bool stillOpen = false;
+    bool transactionStillOpen = false;
     // How often it was sent.
     int attempts = 0;
 };
 
-struct Verdict
+struct RetryDecision
 {
-    bool again = false;
+    bool sendAgain = false;
     // Why it is sent again, or the reason of the refusal.
     Reason reason = Reason::None;
     // Before it is sent again.
@@ -52,14 +52,14 @@
     bool endsTransaction = false;
 };
 
-Verdict onServerError(const FailedStatement &statement);
+RetryDecision onServerError(const FailedStatement &statement);
 
 // The connection ended before the answer came.
-Verdict onAnswerLost(const FailedStatement &statement);
+RetryDecision onAnswerLost(const FailedStatement &statement);
 
 // How long a server that refused work is left alone, and a replica that was behind, by its last
 // pause: it grows while it goes on refusing.
-Duration busyPause();
-Duration nextBehindPause(Duration last);
+Duration busyBackoff();
+Duration nextLaggingBackoff(Duration last);
 
 } // namespace kelptally::decision
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -125,14 +125,14 @@
     request->state = RequestState::Waiting;
     request->mayHaveRun = request->mayHaveRun || failure.executed != Executed::No;
     request->lastReason = failure.reason;
-    decision::Attempt made;
+    decision::FailedAttempt made;
     made.reason = failure.reason;
     made.repeatable = request->admitted.repeatable;
     made.hasKey = !request->admitted.execute.key.empty()
         && request->admitted.execute.step == inner::StatementStep::Single;
     // A request that may be repeated anyway looks for an owner like one that never ran.
     const bool harmless = !request->mayHaveRun || made.repeatable || made.hasKey;
-    made.executedNo = failure.executed == Executed::No && harmless;
+    made.notExecuted = failure.executed == Executed::No && harmless;
     made.number = request->attempt;
     made.deadlineLeft = request->deadline - parts_.timers.now() - ownerMargin;
     const std::optional<Duration> pause = policy_->retryAfter(made);
--- a/src/group/grouphost.h
+++ b/src/group/grouphost.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "group/grouprunner.h"
-#include "group/quotabook.h"
+#include "group/quotamanager.h"
 
 #include <deque>
 #include <map>
@@ -43,7 +43,7 @@
         // Whether the table service answers nothing, as far as is known.
         std::function<bool()> storeIsSilent;
         decision::QuotaTolerance quotaTolerance;
-        decision::Ways ways;
+        decision::PolicyOptions ways;
     };
 
     explicit GroupHost(const Parts &parts);
@@ -55,7 +55,7 @@
 
     void setServers(const GroupName &group, const std::vector<ListedServer> &servers);
     void setCatalogue(session::CataloguePtr catalogue);
-    QuotaBook &quotas() { return quotas_; }
+    QuotaManager &quotas() { return quotas_; }
 
     void run(inner::LinkId origin, inner::RunStatement statement,
              session::DoneCallback callback) override;
@@ -142,7 +142,7 @@
 
     const Parts parts_;
     OwnershipTable ownership_;
-    QuotaBook quotas_;
+    QuotaManager quotas_;
     std::map<GroupName, std::vector<ListedServer>> servers_;
     // Null before the first one.
     session::CataloguePtr catalogue_;
--- a/src/group/grouprunner.cpp
+++ b/src/group/grouprunner.cpp
@@ -352,12 +352,12 @@
     job->statement = std::move(statement);
     job->origin = {origin, job->statement.session};
     job->callback = std::move(callback);
-    job->waiting =
-        decision::waitingStatement(now, job->statement.objective, job->statement.timeLeft,
-                                   job->statement.priority, continuesTransaction(job->statement));
-    job->waiting.service = serviceTimes_.usual(job->statement.objective, job->statement.priority);
+    job->waiting = decision::makeWaitingStatement(now, job->statement.objective,
+                                                  job->statement.timeLeft, job->statement.priority,
+                                                  continuesTransaction(job->statement));
+    job->waiting.service = serviceTimes_.typical(job->statement.objective, job->statement.priority);
     if (hasTurns(job->statement.organisation))
-        job->waiting.turn = turns_.onArrival(job->statement.organisation, job->waiting.service);
+        job->waiting.startTag = turns_.onArrival(job->statement.organisation, job->waiting.service);
     job->values = valuesOf(job->statement);
     if (continuesTransaction(job->statement)) {
         const auto open = transactions_.find(job->origin);
@@ -378,7 +378,7 @@
                       decision::retryHint(!keeper_.primary().empty()));
     if (!continuesTransaction(job->statement) && !takeQuota(job))
         return refuseForQuota(job);
-    job->timer = parts_.timers.subscribeAt(job->waiting.holdUntil, [this, alive = alive_, job] {
+    job->timer = parts_.timers.subscribeAt(job->waiting.queueDeadline, [this, alive = alive_, job] {
         if (*alive)
             onHeldTooLong(job);
     });
@@ -388,12 +388,12 @@
 
 bool GroupRunner::hasTurns(const OrganisationName &organisation) const
 {
-    switch (parts_.ways.wait) {
-    case decision::WaitRule::FairUnlessLimited:
+    switch (parts_.ways.queueDiscipline) {
+    case decision::QueueDiscipline::FairUnlessLimited:
         return !organisation.empty() && !parts_.quotas.hasQuota(organisation);
-    case decision::WaitRule::Fair:
+    case decision::QueueDiscipline::Fair:
         return !organisation.empty();
-    case decision::WaitRule::Due:
+    case decision::QueueDiscipline::EarliestDueDate:
         break;
     }
     return false;
@@ -404,9 +404,9 @@
 {
     if (job->statement.organisation.empty())
         return true;
-    const QuotaBook::Verdict verdict = parts_.quotas.take(job->statement.organisation);
-    job->quota = verdict == QuotaBook::Verdict::Taken ? Job::Quota::Taken : Job::Quota::Asked;
-    return verdict != QuotaBook::Verdict::Refused;
+    const QuotaManager::TakeResult verdict = parts_.quotas.take(job->statement.organisation);
+    job->quota = verdict == QuotaManager::TakeResult::Taken ? Job::Quota::Taken : Job::Quota::Asked;
+    return verdict != QuotaManager::TakeResult::Refused;
 }
 
 void GroupRunner::refuseForQuota(const JobPtr &job)
@@ -425,9 +425,9 @@
     if (queue_.size() < 2)
         return;
     for (const JobPtr &job : queue_)
-        job->waiting.aheadOfShare = turns_.isAhead(job->waiting.turn);
+        job->waiting.overShare = turns_.isOverShare(job->waiting.startTag);
     queue_.sort([now](const JobPtr &a, const JobPtr &b) {
-        return decision::goesBefore(a->waiting, b->waiting, now);
+        return decision::precedes(a->waiting, b->waiting, now);
     });
 }
 
@@ -533,7 +533,7 @@
 }
 
 // Once for each statement and place that it meets in a row.
-void GroupRunner::countPlace(Job &job, decision::Place place)
+void GroupRunner::countPlace(Job &job, decision::ConnectionAction place)
 {
     if (job.place == place)
         return;
@@ -565,9 +565,9 @@
 decision::WaitState GroupRunner::waitState(const JobPtr &job) const
 {
     decision::WaitState state;
-    state.underWay = job->running || job->unverified;
+    state.executing = job->running || job->unverified;
     state.needsPrimary = needsPrimary(job->statement);
-    state.owned = active_;
+    state.ownsGroup = active_;
     state.hasPrimary = !keeper_.primary().empty();
     state.primarySince = primarySince_;
     return state;
@@ -603,7 +603,7 @@
         const bool hasPrimary = !keeper_.primary().empty();
         parts_.log
             .info("statement_not_started",
-                  job->place ? decision::placeName(*job->place) : "wait_for_slot")
+                  job->place ? decision::connectionActionName(*job->place) : "wait_for_slot")
             .with("id", job->statement.statementId)
             .with("group", group_)
             .with("organisation", job->statement.organisation)
--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -9,7 +9,7 @@
 #include "decision/statementretry.h"
 #include "group/connectionstate.h"
 #include "group/primarykeeper.h"
-#include "group/quotabook.h"
+#include "group/quotamanager.h"
 #include "session/catalogue.h"
 
 #include <deque>
@@ -30,7 +30,7 @@
         TimerService &timers;
         ServerConnector &connector;
         OwnershipTable &ownership;
-        QuotaBook &quotas;
+        QuotaManager &quotas;
         PromotionService &promotions;
         EventLog &log;
         Metrics &metrics;
@@ -39,7 +39,7 @@
         ZoneName zone;
         // See GroupServer::Parts.
         std::function<void(Instant since)> onSilence;
-        decision::Ways ways;
+        decision::PolicyOptions ways;
     };
 
     GroupRunner(const Parts &parts, const GroupName &group);
@@ -105,7 +105,7 @@
         int attempts = 0;
         Instant notBefore {};
         // What it found when it asked for a connection last.
-        std::optional<decision::Place> place;
+        std::optional<decision::ConnectionAction> place;
         // While it runs.
         ServerName server;
         PooledConnectionPtr connection;
@@ -143,13 +143,14 @@
     void sortQueue(Instant now);
     decision::WaitState waitState(const JobPtr &job) const;
     decision::FailedStatement failed(const JobPtr &job) const;
-    void follow(const JobPtr &job, const decision::Verdict &verdict, const std::string &detail);
+    void follow(const JobPtr &job, const decision::RetryDecision &verdict,
+                const std::string &detail);
     // A server may take another statement.
     bool anySlot(Instant now) const;
     void pump();
     void pumpSoon();
     bool tryStart(const JobPtr &job, Instant now);
-    void countPlace(Job &job, decision::Place place);
+    void countPlace(Job &job, decision::ConnectionAction place);
     bool startInTransaction(const JobPtr &job, Transaction &transaction);
     GroupServer *chooseServer(const JobPtr &job, Instant now);
     GroupServer *chooseReader(const JobPtr &job, Instant now);
@@ -195,7 +196,7 @@
     decision::PositionLog positions_;
     decision::CommitWatch commits_;
     decision::ServiceTimes serviceTimes_;
-    decision::OrganisationTurns turns_;
+    decision::StartTimeFairQueuing turns_;
     // By priority and objective: transactions that are open come first, since they hold
     // connections.
     std::list<JobPtr> queue_;
--- a/src/group/grouprunnerwork.cpp
+++ b/src/group/grouprunnerwork.cpp
@@ -19,7 +19,7 @@
     job->sentAt = parts_.timers.now();
     job->running = true;
     ++job->attempts;
-    turns_.onStart(job->waiting.turn);
+    turns_.onStart(job->waiting.startTag);
     server.sent();
     server.beginWork(*connection, session::mayRepeat(job->statement));
     running_.push_back(job);
@@ -222,10 +222,10 @@
     return statement;
 }
 
-void GroupRunner::follow(const JobPtr &job, const decision::Verdict &verdict,
+void GroupRunner::follow(const JobPtr &job, const decision::RetryDecision &verdict,
                          const std::string &detail)
 {
-    if (verdict.again)
+    if (verdict.sendAgain)
         return retry(job, verdict.reason, verdict.pause);
     refuse(job, verdict.reason, verdict.executed, detail);
 }
@@ -237,9 +237,9 @@
     const Instant now = parts_.timers.now();
     // 1. What the server's state tells for the next choice.
     if (server != nullptr && result.error == ServerError::Busy)
-        server->seen.busyUntil = now + decision::busyPause();
+        server->seen.busyUntil = now + decision::busyBackoff();
     if (server != nullptr && result.error == ServerError::Lagging) {
-        server->seen.behindPause = decision::nextBehindPause(server->seen.behindPause);
+        server->seen.behindPause = decision::nextLaggingBackoff(server->seen.behindPause);
         server->seen.behindUntil = now + server->seen.behindPause;
         if (server->id() == keeper_.primary())
             positions_.clear();
@@ -249,8 +249,8 @@
     // 2. What follows for the statement.
     decision::FailedStatement statement = failed(job);
     statement.error = result.error;
-    statement.stillOpen = result.inTransaction;
-    const decision::Verdict verdict = decision::onServerError(statement);
+    statement.transactionStillOpen = result.inTransaction;
+    const decision::RetryDecision verdict = decision::onServerError(statement);
     // 3. Its connection: kept by an open transaction, used again when its state is known.
     if (statement.inTransaction) {
         // The slot is free in any case.
@@ -258,7 +258,7 @@
         if (verdict.endsTransaction)
             forgetTransaction(job->origin, true);
         // What was begun is open; only the statement itself is sent again.
-        if (verdict.again)
+        if (verdict.sendAgain)
             job->statement.begins = inner::TransactionMode::None;
         return follow(job, verdict, result.detail);
     }
@@ -267,14 +267,14 @@
     const bool notRun = result.error == ServerError::Busy || result.error == ServerError::Lagging
         || result.error == ServerError::ReadOnly || result.error == ServerError::UnknownStatement;
     release(job, notRun && result.idle);
-    if (verdict.again)
+    if (verdict.sendAgain)
         job->avoid.insert(job->server);
     follow(job, verdict, result.detail);
 }
 
 void GroupRunner::onConnectionLost(const JobPtr &job)
 {
-    const decision::Verdict verdict = decision::onAnswerLost(failed(job));
+    const decision::RetryDecision verdict = decision::onAnswerLost(failed(job));
     parts_.log.info("server_answer_lost")
         .with("id", job->statement.statementId)
         .with("group", group_)
@@ -286,7 +286,7 @@
     release(job, false);
     forgetTransaction(job->origin, true);
     onTrouble(server, ConnectOutcome::Failed);
-    if (verdict.again)
+    if (verdict.sendAgain)
         job->avoid.insert(server);
     follow(job, verdict,
            verdict.executed == Executed::Unknown ? "the server's answer was lost"
--- a/src/group/groupserver.cpp
+++ b/src/group/groupserver.cpp
@@ -79,7 +79,7 @@
 {
     decision::OwnerShare share {sharePercent, sharePercent};
     if (byOrganisation)
-        share = {parts_.ways.ownerShare, parts_.ways.restingShare};
+        share = {parts_.ways.ownerSharePercent, parts_.ways.maxOwnerSharePercent};
     pool_.setMaxConnections(count, byOrganisation, share);
 }
 
--- a/src/group/groupserver.h
+++ b/src/group/groupserver.h
@@ -2,7 +2,7 @@
 
 #include "core/eventlog.h"
 #include "core/timerservice.h"
-#include "decision/ways.h"
+#include "decision/policyoptions.h"
 #include "group/serverpool.h"
 #include "session/stagetimes.h"
 
@@ -53,7 +53,7 @@
         // Connections have gone silent without an end: others of this process may have, too, that
         // have not answered since.
         std::function<void(Instant since)> onSilence;
-        decision::Ways ways;
+        decision::PolicyOptions ways;
     };
 
     GroupServer(const Parts &parts, const ListedServer &listed);
--- a/src/group/quotabook.cpp
+++ b/src/group/quotamanager.cpp
@@ -1,4 +1,4 @@
-#include "group/quotabook.h"
+#include "group/quotamanager.h"
 
 #include <prometheus/counter.h>
 
@@ -12,30 +12,31 @@
 constexpr Duration refreshPeriod = std::chrono::milliseconds(200);
 constexpr double thousandths = 1000;
 // A request is bounded by what anyone could have.
-constexpr std::uint64_t mostThousandths = std::uint64_t(1) << 50;
-// Organisations with a counter of their own; the rest share one, so that the page stays bounded.
-constexpr std::size_t maxCounted = 100;
+constexpr std::uint64_t maxThousandths = std::uint64_t(1) << 50;
+// Organisations with a counter of their hasOwnCounter; the rest share one, so that the page stays
+// bounded.
+constexpr std::size_t maxOrganisationCounters = 100;
 
 } // namespace
 
-QuotaBook::QuotaBook(const Parts &parts) : parts_(parts) { }
+QuotaManager::QuotaManager(const Parts &parts) : parts_(parts) { }
 
-void QuotaBook::setCatalogue(const session::Catalogue &catalogue)
+void QuotaManager::setCatalogue(const session::Catalogue &catalogue)
 {
     groups_.clear();
     for (const auto &[name, options] : catalogue.groups)
         groups_.push_back(name);
     version_ = catalogue.version;
     organisations_.clear();
-    std::map<OrganisationName, Account> before;
-    before.swap(accounts_);
+    std::map<OrganisationName, Account> previous;
+    previous.swap(accounts_);
     for (const auto &[organisation, quota] : catalogue.organisations) {
         organisations_.insert(organisation);
         if (!quota)
             continue;
         Account &account = accounts_[organisation];
-        const auto known = before.find(organisation);
-        if (known != before.end())
+        const auto known = previous.find(organisation);
+        if (known != previous.end())
             account = std::move(known->second);
         account.quota = *quota;
         account.holders.clear();
@@ -43,28 +44,28 @@
     }
 }
 
-bool QuotaBook::isKnown(const OrganisationName &organisation, ConfigVersion version) const
+bool QuotaManager::isKnown(const OrganisationName &organisation, ConfigVersion version) const
 {
     return version > version_ || organisations_.count(organisation) != 0;
 }
 
-decision::QuotaHolders QuotaBook::holdersOf(const Account &account) const
+decision::QuotaHolders QuotaManager::holdersOf(const Account &account) const
 {
     decision::QuotaHolders holders;
     for (const GroupName &group : account.holders) {
         const bool owned = parts_.ownership.owns(group);
         const OwnershipRecord *record = parts_.ownership.record(group);
-        const bool doubled = owned ? !parts_.ownership.isAlone(group)
-                                   : record != nullptr && record->guardedUntil != Duration(0);
-        ++holders.all;
-        holders.doubled += doubled;
+        const bool overlapping = owned ? !parts_.ownership.isAlone(group)
+                                       : record != nullptr && record->guardedUntil != Duration(0);
+        ++holders.total;
+        holders.overlapping += overlapping;
         holders.owned += owned;
-        holders.ownedDoubled += owned && doubled;
+        holders.ownedOverlapping += owned && overlapping;
     }
     return holders;
 }
 
-QuotaBook::Account *QuotaBook::find(const OrganisationName &organisation)
+QuotaManager::Account *QuotaManager::find(const OrganisationName &organisation)
 {
     const auto found = accounts_.find(organisation);
     if (found == accounts_.end())
@@ -77,46 +78,47 @@
     if (now >= account.refreshAt) {
         account.refreshAt = now + refreshPeriod;
         account.account.set(
-            now, decision::quotaPart(account.quota, parts_.tolerance, holdersOf(account)));
+            now, decision::quotaShare(account.quota, parts_.tolerance, holdersOf(account)));
     }
     return &account;
 }
 
-QuotaBook::Verdict QuotaBook::take(const OrganisationName &organisation)
+QuotaManager::TakeResult QuotaManager::take(const OrganisationName &organisation)
 {
     Account *account = find(organisation);
     if (account == nullptr)
-        return Verdict::Taken;
+        return TakeResult::Taken;
     const Instant now = parts_.timers.now();
     const bool taken = account->account.take(now);
-    if (const auto need = account->account.needs(now))
-        ask(organisation, *account, *need);
+    if (const auto grantRequest = account->account.nextGrantRequest(now))
+        requestGrants(organisation, *account, *grantRequest);
     if (taken)
-        return Verdict::Taken;
-    return account->account.awaitsGifts(now) ? Verdict::Ask : Verdict::Refused;
+        return TakeResult::Taken;
+    return account->account.awaitsGrants(now) ? TakeResult::Pending : TakeResult::Refused;
 }
 
-void QuotaBook::giveBack(const OrganisationName &organisation)
+void QuotaManager::giveBack(const OrganisationName &organisation)
 {
     if (Account *account = find(organisation))
         account->account.giveBack(parts_.timers.now());
 }
 
-Duration QuotaBook::refuse(const OrganisationName &organisation)
+Duration QuotaManager::refuse(const OrganisationName &organisation)
 {
-    const bool own = counted_.count(organisation) != 0 || counted_.size() < maxCounted;
-    if (own)
-        counted_.insert(organisation);
+    const bool hasOwnCounter = organisationsWithCounter_.count(organisation) != 0
+        || organisationsWithCounter_.size() < maxOrganisationCounters;
+    if (hasOwnCounter)
+        organisationsWithCounter_.insert(organisation);
     parts_.metrics
         .counter("kelptally_quota_refusals_total",
                  "Operations refused because their organisation's quota was used up",
-                 {{"organisation", own ? organisation : "other"}})
+                 {{"organisation", hasOwnCounter ? organisation : "other"}})
         .Increment();
     Account *account = find(organisation);
     if (account == nullptr)
         return Duration(0);
     const Instant now = parts_.timers.now();
-    const Duration wait = account->account.untilRoom(now);
+    const Duration wait = account->account.retryDelay(now);
     parts_.log.info("quota_used_up")
         .with("organisation", organisation)
         .with("per_second", static_cast<std::uint64_t>(account->quota.perSecond))
@@ -128,8 +130,8 @@
 }
 
 // Some of the owners of the groups that hold the quota, by turns.
-void QuotaBook::ask(const OrganisationName &organisation, const Account &account,
-                    const decision::QuotaAccount::Need &need)
+void QuotaManager::requestGrants(const OrganisationName &organisation, const Account &account,
+                                 const decision::QuotaAccount::GrantRequest &grantRequest)
 {
     std::set<std::string> others;
     for (const GroupName &group : account.holders)
@@ -139,31 +141,31 @@
     const std::vector<std::string> owners(others.begin(), others.end());
     inner::QuotaRequest request;
     request.organisation = organisation;
-    request.thousandths = static_cast<std::uint64_t>(need.wanted * thousandths);
-    for (std::size_t i = 0; i < std::min(need.owners, owners.size()); ++i)
-        static_cast<void>(parts_.links.sendTo(owners[askNext_++ % owners.size()], request));
+    request.thousandths = static_cast<std::uint64_t>(grantRequest.wanted * thousandths);
+    for (std::size_t i = 0; i < std::min(grantRequest.owners, owners.size()); ++i)
+        static_cast<void>(parts_.links.sendTo(owners[nextOwner_++ % owners.size()], request));
 }
 
-void QuotaBook::onRequest(inner::LinkId link, const inner::QuotaRequest &request)
+void QuotaManager::onRequest(inner::LinkId link, const inner::QuotaRequest &request)
 {
     Account *account = find(request.organisation);
     if (account == nullptr)
         return;
     const double wanted =
-        static_cast<double>(std::min(request.thousandths, mostThousandths)) / thousandths;
-    inner::QuotaGift gift;
-    gift.organisation = request.organisation;
-    gift.thousandths = static_cast<std::uint64_t>(account->account.give(parts_.timers.now(), wanted)
-                                                  * thousandths);
-    if (gift.thousandths > 0)
-        static_cast<void>(parts_.links.sendOn(link, gift));
+        static_cast<double>(std::min(request.thousandths, maxThousandths)) / thousandths;
+    inner::QuotaGift message;
+    message.organisation = request.organisation;
+    message.thousandths = static_cast<std::uint64_t>(
+        account->account.grant(parts_.timers.now(), wanted) * thousandths);
+    if (message.thousandths > 0)
+        static_cast<void>(parts_.links.sendOn(link, message));
 }
 
-void QuotaBook::onGift(const inner::QuotaGift &gift)
+void QuotaManager::onGrant(const inner::QuotaGift &message)
 {
-    if (Account *account = find(gift.organisation))
+    if (Account *account = find(message.organisation))
         account->account.receive(parts_.timers.now(),
-                                 static_cast<double>(std::min(gift.thousandths, mostThousandths))
+                                 static_cast<double>(std::min(message.thousandths, maxThousandths))
                                      / thousandths);
 }
 
--- a/src/group/quotabook.h
+++ b/src/group/quotamanager.h
@@ -17,7 +17,7 @@
 
 // What this host has of the quotas of organisations, whose operations the groups that it owns run.
 // Asks other owners for more, and gives them what is to spare; see decision/quota.
-class QuotaBook
+class QuotaManager
 {
 public:
     struct Parts
@@ -31,18 +31,18 @@
         decision::QuotaTolerance tolerance;
     };
 
-    explicit QuotaBook(const Parts &parts);
+    explicit QuotaManager(const Parts &parts);
 
     void setCatalogue(const session::Catalogue &catalogue);
 
-    enum class Verdict {
+    enum class TakeResult {
         Taken,
         // Other owners have been asked a moment ago: there may be room when they answer.
-        Ask,
+        Pending,
         Refused,
     };
     // One operation of the organisation.
-    Verdict take(const OrganisationName &organisation);
+    TakeResult take(const OrganisationName &organisation);
     // One that was taken has not run.
     void giveBack(const OrganisationName &organisation);
     // When there is room for one that is refused now; counts the refusal.
@@ -57,7 +57,7 @@
     }
 
     void onRequest(inner::LinkId link, const inner::QuotaRequest &request);
-    void onGift(const inner::QuotaGift &gift);
+    void onGrant(const inner::QuotaGift &message);
 
 private:
     struct Account
@@ -71,8 +71,8 @@
     // Null for an organisation without a quota.
     Account *find(const OrganisationName &organisation);
     decision::QuotaHolders holdersOf(const Account &account) const;
-    void ask(const OrganisationName &organisation, const Account &account,
-             const decision::QuotaAccount::Need &need);
+    void requestGrants(const OrganisationName &organisation, const Account &account,
+                       const decision::QuotaAccount::GrantRequest &grantRequest);
 
     const Parts parts_;
     ConfigVersion version_ = 0;
@@ -81,9 +81,9 @@
     // Of those that have a quota.
     std::map<OrganisationName, Account> accounts_;
     // Where the next question begins among the owners, so that all are asked in turn.
-    std::size_t askNext_ = 0;
+    std::size_t nextOwner_ = 0;
     // Organisations that have a counter of their own.
-    std::set<OrganisationName> counted_;
+    std::set<OrganisationName> organisationsWithCounter_;
 };
 
 } // namespace kelptally::group
--- a/src/group/serverpool.cpp
+++ b/src/group/serverpool.cpp
@@ -39,7 +39,8 @@
         return *limit_;
     const auto resting = std::count_if(taken_.begin(), taken_.end(),
                                        [](const auto &each) { return !each->working; });
-    const int own = decision::ownerShare(maxConnections_, static_cast<int>(resting), ownerShare_);
+    const int own =
+        decision::maxOwnerConnections(maxConnections_, static_cast<int>(resting), ownerShare_);
     return now < crowdedUntil_ ? std::min(own, crowdedShare_) : own;
 }
 
@@ -64,36 +65,37 @@
     server.share = share(now);
     server.slots = slots;
     server.mayOpen = mayOpen;
-    server.leastRest = leastRest_;
+    server.minIdleTime = leastRest_;
     if (!organisation.empty()) {
         server.opening = openingOwned_;
-        const auto openingForIt = openingFor_.find(organisation);
-        server.openingForIt = openingForIt == openingFor_.end() ? 0 : openingForIt->second;
+        const auto openingForOrganisation = openingFor_.find(organisation);
+        server.openingForOrganisation =
+            openingForOrganisation == openingFor_.end() ? 0 : openingForOrganisation->second;
     }
     // 2. One of them, or a new one.
-    const decision::PlaceChoice choice = decision::choosePlace(idle, server, now);
+    const decision::ConnectionChoice choice = decision::chooseConnection(idle, server, now);
     const auto chosen = idle_.begin() + static_cast<std::ptrdiff_t>(choice.index);
-    switch (choice.place) {
-    case decision::Place::Use: {
+    switch (choice.action) {
+    case decision::ConnectionAction::Use: {
         const PooledConnectionPtr connection = *chosen;
         changeIdle().erase(chosen);
         taken_.push_back(connection);
-        return {connection, choice.place};
+        return {connection, choice.action};
     }
-    case decision::Place::Replace:
+    case decision::ConnectionAction::Replace:
         (*chosen)->connection->close();
         changeIdle().erase(chosen);
         startOpening(organisation);
         break;
-    case decision::Place::Open:
+    case decision::ConnectionAction::Open:
         startOpening(organisation);
         break;
-    case decision::Place::WaitForOpening:
-    case decision::Place::WaitForUse:
-    case decision::Place::WaitForServer:
+    case decision::ConnectionAction::WaitForOpening:
+    case decision::ConnectionAction::WaitForIdle:
+    case decision::ConnectionAction::WaitForServer:
         break;
     }
-    return {nullptr, choice.place};
+    return {nullptr, choice.action};
 }
 
 void ServerPool::startOpening(const OrganisationName &organisation)
--- a/src/group/serverpool.h
+++ b/src/group/serverpool.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/connectionplaces.h"
+#include "decision/connectionchoice.h"
 #include "group/serverport.h"
 
 #include <functional>
@@ -57,7 +57,7 @@
     {
         // Null when there is none.
         PooledConnectionPtr connection;
-        decision::Place place = decision::Place::Use;
+        decision::ConnectionAction place = decision::ConnectionAction::Use;
     };
 
     // A free connection of the organisation, best one with these values. If there is none, one is
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -410,7 +410,7 @@
 
 void HostProcess::handle(inner::LinkId, inner::QuotaGift &message)
 {
-    groups_->quotas().onGift(message);
+    groups_->quotas().onGrant(message);
 }
 
 void HostProcess::handle(inner::LinkId link, inner::AliveRequest &message)
--- a/src/owner/serverlane.cpp
+++ b/src/owner/serverlane.cpp
@@ -187,7 +187,7 @@
 
 void ServerLane::dropLate()
 {
-    for (const decision::Dropped &dropped : admission_.expire(ports_.timers.now())) {
+    for (const decision::DroppedWork &dropped : admission_.expire(ports_.timers.now())) {
         LaneRefusal refusal;
         refusal.reason = dropped.reason;
         refusal.retryAfter = dropped.retryAfter;
--- a/src/session/stagetimes.cpp
+++ b/src/session/stagetimes.cpp
@@ -38,13 +38,14 @@
       server_(stage(metrics, "server")), owner_(stage(metrics, "owner"))
 {
     for (std::size_t i = 0; i < places_.size(); ++i)
-        places_[i] =
-            &metrics.counter("kelptally_connection_places_total",
-                             "What statements found when they asked for a connection to a server",
-                             {{"place", decision::placeName(static_cast<decision::Place>(i))}});
+        places_[i] = &metrics.counter(
+            "kelptally_connection_places_total",
+            "What statements found when they asked for a connection to a server",
+            {{"place",
+              decision::connectionActionName(static_cast<decision::ConnectionAction>(i))}});
 }
 
-void StageTimes::countPlace(decision::Place place)
+void StageTimes::countPlace(decision::ConnectionAction place)
 {
     places_[static_cast<std::size_t>(place)]->Increment();
 }
--- a/src/session/stagetimes.h
+++ b/src/session/stagetimes.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/metrics.h"
-#include "decision/connectionplaces.h"
+#include "decision/connectionchoice.h"
 #include "inner/messages.h"
 
 #include <array>
@@ -25,7 +25,7 @@
     // From the sending to the owner on another host to its answer.
     void addOwner(Duration time);
     // What a statement found when it asked for a connection to a server.
-    void countPlace(decision::Place place);
+    void countPlace(decision::ConnectionAction place);
 
 private:
     prometheus::Histogram *rules_[3];
@@ -33,7 +33,7 @@
     prometheus::Histogram &connection_;
     prometheus::Histogram &server_;
     prometheus::Histogram &owner_;
-    std::array<prometheus::Counter *, decision::placeCount> places_;
+    std::array<prometheus::Counter *, decision::connectionActionCount> places_;
 };
 
 } // namespace kelptally::session
--- a/src/settings/hostsettings.cpp
+++ b/src/settings/hostsettings.cpp
@@ -95,11 +95,12 @@
 void readExperiments(SectionReader &reader, HostSettings &settings)
 {
     using namespace decision;
-    Ways &ways = settings.ways;
-    ways.wait =
-        static_cast<WaitRule>(reader.choice("wait", {"fair-unless-limited", "fair", "due"}, 0));
-    ways.ownerShare = reader.number("owner-share", ownerShareRange, ways.ownerShare);
-    ways.restingShare = reader.number("resting-share", ownerShareRange, ways.restingShare);
+    PolicyOptions &ways = settings.ways;
+    ways.queueDiscipline = static_cast<QueueDiscipline>(
+        reader.choice("wait", {"fair-unless-limited", "fair", "due"}, 0));
+    ways.ownerSharePercent = reader.number("owner-share", ownerShareRange, ways.ownerSharePercent);
+    ways.maxOwnerSharePercent =
+        reader.number("resting-share", ownerShareRange, ways.maxOwnerSharePercent);
     ways.openingCost = reader.number("opening-cost", openingCostRange, ways.openingCost);
 }
 
--- a/src/settings/hostsettings.h
+++ b/src/settings/hostsettings.h
@@ -2,7 +2,7 @@
 
 #include "core/clock.h"
 #include "core/types.h"
-#include "decision/ways.h"
+#include "decision/policyoptions.h"
 #include "settings/findings.h"
 #include "settings/sectionreader.h"
 
@@ -54,7 +54,7 @@
     std::string operatorKeyHash;
 
     // [experiments], never set where callers are served
-    decision::Ways ways;
+    decision::PolicyOptions ways;
 
     // [log]
     std::string logLevel = "info";
--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -35,7 +35,7 @@
 }
 
 // Teaches the estimates that statements of all classes take so long.
-void teach(Admission &admission, Duration service)
+void recordServiceTimes(Admission &admission, Duration service)
 {
     for (int i = 0; i < 40; ++i) {
         for (int c = 0; c < settings::requestClassCount; ++c) {
@@ -82,7 +82,7 @@
 TEST_CASE("what can't finish in time is refused at once, with a time to come back")
 {
     Admission admission(1, 1000);
-    teach(admission, 10ms);
+    recordServiceTimes(admission, 10ms);
     WorkId id = 0;
     AdmissionAnswer answer;
     do
@@ -98,7 +98,7 @@
 TEST_CASE("work that waited too long is handed back unserved, once")
 {
     Admission admission(1, 100);
-    teach(admission, 10ms);
+    recordServiceTimes(admission, 10ms);
     CHECK(admission.offer(start, workOf(1, RequestClass::Write, "web", 5s)).reason == Reason::None);
     CHECK(admission.next(start));
     CHECK(admission.offer(start, workOf(2, RequestClass::Write, "web", 50ms)).reason
@@ -116,7 +116,7 @@
 TEST_CASE("one very slow statement does not shut a server for good")
 {
     Admission admission(3, 100);
-    teach(admission, 2ms);
+    recordServiceTimes(admission, 2ms);
     const Work slow = workOf(1);
     CHECK(admission.offer(start, slow).reason == Reason::None);
     CHECK(admission.next(start));
@@ -133,7 +133,7 @@
 TEST_CASE("work that was given up frees its slot and teaches nothing")
 {
     Admission admission(1, 100);
-    teach(admission, 2ms);
+    recordServiceTimes(admission, 2ms);
     const Work work = workOf(1);
     CHECK(admission.offer(start, work).reason == Reason::None);
     CHECK(admission.next(start));
@@ -146,7 +146,7 @@
 TEST_CASE("critical work goes first, yet each class gets its share of slot time")
 {
     Admission admission(3, 100000);
-    teach(admission, 2ms);
+    recordServiceTimes(admission, 2ms);
     WorkId id = 100;
     std::array<int, settings::requestClassCount> served {};
     std::vector<Work> running;
@@ -170,7 +170,7 @@
 TEST_CASE("an idle class's share is borrowed by the others")
 {
     Admission admission(1, 1000);
-    teach(admission, 2ms);
+    recordServiceTimes(admission, 2ms);
     for (WorkId id = 1; id <= 100; ++id)
         CHECK(admission.offer(start, workOf(id, RequestClass::Browse, "web", 1h)).reason
               == Reason::None);
@@ -186,7 +186,7 @@
 {
     Admission admission(1, 100);
     admission.setTeamShares({teamOf("greedy", 50), teamOf("modest", 50)});
-    teach(admission, 2ms);
+    recordServiceTimes(admission, 2ms);
     WorkId id = 100;
     int accepted = 0;
     AdmissionAnswer answer;
@@ -213,7 +213,7 @@
 TEST_CASE("a greedy team leaves room for others that no configuration names")
 {
     Admission admission(1, 100);
-    teach(admission, 2ms);
+    recordServiceTimes(admission, 2ms);
     WorkId id = 100;
     for (int i = 0; i < 100; ++i)
         admission.offer(start, workOf(++id, RequestClass::Browse, "greedy", 1h));
@@ -250,7 +250,7 @@
 {
     Admission admission(1, 1000);
     admission.setTeamShares({teamOf("big", 75), teamOf("small", 25)});
-    teach(admission, 2ms);
+    recordServiceTimes(admission, 2ms);
     WorkId id = 100;
     std::map<TeamName, Duration> used;
     for (int i = 0; i < 2000; ++i) {
--- a/tests/decision/connectionplaces_test.cpp
+++ b/tests/decision/connectionchoice_test.cpp
@@ -1,4 +1,4 @@
-#include "decision/connectionplaces.h"
+#include "decision/connectionchoice.h"
 
 #include <catch2/catch.hpp>
 
@@ -24,74 +24,74 @@
     return state;
 }
 
-IdleConnection idle(bool belongs, Duration age = 0s, bool holdsValues = false)
+IdleConnection idle(bool sameOrganisation, Duration age = 0s, bool hasSessionValues = false)
 {
-    return {belongs, holdsValues, start - age};
+    return {sameOrganisation, hasSessionValues, start - age};
 }
 
 } // namespace
 
 TEST_CASE("A connection of the organisation is used, best one with the session's values")
 {
-    const auto first = choosePlace({idle(false), idle(true), idle(true, 0s, true), idle(true)},
-                                   server(4, 4), start);
-    CHECK(first.place == Place::Use);
+    const auto first = chooseConnection({idle(false), idle(true), idle(true, 0s, true), idle(true)},
+                                        server(4, 4), start);
+    CHECK(first.action == ConnectionAction::Use);
     CHECK(first.index == 2);
     // Else the one used last, so that the others grow old.
     const auto last =
-        choosePlace({idle(true, 3s), idle(true, 1s), idle(false)}, server(3, 4), start);
-    CHECK(last.place == Place::Use);
+        chooseConnection({idle(true, 3s), idle(true, 1s), idle(false)}, server(3, 4), start);
+    CHECK(last.action == ConnectionAction::Use);
     CHECK(last.index == 1);
 }
 
 TEST_CASE("One is opened within the share, and beyond it the longest rest makes room")
 {
-    CHECK(choosePlace({idle(false)}, server(3, 4), start).place == Place::Open);
-    const auto full = choosePlace({idle(false, 3s), idle(false, 1s)}, server(4, 4), start);
-    CHECK(full.place == Place::Replace);
+    CHECK(chooseConnection({idle(false)}, server(3, 4), start).action == ConnectionAction::Open);
+    const auto full = chooseConnection({idle(false, 3s), idle(false, 1s)}, server(4, 4), start);
+    CHECK(full.action == ConnectionAction::Replace);
     CHECK(full.index == 0);
-    CHECK(choosePlace({}, server(4, 4), start).place == Place::WaitForUse);
+    CHECK(chooseConnection({}, server(4, 4), start).action == ConnectionAction::WaitForIdle);
     // Where another way is open nothing that was used a moment ago makes room.
     ServerConnections near = server(4, 4);
-    near.leastRest = 5s;
-    CHECK(choosePlace({idle(false, 3s)}, near, start).place == Place::WaitForUse);
-    near.leastRest = 2s;
-    CHECK(choosePlace({idle(false, 3s)}, near, start).place == Place::Replace);
+    near.minIdleTime = 5s;
+    CHECK(chooseConnection({idle(false, 3s)}, near, start).action == ConnectionAction::WaitForIdle);
+    near.minIdleTime = 2s;
+    CHECK(chooseConnection({idle(false, 3s)}, near, start).action == ConnectionAction::Replace);
 }
 
 TEST_CASE("Connections that rest inside transactions leave the others their share, up to a bound")
 {
     const OwnerShare share {60, 85};
-    CHECK(ownerShare(39, 0, share) == 23);
-    CHECK(ownerShare(39, 5, share) == 28);
-    CHECK(ownerShare(39, 17, share) == 33);
-    CHECK(ownerShare(39, 17, {60, 60}) == 23);
-    CHECK(ownerShare(2, 0, share) == 3);
+    CHECK(maxOwnerConnections(39, 0, share) == 23);
+    CHECK(maxOwnerConnections(39, 5, share) == 28);
+    CHECK(maxOwnerConnections(39, 17, share) == 33);
+    CHECK(maxOwnerConnections(39, 17, {60, 60}) == 23);
+    CHECK(maxOwnerConnections(2, 0, share) == 3);
 }
 
 TEST_CASE("Openings leave a slot for work, and an organisation opens one at a time")
 {
     ServerConnections state = server(1, 10);
     state.opening = 1;
-    CHECK(choosePlace({}, state, start).place == Place::Open);
-    state.openingForIt = 1;
-    CHECK(choosePlace({}, state, start).place == Place::WaitForOpening);
-    state.openingForIt = 0;
+    CHECK(chooseConnection({}, state, start).action == ConnectionAction::Open);
+    state.openingForOrganisation = 1;
+    CHECK(chooseConnection({}, state, start).action == ConnectionAction::WaitForOpening);
+    state.openingForOrganisation = 0;
     state.opening = 2;
-    CHECK(choosePlace({}, state, start).place == Place::WaitForOpening);
+    CHECK(chooseConnection({}, state, start).action == ConnectionAction::WaitForOpening);
     state.slots = 1;
     state.opening = 0;
-    CHECK(choosePlace({}, state, start).place == Place::Open);
+    CHECK(chooseConnection({}, state, start).action == ConnectionAction::Open);
     state.mayOpen = false;
-    CHECK(choosePlace({}, state, start).place == Place::WaitForServer);
-    CHECK(choosePlace({idle(true)}, state, start).place == Place::Use);
+    CHECK(chooseConnection({}, state, start).action == ConnectionAction::WaitForServer);
+    CHECK(chooseConnection({idle(true)}, state, start).action == ConnectionAction::Use);
 }
 
 namespace {
 
 // One server in steps of one millisecond, as an owner has it: statements of organisations with the
 // times of the users' work, openings that take 12 ms and a slot, and transactions that pin.
-struct Play
+struct ConnectionSimulation
 {
     int organisations = 72;
     int share = 23;
@@ -99,8 +99,8 @@
     // Statements a second of all organisations; a few of them are large.
     double rate = 60;
     // Times as much, of the largest one.
-    double greed = 1;
-    int pinned = 0;
+    double loadFactor = 1;
+    int inTransaction = 0;
     Duration length = 30s;
 
     struct Statement
@@ -111,11 +111,11 @@
     struct Connection
     {
         int organisation = 0;
-        Instant usedAt;
+        Instant lastUsedAt;
         // Until then it works, or is being opened.
         Instant busyUntil;
         bool opening = false;
-        bool pinned = false;
+        bool inTransaction = false;
     };
 
     int openings = 0;
@@ -124,7 +124,7 @@
 
     double weight(int organisation) const
     {
-        return (organisation == 0 ? greed : 1) / (organisation + 3.0);
+        return (organisation == 0 ? loadFactor : 1) / (organisation + 3.0);
     }
 
     void run(std::uint64_t seed)
@@ -144,26 +144,26 @@
         std::uniform_int_distribution<int> workMs(4, 24);
         std::vector<Statement> queue;
         std::vector<Connection> connections;
-        for (int i = 0; i < pinned; ++i)
+        for (int i = 0; i < inTransaction; ++i)
             connections.push_back({i, start, Instant::max(), false, true});
         for (Instant now = start; now < start + length; now += 1ms) {
             if (chance(random) < rate * all / usual / 1000)
                 queue.push_back({whose(random), now});
             for (Connection &each : connections) {
-                if (each.pinned || each.busyUntil > now || each.busyUntil == Instant())
+                if (each.inTransaction || each.busyUntil > now || each.busyUntil == Instant())
                     continue;
                 each.busyUntil = Instant();
-                each.usedAt = now;
+                each.lastUsedAt = now;
                 each.opening = false;
             }
             for (auto at = queue.begin(); at != queue.end();)
                 at = tryStart(*at, now, connections, workMs(random)) ? queue.erase(at) : at + 1;
         }
         for (const Statement &left : queue)
-            noteWait(left, start + length);
+            recordWait(left, start + length);
     }
 
-    void noteWait(const Statement &statement, Instant now)
+    void recordWait(const Statement &statement, Instant now)
     {
         Duration &longest = longestWait[statement.organisation];
         longest = std::max(longest, now - statement.arrived);
@@ -173,12 +173,12 @@
                   int workMs)
     {
         const auto busy = [](const Connection &each) {
-            return !each.pinned && each.busyUntil != Instant();
+            return !each.inTransaction && each.busyUntil != Instant();
         };
         if (std::count_if(connections.begin(), connections.end(), busy) >= slots)
             return false;
         std::sort(connections.begin(), connections.end(),
-                  [](const auto &a, const auto &b) { return a.usedAt < b.usedAt; });
+                  [](const auto &a, const auto &b) { return a.lastUsedAt < b.lastUsedAt; });
         std::vector<IdleConnection> free;
         std::vector<std::size_t> at;
         ServerConnections state;
@@ -188,23 +188,24 @@
         for (std::size_t i = 0; i < connections.size(); ++i) {
             const Connection &each = connections[i];
             state.opening += each.opening;
-            state.openingForIt += each.opening && each.organisation == statement.organisation;
-            if (each.pinned || each.busyUntil != Instant())
+            state.openingForOrganisation +=
+                each.opening && each.organisation == statement.organisation;
+            if (each.inTransaction || each.busyUntil != Instant())
                 continue;
-            free.push_back({each.organisation == statement.organisation, false, each.usedAt});
+            free.push_back({each.organisation == statement.organisation, false, each.lastUsedAt});
             at.push_back(i);
         }
-        const PlaceChoice choice = choosePlace(free, state, now);
-        switch (choice.place) {
-        case Place::Use:
+        const ConnectionChoice choice = chooseConnection(free, state, now);
+        switch (choice.action) {
+        case ConnectionAction::Use:
             connections[at[choice.index]].busyUntil = now + std::chrono::milliseconds(workMs);
             ++served;
-            noteWait(statement, now);
+            recordWait(statement, now);
             return true;
-        case Place::Replace:
+        case ConnectionAction::Replace:
             connections.erase(connections.begin() + static_cast<std::ptrdiff_t>(at[choice.index]));
             [[fallthrough]];
-        case Place::Open:
+        case ConnectionAction::Open:
             ++openings;
             connections.push_back({statement.organisation, now, now + 12ms, true, false});
             return false;
@@ -220,12 +221,12 @@
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
-        Play play;
-        play.run(seed);
-        CHECK(play.served > 1600);
+        ConnectionSimulation simulation;
+        simulation.run(seed);
+        CHECK(simulation.served > 1600);
         // Without a preference for the organisation's own nearly each statement would open one.
-        CHECK(play.openings < play.served * 6 / 10);
-        for (const auto &[organisation, wait] : play.longestWait) {
+        CHECK(simulation.openings < simulation.served * 6 / 10);
+        for (const auto &[organisation, wait] : simulation.longestWait) {
             CAPTURE(organisation);
             CHECK(wait < 250ms);
         }
@@ -236,12 +237,12 @@
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
-        Play play;
-        play.greed = 8;
-        play.pinned = 18;
-        play.run(seed);
-        CHECK(play.served > 1600);
-        for (const auto &[organisation, wait] : play.longestWait) {
+        ConnectionSimulation simulation;
+        simulation.loadFactor = 8;
+        simulation.inTransaction = 18;
+        simulation.run(seed);
+        CHECK(simulation.served > 1600);
+        for (const auto &[organisation, wait] : simulation.longestWait) {
             CAPTURE(organisation);
             CHECK(wait < 1000ms);
         }
--- a/tests/decision/fairshare_test.cpp
+++ b/tests/decision/fairshare_test.cpp
@@ -17,7 +17,7 @@
 constexpr Duration work = 14ms;
 constexpr int slots = 3;
 
-struct Part
+struct Outcome
 {
     int asked = 0;
     int inTime = 0;
@@ -25,15 +25,15 @@
     double share() const { return asked == 0 ? 1 : double(inTime) / asked; }
 };
 
-struct Served
+struct Outcomes
 {
-    Part greedy;
-    Part others;
+    Outcome greedy;
+    Outcome others;
 };
 
 // Three slots of 14 ms each, 214 statements a second. Twenty organisations ask for six a second
 // each, and one of them for so many times that.
-Served serve(bool fair, double greed)
+Outcomes simulate(bool fair, double loadFactor)
 {
     std::mt19937_64 random(3);
     std::uniform_real_distribution<double> chance(0, 1);
@@ -42,22 +42,23 @@
         WaitingStatement statement;
         bool greedy = false;
     };
-    OrganisationTurns turns;
+    StartTimeFairQueuing turns;
     std::vector<Waiting> queue;
-    std::vector<Instant> free(slots, start);
-    Served served;
+    std::vector<Instant> freeAt(slots, start);
+    Outcomes outcomes;
     for (Instant now = start; now < start + 10s; now += 1ms) {
         for (int organisation = 0; organisation < 20; ++organisation) {
             const bool greedy = organisation == 0;
-            if (chance(random) >= 0.006 * (greedy ? greed : 1))
+            if (chance(random) >= 0.006 * (greedy ? loadFactor : 1))
                 continue;
             Waiting waiting;
-            waiting.statement = waitingStatement(now, 250ms, 800ms, 2, false);
+            waiting.statement = makeWaitingStatement(now, 250ms, 800ms, 2, false);
             waiting.statement.service = work;
-            waiting.statement.turn = turns.onArrival("org" + std::to_string(organisation), work);
+            waiting.statement.startTag =
+                turns.onArrival("org" + std::to_string(organisation), work);
             waiting.greedy = greedy;
             queue.push_back(waiting);
-            ++(greedy ? served.greedy : served.others).asked;
+            ++(greedy ? outcomes.greedy : outcomes.others).asked;
         }
         queue.erase(std::remove_if(queue.begin(), queue.end(),
                                    [&](const Waiting &each) {
@@ -66,22 +67,22 @@
                     queue.end());
         if (fair)
             for (Waiting &each : queue)
-                each.statement.aheadOfShare = turns.isAhead(each.statement.turn);
-        for (Instant &slot : free) {
+                each.statement.overShare = turns.isOverShare(each.statement.startTag);
+        for (Instant &slot : freeAt) {
             if (slot > now || queue.empty())
                 continue;
             const auto next =
                 std::min_element(queue.begin(), queue.end(), [&](const auto &a, const auto &b) {
-                    return goesBefore(a.statement, b.statement, now);
+                    return precedes(a.statement, b.statement, now);
                 });
             slot = now + work;
-            turns.onStart(next->statement.turn);
-            ++(next->greedy ? served.greedy : served.others).inTime;
-            (next->greedy ? served.greedy : served.others).inTime -= slot > next->statement.due;
+            turns.onStart(next->statement.startTag);
+            ++(next->greedy ? outcomes.greedy : outcomes.others).inTime;
+            (next->greedy ? outcomes.greedy : outcomes.others).inTime -= slot > next->statement.due;
             queue.erase(next);
         }
     }
-    return served;
+    return outcomes;
 }
 
 } // namespace
@@ -89,8 +90,8 @@
 // The load: one organisation without a quota asks for forty times its usual.
 TEST_CASE("Beside a greedy organisation the others keep their service")
 {
-    const Served due = serve(false, 40);
-    const Served fair = serve(true, 40);
+    const Outcomes due = simulate(false, 40);
+    const Outcomes fair = simulate(true, 40);
     INFO(due.others.share() << " of the others' in time by due alone, " << fair.others.share()
                             << " by fair shares; of the greedy one's " << due.greedy.share()
                             << " and " << fair.greedy.share());
@@ -103,21 +104,21 @@
 
 TEST_CASE("Fair shares change little when nobody is greedy")
 {
-    const Served due = serve(false, 1);
-    const Served fair = serve(true, 1);
+    const Outcomes due = simulate(false, 1);
+    const Outcomes fair = simulate(true, 1);
     CHECK(fair.others.inTime + fair.greedy.inTime
           >= 0.99 * (due.others.inTime + due.greedy.inTime));
 }
 
 TEST_CASE("An organisation that rested gets no credit for it, and one that is ahead waits its turn")
 {
-    OrganisationTurns turns;
+    StartTimeFairQueuing turns;
     for (int i = 0; i < 20; ++i)
         turns.onArrival("a", 10ms);
     const Duration last = turns.onArrival("a", 10ms);
-    CHECK(turns.isAhead(last));
+    CHECK(turns.isOverShare(last));
     turns.onStart(last);
-    CHECK(!turns.isAhead(last));
+    CHECK(!turns.isOverShare(last));
     // b comes late: its first one is due now, not two hundred milliseconds ago.
     CHECK(turns.onArrival("b", 10ms) == last);
 }
--- a/tests/decision/quota_test.cpp
+++ b/tests/decision/quota_test.cpp
@@ -18,7 +18,7 @@
 
 double allowed(const Quota &quota)
 {
-    return (quota.perSecond * 5 + quota.burst) * (1 + tolerance.over) + tolerance.slack;
+    return (quota.perSecond * 5 + quota.burst) * (1 + tolerance.overshoot) + tolerance.slack;
 }
 
 } // namespace
@@ -28,13 +28,13 @@
     for (const double rate : {0.5, 7.0, 35.0, 283.0, 50'000.0}) {
         CAPTURE(rate);
         const Quota quota {rate, rate};
-        const QuotaPart one = quotaPart(quota, tolerance, {8, 0, 1, 0});
+        const QuotaShare one = quotaShare(quota, tolerance, {8, 0, 1, 0});
         CHECK(8 * one.perSecond == Approx(rate));
         CHECK(8 * one.capacity + rate * 5 <= allowed(quota));
-        const QuotaPart three = quotaPart(quota, tolerance, {8, 0, 3, 0});
+        const QuotaShare three = quotaShare(quota, tolerance, {8, 0, 3, 0});
         CHECK(three.perSecond == Approx(3 * one.perSecond));
         // Nobody holds it here: gifts are kept, and nothing is earned.
-        const QuotaPart none = quotaPart(quota, tolerance, {8, 0, 0, 0});
+        const QuotaShare none = quotaShare(quota, tolerance, {8, 0, 0, 0});
         CHECK(none.perSecond == 0);
         CHECK(none.capacity >= 1);
     }
@@ -43,24 +43,24 @@
 TEST_CASE("Groups with two owners earn twice only within the tolerance")
 {
     const Quota quota {35, 35};
-    for (int doubled = 1; doubled <= 8; ++doubled) {
-        CAPTURE(doubled);
+    for (int overlapping = 1; overlapping <= 8; ++overlapping) {
+        CAPTURE(overlapping);
         // The earlier owners, who do not know of it, and the later ones, each with its account.
-        const QuotaPart earlier = quotaPart(quota, tolerance, {8, 0, 1, 0});
-        const QuotaPart later = quotaPart(quota, tolerance, {8, doubled, 1, 1});
-        const double twice = doubled * (later.perSecond * 5 + later.capacity);
+        const QuotaShare earlier = quotaShare(quota, tolerance, {8, 0, 1, 0});
+        const QuotaShare later = quotaShare(quota, tolerance, {8, overlapping, 1, 1});
+        const double twice = overlapping * (later.perSecond * 5 + later.capacity);
         CHECK(later.perSecond > 0);
-        if (doubled <= 2)
+        if (overlapping <= 2)
             CHECK(8 * (earlier.perSecond * 5 + earlier.capacity) + twice <= allowed(quota));
         // The rates alone always do.
-        CHECK(8 * earlier.perSecond * 5 + doubled * later.perSecond * 5 + 8 * earlier.capacity
+        CHECK(8 * earlier.perSecond * 5 + overlapping * later.perSecond * 5 + 8 * earlier.capacity
               <= allowed(quota));
     }
 }
 
 TEST_CASE("A quota of nothing lets nothing through")
 {
-    const QuotaPart part = quotaPart({0, 0}, tolerance, {8, 0, 1, 0});
+    const QuotaShare part = quotaShare({0, 0}, tolerance, {8, 0, 1, 0});
     CHECK(part.capacity == 0);
     QuotaAccount account;
     account.set(start, part);
@@ -86,11 +86,11 @@
 {
     QuotaAccount giver;
     giver.set(start, {1, 10});
-    CHECK(giver.give(start, 3) == 3);
+    CHECK(giver.grant(start, 3) == 3);
     CHECK(giver.available(start) == 7);
-    CHECK(giver.give(start, 100) == 2);
-    CHECK(giver.give(start, 100) == 0);
-    CHECK(giver.give(start, -5) == 0);
+    CHECK(giver.grant(start, 100) == 2);
+    CHECK(giver.grant(start, 100) == 0);
+    CHECK(giver.grant(start, -5) == 0);
     QuotaAccount taker;
     taker.set(start, {1, 10});
     taker.receive(start, 100);
@@ -101,22 +101,22 @@
 {
     QuotaAccount account;
     account.set(start, {1, 4});
-    CHECK(!account.needs(start));
+    CHECK(!account.nextGrantRequest(start));
     for (int i = 0; i < 3; ++i)
         CHECK(account.take(start));
-    CHECK(!account.needs(start));
+    CHECK(!account.nextGrantRequest(start));
     CHECK(account.take(start));
-    REQUIRE(account.needs(start));
-    CHECK(!account.needs(start));
+    REQUIRE(account.nextGrantRequest(start));
+    CHECK(!account.nextGrantRequest(start));
     CHECK(!account.take(start));
-    CHECK(account.awaitsGifts(start + 10ms));
-    CHECK(!account.awaitsGifts(start + 30ms));
-    CHECK(!account.needs(start + 300ms));
-    CHECK(account.needs(start + 400ms)->wanted == Approx(1.6));
-    CHECK(account.needs(start + 800ms)->owners == 3);
+    CHECK(account.awaitsGrants(start + 10ms));
+    CHECK(!account.awaitsGrants(start + 30ms));
+    CHECK(!account.nextGrantRequest(start + 300ms));
+    CHECK(account.nextGrantRequest(start + 400ms)->wanted == Approx(1.6));
+    CHECK(account.nextGrantRequest(start + 800ms)->owners == 3);
     // After an answer the next question follows soon.
     account.receive(start + 803ms, 0.1);
-    CHECK(account.needs(start + 840ms));
+    CHECK(account.nextGrantRequest(start + 840ms));
 }
 
 TEST_CASE("A host that takes a group begins with what an owner keeps, and not by a gift alone")
@@ -139,11 +139,11 @@
     CHECK(account.take(start));
     CHECK(account.take(start));
     CHECK(!account.take(start));
-    CHECK(account.untilRoom(start) == 100ms);
-    CHECK(account.untilRoom(start) == 200ms);
-    CHECK(account.untilRoom(start) == 300ms);
+    CHECK(account.retryDelay(start) == 100ms);
+    CHECK(account.retryDelay(start) == 200ms);
+    CHECK(account.retryDelay(start) == 300ms);
     for (int i = 0; i < 100; ++i)
-        CHECK(account.untilRoom(start) <= 2s);
+        CHECK(account.retryDelay(start) <= 2s);
     // The first of them does find room.
     CHECK(account.take(start + 100ms));
 }
@@ -166,11 +166,11 @@
 // Eight groups and their owners in steps of a millisecond. Messages take two, and some are lost.
 // Owners are cut off, frozen, killed, and run fast or slow clocks; a cut or frozen one acts on
 // beside its successor until its lease ends.
-class QuotaPlay
+class QuotaSimulation
 {
 public:
-    QuotaPlay(std::uint64_t seed, const Quota &quota, bool gifts)
-        : random_(seed), quota_(quota), gifts_(gifts)
+    QuotaSimulation(std::uint64_t seed, const Quota &quota, bool grantsEnabled)
+        : random_(seed), quota_(quota), grantsEnabled_(grantsEnabled)
     {
         for (int group = 0; group < groups; ++group)
             addOwner(group);
@@ -185,23 +185,23 @@
     {
         now_ += 1ms;
         deliver();
-        tryAgain();
+        retryWaiting();
         for (std::size_t i = 0; i < owners_.size(); ++i) {
             Owner &owner = owners_[i];
             if (!owner.acts(now_))
                 continue;
             const Instant clock = start + (now_ - start) * owner.clockPercent / 100;
-            owner.account.set(clock, quotaPart(quota_, tolerance, holders(i)));
+            owner.account.set(clock, quotaShare(quota_, tolerance, holders(i)));
             // Entries of both halves ask the owner that they know.
             double rate = demand[static_cast<std::size_t>(owner.group)];
-            if (isDoubled(owner.group))
+            if (isOverlapping(owner.group))
                 rate /= 2;
             if (chance() < rate / 1000)
                 ask(i, clock);
         }
-        while (!ran_.empty() && ran_.front() <= now_ - 5s)
-            ran_.pop_front();
-        most = std::max(most, static_cast<double>(ran_.size()));
+        while (!executed_.empty() && executed_.front() <= now_ - 5s)
+            executed_.pop_front();
+        maxInWindow = std::max(maxInWindow, static_cast<double>(executed_.size()));
     }
     void run(Duration time)
     {
@@ -210,11 +210,11 @@
     }
 
     // The owner acts on for so long, and another one has the group.
-    void cut(int group, Duration lease)
+    void isolate(int group, Duration lease)
     {
         Owner &owner = present(group);
         owner.until = now_ + lease;
-        owner.cut = true;
+        owner.isolated = true;
         addOwner(group);
     }
     // The owner has ended, and this is proven.
@@ -229,19 +229,19 @@
         Owner &owner = present(group);
         owner.frozenUntil = now_ + time;
         owner.until = now_ + time + 100ms;
-        owner.cut = true;
+        owner.isolated = true;
         addOwner(group);
     }
-    void clock(int group, int percent) { present(group).clockPercent = percent; }
-    void change(const Quota &quota) { quota_ = quota; }
+    void setClock(int group, int percent) { present(group).clockPercent = percent; }
+    void setQuota(const Quota &quota) { quota_ = quota; }
 
     int served = 0;
     int asked = 0;
     // Between owners, questions and gifts.
     int sent = 0;
     // Most that ran in any window.
-    double most = 0;
-    double lossOfMessages = 0;
+    double maxInWindow = 0;
+    double messageLossRate = 0;
 
 private:
     struct Owner
@@ -249,7 +249,7 @@
         int group = 0;
         Instant until = Instant::max();
         Instant frozenUntil {};
-        bool cut = false;
+        bool isolated = false;
         int clockPercent = 100;
         QuotaAccount account;
 
@@ -279,26 +279,27 @@
                          [group](const Owner &owner) { return owner.group == group; });
         return *found;
     }
-    bool isDoubled(int group) const
+    bool isOverlapping(int group) const
     {
         return std::any_of(owners_.begin(), owners_.end(), [&](const Owner &owner) {
-            return owner.group == group && owner.cut && now_ < owner.until;
+            return owner.group == group && owner.isolated && now_ < owner.until;
         });
     }
     // As the owner sees it: one that was cut off knows nothing of successors.
     QuotaHolders holders(std::size_t index) const
     {
         QuotaHolders holders {groups, 0, 1, 0};
-        if (owners_[index].cut)
+        if (owners_[index].isolated)
             return holders;
         for (int group = 0; group < groups; ++group)
-            holders.doubled += isDoubled(group);
-        holders.ownedDoubled = isDoubled(owners_[index].group);
+            holders.overlapping += isOverlapping(group);
+        holders.ownedOverlapping = isOverlapping(owners_[index].group);
         return holders;
     }
     void send(const Message &message)
     {
-        if (owners_[message.from].cut || owners_[message.to].cut || chance() < lossOfMessages)
+        if (owners_[message.from].isolated || owners_[message.to].isolated
+            || chance() < messageLossRate)
             return;
         ++sent;
         messages_.push_back(message);
@@ -319,7 +320,7 @@
                 to.account.receive(clock, message.gift);
                 continue;
             }
-            const double gift = to.account.give(clock, message.wanted);
+            const double gift = to.account.grant(clock, message.wanted);
             if (gift > 0)
                 send({now_ + 2ms, message.from, message.to, 0, gift});
         }
@@ -330,14 +331,14 @@
         const bool taken = owners_[index].account.take(clock);
         if (taken) {
             ++served;
-            ran_.push_back(now_);
+            executed_.push_back(now_);
         } else {
             waiting_.push_back({now_ + 10ms, index});
         }
         return taken;
     }
     // An operation that found nothing is tried once more, when others have answered.
-    void tryAgain()
+    void retryWaiting()
     {
         while (!waiting_.empty() && waiting_.front().at <= now_) {
             const std::size_t index = waiting_.front().owner;
@@ -347,7 +348,7 @@
             if (!owner.acts(now_) || !owners_[index].account.take(clock))
                 continue;
             ++served;
-            ran_.push_back(now_);
+            executed_.push_back(now_);
         }
     }
     void ask(std::size_t index, Instant clock)
@@ -355,8 +356,8 @@
         Owner &owner = owners_[index];
         ++asked;
         take(index, clock);
-        const auto need = owner.account.needs(clock);
-        if (!need || !gifts_)
+        const auto need = owner.account.nextGrantRequest(clock);
+        if (!need || !grantsEnabled_)
             return;
         std::vector<std::size_t> others;
         for (int group = 0; group < groups; ++group) {
@@ -365,17 +366,17 @@
                 others.push_back(to);
         }
         for (std::size_t i = 0; i < std::min(need->owners, others.size()); ++i)
-            send({now_ + 2ms, others[askNext_++ % others.size()], index, need->wanted, 0});
+            send({now_ + 2ms, others[nextOwner_++ % others.size()], index, need->wanted, 0});
     }
 
     std::mt19937_64 random_;
     Quota quota_;
-    const bool gifts_;
+    const bool grantsEnabled_;
     Instant now_ = start;
     std::vector<Owner> owners_;
     std::deque<Message> messages_;
-    std::deque<Instant> ran_;
-    std::size_t askNext_ = 0;
+    std::deque<Instant> executed_;
+    std::size_t nextOwner_ = 0;
     struct Waiting
     {
         Instant at;
@@ -386,18 +387,18 @@
 
 // Part of the quota that is used in a minute when much more than it is asked of one group, of all
 // groups alike, or of one after the other.
-double used(bool gifts, double rate, int pattern)
+double usedFraction(bool grantsEnabled, double rate, int pattern)
 {
-    QuotaPlay play(17, {rate, rate}, gifts);
+    QuotaSimulation simulation(17, {rate, rate}, grantsEnabled);
     for (int second = 0; second < 60; ++second) {
-        for (int group = 0; group < QuotaPlay::groups; ++group) {
+        for (int group = 0; group < QuotaSimulation::groups; ++group) {
             const bool here = pattern == 1 || group == (pattern == 0 ? 0 : second / 5 % 8);
-            play.demand[static_cast<std::size_t>(group)] = here ? 4 * rate : 0;
+            simulation.demand[static_cast<std::size_t>(group)] = here ? 4 * rate : 0;
         }
-        play.run(1s);
+        simulation.run(1s);
     }
-    CHECK(play.most <= allowed({rate, rate}));
-    return play.served / (60 * rate);
+    CHECK(simulation.maxInWindow <= allowed({rate, rate}));
+    return simulation.served / (60 * rate);
 }
 
 } // namespace
@@ -408,10 +409,10 @@
         CAPTURE(rate);
         for (int pattern = 0; pattern < 3; ++pattern) {
             CAPTURE(pattern);
-            CHECK(used(true, rate, pattern) >= 0.98);
+            CHECK(usedFraction(true, rate, pattern) >= 0.98);
         }
-        CHECK(used(false, rate, 1) >= 0.98);
-        CHECK(used(false, rate, 0) < 0.3);
+        CHECK(usedFraction(false, rate, 1) >= 0.98);
+        CHECK(usedFraction(false, rate, 0) < 0.3);
     }
 }
 
@@ -420,14 +421,14 @@
 {
     for (const double rate : {5.0, 35.0, 200.0}) {
         CAPTURE(rate);
-        QuotaPlay usual(3, {rate, rate}, true);
-        std::fill(usual.demand.begin(), usual.demand.end(), rate / 1.6 / QuotaPlay::groups);
+        QuotaSimulation usual(3, {rate, rate}, true);
+        std::fill(usual.demand.begin(), usual.demand.end(), rate / 1.6 / QuotaSimulation::groups);
         usual.run(60s);
         INFO(usual.sent << " messages for " << usual.asked << " operations in 60 s");
         CHECK(usual.served >= 0.98 * usual.asked);
         CHECK(usual.sent <= 0.6 * usual.asked);
-        QuotaPlay greedy(3, {rate, rate}, true);
-        std::fill(greedy.demand.begin(), greedy.demand.end(), 4.7 * rate / QuotaPlay::groups);
+        QuotaSimulation greedy(3, {rate, rate}, true);
+        std::fill(greedy.demand.begin(), greedy.demand.end(), 4.7 * rate / QuotaSimulation::groups);
         greedy.run(60s);
         INFO(greedy.sent << " messages in 60 s beside 4.7 times the quota");
         // Each of eight owners asks seven others each 0.4 s, and nobody has anything to give.
@@ -445,35 +446,35 @@
         };
         const double rate = seed % 3 == 0 ? 8 : seed % 3 == 1 ? 35 : 150;
         const Quota quota {rate, rate};
-        QuotaPlay play(seed, quota, true);
-        play.lossOfMessages = seed % 4 == 0 ? 0.1 : 0;
+        QuotaSimulation simulation(seed, quota, true);
+        simulation.messageLossRate = seed % 4 == 0 ? 0.1 : 0;
         for (int second = 0; second < 40; ++second) {
             if (second % 6 == 0)
-                for (double &demand : play.demand)
+                for (double &demand : simulation.demand)
                     demand = rate * pick(4);
-            const int group = pick(QuotaPlay::groups);
+            const int group = pick(QuotaSimulation::groups);
             switch (pick(12)) {
             case 0:
-                play.cut(group, 12s);
+                simulation.isolate(group, 12s);
                 break;
             case 1:
-                play.kill(group);
+                simulation.kill(group);
                 break;
             case 2:
-                play.freeze(group, 3s);
+                simulation.freeze(group, 3s);
                 break;
             case 3:
-                play.clock(group, 101);
+                simulation.setClock(group, 101);
                 break;
             case 4:
-                play.clock(group, 99);
+                simulation.setClock(group, 99);
                 break;
             default:
                 break;
             }
-            play.run(1s);
+            simulation.run(1s);
         }
-        CHECK(play.most <= allowed(quota));
+        CHECK(simulation.maxInWindow <= allowed(quota));
     }
 }
 
@@ -481,15 +482,15 @@
 {
     for (const double rate : {35.0, 200.0}) {
         CAPTURE(rate);
-        QuotaPlay play(5, {rate, rate}, true);
-        std::fill(play.demand.begin(), play.demand.end(), rate);
-        play.run(20s);
+        QuotaSimulation simulation(5, {rate, rate}, true);
+        std::fill(simulation.demand.begin(), simulation.demand.end(), rate);
+        simulation.run(20s);
         for (int group = 0; group < 4; ++group)
-            play.kill(group);
-        play.run(1s);
-        const int before = play.served;
-        play.run(5s);
-        CHECK(play.served - before >= 0.9 * 5 * rate);
-        CHECK(play.most <= allowed({rate, rate}));
+            simulation.kill(group);
+        simulation.run(1s);
+        const int before = simulation.served;
+        simulation.run(5s);
+        CHECK(simulation.served - before >= 0.9 * 5 * rate);
+        CHECK(simulation.maxInWindow <= allowed({rate, rate}));
     }
 }
--- a/tests/decision/retrypolicy_test.cpp
+++ b/tests/decision/retrypolicy_test.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-Attempt attemptOf(Reason reason)
+FailedAttempt attemptOf(Reason reason)
 {
-    Attempt attempt;
+    FailedAttempt attempt;
     attempt.reason = reason;
     attempt.deadlineLeft = 5s;
     return attempt;
@@ -21,8 +21,8 @@
 TEST_CASE("only a repeat that can't do the work twice is made")
 {
     RetryPolicy policy(10, 1);
-    Attempt attempt = attemptOf(Reason::OwnerUnreachable);
-    attempt.executedNo = false;
+    FailedAttempt attempt = attemptOf(Reason::OwnerUnreachable);
+    attempt.notExecuted = false;
     attempt.repeatable = false;
     CHECK_FALSE(policy.retryAfter(attempt));
     CHECK_FALSE(policy.budgetSpent());
@@ -32,7 +32,7 @@
     attempt.repeatable = true;
     CHECK(policy.retryAfter(attempt));
     attempt.repeatable = false;
-    attempt.executedNo = true;
+    attempt.notExecuted = true;
     CHECK(policy.retryAfter(attempt));
 }
 
@@ -53,7 +53,7 @@
         Duration longest {0};
         for (int i = 0; i < 100; ++i) {
             policy.onSuccess();
-            Attempt attempt = attemptOf(Reason::NoPrimary);
+            FailedAttempt attempt = attemptOf(Reason::NoPrimary);
             attempt.number = number;
             const auto delay = policy.retryAfter(attempt);
             REQUIRE(delay);
@@ -66,7 +66,7 @@
         CHECK(longest <= 200ms);
         previousLongest = longest;
     }
-    Attempt attempt = attemptOf(Reason::NoPrimary);
+    FailedAttempt attempt = attemptOf(Reason::NoPrimary);
     attempt.deadlineLeft = 5ms;
     CHECK_FALSE(policy.retryAfter(attempt));
     CHECK_FALSE(policy.budgetSpent());
@@ -95,7 +95,7 @@
 {
     const auto search = [](Duration deadlineLeft, std::uint64_t seed) {
         RetryPolicy policy(0, seed);
-        Attempt attempt = attemptOf(Reason::NoOwner);
+        FailedAttempt attempt = attemptOf(Reason::NoOwner);
         attempt.deadlineLeft = deadlineLeft;
         Duration waited {0};
         while (const auto delay = policy.retryAfter(attempt)) {
@@ -117,10 +117,10 @@
     }
 
     RetryPolicy policy(0, 1);
-    Attempt attempt = attemptOf(Reason::NoOwner);
+    FailedAttempt attempt = attemptOf(Reason::NoOwner);
     // What may have run is no search any more.
     attempt = attemptOf(Reason::OwnerUnreachable);
-    attempt.executedNo = false;
+    attempt.notExecuted = false;
     CHECK_FALSE(policy.retryAfter(attempt));
     CHECK(policy.budgetSpent());
 }
--- a/tests/decision/slotadmission_test.cpp
+++ b/tests/decision/slotadmission_test.cpp
@@ -15,13 +15,13 @@
 
 WaitingStatement arrived(Duration after, Duration objective = 200ms, int priority = 2)
 {
-    return waitingStatement(start + after, objective, 800ms, priority, false);
+    return makeWaitingStatement(start + after, objective, 800ms, priority, false);
 }
 
 WaitState waiting()
 {
     WaitState state;
-    state.owned = true;
+    state.ownsGroup = true;
     state.hasPrimary = true;
     state.primarySince = start - 1h;
     return state;
@@ -31,10 +31,10 @@
 
 TEST_CASE("A statement waits for a slot one and a half objectives, within bounds and its deadline")
 {
-    CHECK(arrived(0ms).holdUntil == start + 300ms);
-    CHECK(arrived(0ms, 50ms).holdUntil == start + 250ms);
-    CHECK(waitingStatement(start, 5s, 10s, 1, false).holdUntil == start + 2s);
-    CHECK(waitingStatement(start, 500ms, 100ms, 1, false).holdUntil == start + 100ms);
+    CHECK(arrived(0ms).queueDeadline == start + 300ms);
+    CHECK(arrived(0ms, 50ms).queueDeadline == start + 250ms);
+    CHECK(makeWaitingStatement(start, 5s, 10s, 1, false).queueDeadline == start + 2s);
+    CHECK(makeWaitingStatement(start, 500ms, 100ms, 1, false).queueDeadline == start + 100ms);
     CHECK(giveUpAt(arrived(0ms), waiting(), start) == start + 300ms);
     CHECK(giveUpAt(arrived(0ms), waiting(), start + 300ms) <= start + 300ms);
 }
@@ -42,7 +42,7 @@
 TEST_CASE("A statement that runs keeps its whole time")
 {
     WaitState state = waiting();
-    state.underWay = true;
+    state.executing = true;
     CHECK(giveUpAt(arrived(0ms), state, start + 300ms) == start + 800ms);
 }
 
@@ -59,7 +59,7 @@
     state.primarySince = start + 700ms;
     CHECK(giveUpAt(arrived(0ms), state, start + 750ms) == start + 800ms);
     // Another owner's group: nothing to wait for.
-    state.owned = false;
+    state.ownsGroup = false;
     CHECK(giveUpAt(arrived(0ms), state, start + 300ms) <= start + 300ms);
 }
 
@@ -71,12 +71,12 @@
     WaitingStatement urgent = arrived(200ms, 100ms, 1);
     WaitingStatement open = arrived(240ms);
     open.continuesTransaction = true;
-    CHECK(goesBefore(open, urgent, now));
-    CHECK(goesBefore(urgent, fresh, now));
-    CHECK(goesBefore(fresh, old, now));
-    CHECK_FALSE(goesBefore(old, fresh, now));
+    CHECK(precedes(open, urgent, now));
+    CHECK(precedes(urgent, fresh, now));
+    CHECK(precedes(fresh, old, now));
+    CHECK_FALSE(precedes(old, fresh, now));
     // In time both: who is given up first.
-    CHECK(goesBefore(old, fresh, start + 110ms));
+    CHECK(precedes(old, fresh, start + 110ms));
 }
 
 // Two slots of 9 ms each, 260 statements a second: a sixth more than can be done, for three
@@ -113,7 +113,7 @@
         }
         return inTime;
     };
-    const int ranked = servedInTime(goesBefore);
+    const int ranked = servedInTime(precedes);
     const int firstCome =
         servedInTime([](const auto &a, const auto &b, Instant) { return a.arrived < b.arrived; });
     // All that two slots can do are 667; by arrival 294.
@@ -125,15 +125,15 @@
 TEST_CASE("What a kind of statement usually takes is learnt for each kind")
 {
     ServiceTimes times;
-    CHECK(times.usual(200ms, 2) == Duration(0));
+    CHECK(times.typical(200ms, 2) == Duration(0));
     for (int i = 0; i < 100; ++i) {
         times.add(200ms, 2, i % 2 == 0 ? 8ms : 10ms);
         times.add(300ms, 2, 30ms);
     }
-    CHECK(times.usual(200ms, 2) > 8ms);
-    CHECK(times.usual(200ms, 2) < 12ms);
-    CHECK(times.usual(300ms, 2) >= 29ms);
-    CHECK(times.usual(200ms, 1) == Duration(0));
+    CHECK(times.typical(200ms, 2) > 8ms);
+    CHECK(times.typical(200ms, 2) < 12ms);
+    CHECK(times.typical(300ms, 2) >= 29ms);
+    CHECK(times.typical(200ms, 1) == Duration(0));
 }
 
 TEST_CASE("A full queue takes nothing more, and refused callers are told when to come back")
--- a/tests/decision/statementretry_test.cpp
+++ b/tests/decision/statementretry_test.cpp
@@ -41,8 +41,8 @@
 {
     for (const ServerError error : {ServerError::Busy, ServerError::Lagging, ServerError::ReadOnly,
                                     ServerError::UnknownStatement}) {
-        CHECK(onServerError(singleRead(error)).again);
-        CHECK(onServerError(singleWrite(error)).again);
+        CHECK(onServerError(singleRead(error)).sendAgain);
+        CHECK(onServerError(singleWrite(error)).sendAgain);
     }
 }
 
@@ -50,11 +50,11 @@
 {
     for (const ServerError error :
          {ServerError::Failed, ServerError::TimedOut, ServerError::Other}) {
-        CHECK(onServerError(singleRead(error)).again);
-        CHECK_FALSE(onServerError(singleWrite(error)).again);
+        CHECK(onServerError(singleRead(error)).sendAgain);
+        CHECK_FALSE(onServerError(singleWrite(error)).sendAgain);
         FailedStatement often = singleRead(error);
         often.attempts = 100;
-        CHECK_FALSE(onServerError(often).again);
+        CHECK_FALSE(onServerError(often).sendAgain);
     }
     CHECK(onServerError(singleWrite(ServerError::TimedOut)).executed == Executed::Unknown);
     CHECK(onServerError(singleWrite(ServerError::Failed)).executed == Executed::Yes);
@@ -62,35 +62,35 @@
 
 TEST_CASE("A write whose answer is lost is in doubt and never sent again")
 {
-    CHECK(onAnswerLost(singleRead(ServerError::None)).again);
-    const Verdict write = onAnswerLost(singleWrite(ServerError::None));
-    CHECK_FALSE(write.again);
+    CHECK(onAnswerLost(singleRead(ServerError::None)).sendAgain);
+    const RetryDecision write = onAnswerLost(singleWrite(ServerError::None));
+    CHECK_FALSE(write.sendAgain);
     CHECK(write.executed == Executed::Unknown);
-    const Verdict commit = onAnswerLost(inTransaction(ServerError::None, true));
-    CHECK_FALSE(commit.again);
+    const RetryDecision commit = onAnswerLost(inTransaction(ServerError::None, true));
+    CHECK_FALSE(commit.sendAgain);
     CHECK(commit.executed == Executed::Unknown);
-    const Verdict open = onAnswerLost(inTransaction(ServerError::None, false));
-    CHECK_FALSE(open.again);
+    const RetryDecision open = onAnswerLost(inTransaction(ServerError::None, false));
+    CHECK_FALSE(open.sendAgain);
     CHECK(open.executed == Executed::No);
     FailedStatement begin = inTransaction(ServerError::None, false);
     begin.inTransaction = false;
     begin.begins = true;
-    CHECK(onAnswerLost(begin).again);
+    CHECK(onAnswerLost(begin).sendAgain);
 }
 
 TEST_CASE("In a transaction only a busy server that keeps it open is asked again")
 {
     FailedStatement busy = inTransaction(ServerError::Busy, false);
-    CHECK_FALSE(onServerError(busy).again);
+    CHECK_FALSE(onServerError(busy).sendAgain);
     CHECK(onServerError(busy).endsTransaction);
-    busy.stillOpen = true;
-    CHECK(onServerError(busy).again);
+    busy.transactionStillOpen = true;
+    CHECK(onServerError(busy).sendAgain);
     CHECK_FALSE(onServerError(busy).endsTransaction);
     for (const ServerError error : {ServerError::ReadOnly, ServerError::Failed}) {
-        const Verdict verdict = onServerError(inTransaction(error, false));
-        CHECK_FALSE(verdict.again);
-        CHECK(verdict.endsTransaction);
-        CHECK(verdict.executed == Executed::No);
+        const RetryDecision result = onServerError(inTransaction(error, false));
+        CHECK_FALSE(result.sendAgain);
+        CHECK(result.endsTransaction);
+        CHECK(result.executed == Executed::No);
     }
 }
 
@@ -105,10 +105,10 @@
 {
     Duration pause {0};
     for (int i = 0; i < 10; ++i) {
-        const Duration next = nextBehindPause(pause);
+        const Duration next = nextLaggingBackoff(pause);
         CHECK(next >= pause);
         pause = next;
     }
     CHECK(pause <= 200ms);
-    CHECK(busyPause() < pause);
+    CHECK(busyBackoff() < pause);
 }
--- a/tests/settings/hostsettings_test.cpp
+++ b/tests/settings/hostsettings_test.cpp
@@ -60,7 +60,7 @@
 {
     Findings findings;
     const HostSettings plain = parseHostSettings("h.ini", file("", ""), findings);
-    CHECK(plain.ways.wait == decision::WaitRule::FairUnlessLimited);
+    CHECK(plain.ways.queueDiscipline == decision::QueueDiscipline::FairUnlessLimited);
     const HostSettings other = parseHostSettings("h.ini",
                                                  file("", "")
                                                      + "[experiments]\nwait=due\n"
@@ -68,8 +68,8 @@
                                                  findings);
     INFO(findings.toText());
     REQUIRE(findings.empty());
-    CHECK(other.ways.wait == decision::WaitRule::Due);
-    CHECK(other.ways.ownerShare == 85);
+    CHECK(other.ways.queueDiscipline == decision::QueueDiscipline::EarliestDueDate);
+    CHECK(other.ways.ownerSharePercent == 85);
     CHECK(other.ways.openingCost == 100);
     for (const char *line : {"wait=any", "owner-share=0", "opening-cost=-1", "unknown=1"}) {
         Findings wrong;
