--- a/src/decision/statementretry.cpp
+++ b/src/decision/statementretry.cpp
@@ -23,12 +23,12 @@
         || error == ServerError::ReadOnly || error == ServerError::UnknownStatement;
 }
 
-RetryDecision sendAgain(Reason reason, Duration pause = {})
+RetryDecision sendAgain(Reason reason, Duration delay = {})
 {
     RetryDecision result;
     result.sendAgain = true;
     result.reason = reason;
-    result.pause = pause;
+    result.delay = delay;
     return result;
 }
 
@@ -47,11 +47,12 @@
 {
     if (statement.error == ServerError::Busy && statement.transactionStillOpen)
         return sendAgain(Reason::QueueFull, busyDelay);
-    const bool ran = !isNotExecuted(statement.error);
-    if (statement.commit && ran)
+    const bool wasExecuted = !isNotExecuted(statement.error);
+    if (statement.commit && wasExecuted)
         return refused(Reason::Unconfirmed, Executed::Unknown, true);
-    const bool plain = statement.error == ServerError::Failed;
-    return refused(plain ? Reason::StatementFailed : Reason::TransactionEnded, Executed::No, true);
+    const bool statementFailed = statement.error == ServerError::Failed;
+    return refused(statementFailed ? Reason::StatementFailed : Reason::TransactionEnded,
+                   Executed::No, true);
 }
 
 } // namespace
@@ -82,10 +83,10 @@
 RetryDecision onAnswerLost(const FailedStatement &statement)
 {
     const bool mayRepeat =
-        (statement.single && statement.read) || (statement.begins && !statement.commit);
+        (statement.autocommit && statement.read) || (statement.begins && !statement.commit);
     if (mayRepeat && statement.attempts < maxAttempts)
         return sendAgain(Reason::Unconfirmed);
-    const bool mayBeCommitted = statement.commit || (statement.single && !statement.read);
+    const bool mayBeCommitted = statement.commit || (statement.autocommit && !statement.read);
     if (mayBeCommitted)
         return refused(Reason::Unconfirmed, Executed::Unknown, true);
     return refused(Reason::TransactionEnded, Executed::No, true);
--- a/src/decision/statementretry.h
+++ b/src/decision/statementretry.h
@@ -29,7 +29,7 @@
     bool read = false;
     bool commit = false;
     // A single statement, or one that begins a transaction, leaves nothing open.
-    bool single = false;
+    bool autocommit = false;
     bool begins = false;
     // A transaction is open at the server, by this statement or one before it.
     bool inTransaction = false;
@@ -45,7 +45,7 @@
     // Why it is sent again, or the reason of the refusal.
     Reason reason = Reason::None;
     // Before it is sent again.
-    Duration pause {0};
+    Duration delay {0};
     // Of a refusal.
     Executed executed = Executed::No;
     // What was open ends with it.
--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -165,7 +165,7 @@
     void onConnectionLost(const JobPtr &job);
     void learn(GroupServer &server, const CommandResult &result, Instant sent);
     void release(const JobPtr &job, bool reusable);
-    void retry(const JobPtr &job, Reason why, Duration pause);
+    void retry(const JobPtr &job, Reason why, Duration delay);
     void succeed(const JobPtr &job, const CommandResult &result);
     void endUnverified();
     void refuse(const JobPtr &job, Reason reason, Executed executed, const std::string &detail,
--- a/src/group/grouprunnerwork.cpp
+++ b/src/group/grouprunnerwork.cpp
@@ -214,7 +214,7 @@
     decision::FailedStatement statement;
     statement.read = isRead(job->statement);
     statement.commit = job->statement.verb == inner::SessionVerb::Commit;
-    statement.single = !job->statement.inTransaction;
+    statement.autocommit = !job->statement.inTransaction;
     statement.begins = job->statement.begins != inner::TransactionMode::None;
     statement.inTransaction =
         continuesTransaction(job->statement) || transactions_.count(job->origin) != 0;
@@ -226,7 +226,7 @@
                          const std::string &detail)
 {
     if (verdict.sendAgain)
-        return retry(job, verdict.reason, verdict.pause);
+        return retry(job, verdict.reason, verdict.delay);
     refuse(job, verdict.reason, verdict.executed, detail);
 }
 
@@ -315,7 +315,7 @@
     pumpSoon();
 }
 
-void GroupRunner::retry(const JobPtr &job, Reason why, Duration pause)
+void GroupRunner::retry(const JobPtr &job, Reason why, Duration delay)
 {
     parts_.metrics.countRetry(why);
     parts_.log.line(LogLevel::Debug, "statement_retry", reasonInfo(why).name)
@@ -326,7 +326,7 @@
     const Instant now = parts_.timers.now();
     if (!active_ && !continuesTransaction(job->statement))
         return refuse(job, Reason::NotOwner, Executed::No, "the group has another owner");
-    job->notBefore = now + pause;
+    job->notBefore = now + delay;
     enqueue(job);
     pumpSoon();
 }
--- a/tests/decision/statementretry_test.cpp
+++ b/tests/decision/statementretry_test.cpp
@@ -13,7 +13,7 @@
     FailedStatement statement;
     statement.error = error;
     statement.read = true;
-    statement.single = true;
+    statement.autocommit = true;
     statement.attempts = 1;
     return statement;
 }
@@ -103,12 +103,12 @@
 
 TEST_CASE("A replica that goes on refusing is asked less and less, and soon after its lag again")
 {
-    Duration pause {0};
+    Duration delay {0};
     for (int i = 0; i < 10; ++i) {
-        const Duration next = nextLaggingBackoff(pause);
-        CHECK(next >= pause);
-        pause = next;
+        const Duration next = nextLaggingBackoff(delay);
+        CHECK(next >= delay);
+        delay = next;
     }
-    CHECK(pause <= 200ms);
-    CHECK(busyBackoff() < pause);
+    CHECK(delay <= 200ms);
+    CHECK(busyBackoff() < delay);
 }
