--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -8,15 +8,14 @@
 
 namespace {
 
-// Share of slot time, in percent, that each class gets when all classes want more than there is;
-// what one leaves goes to the others in order of class. Chosen, not measured.
+// Percentage of slot time for each class when all are backlogged. An unused share goes to the other
+// classes in order of priority.
 constexpr std::array<int, settings::requestClassCount> guaranteedSharePercent = {50, 25, 15, 10};
-// Weight of a new sample in the running means is one in so many.
+// Reciprocals of the smoothing factors.
 constexpr int meanDivisor = 8;
 constexpr int deviationDivisor = 4;
-// Service time that is assumed where none has been measured. Chosen, not measured.
+// Assumed before the first sample.
 constexpr Duration defaultServiceTime = 2ms;
-// Bounds of the time after which a refused caller is asked to come back.
 constexpr Duration minRetryAfter = 10ms;
 constexpr Duration maxRetryAfter = 5s;
 
@@ -25,7 +24,7 @@
     return duration < 0ns ? -duration : duration;
 }
 
-// Up to half as long again, so that those who were refused together come back apart.
+// Adds up to 50% of jitter, so that callers refused together don't retry together.
 Duration withJitter(Duration retryAfter, WorkId id)
 {
     retryAfter = std::clamp(retryAfter, minRetryAfter, maxRetryAfter);
@@ -107,10 +106,11 @@
     return queue.service.mean > 0ns ? queue.service.upperBound() : meanServiceTime(queue);
 }
 
-// 1. In order of class: all that waits in this class and those before it, slowed by the shares of
-//    the classes behind that wait too.
-// 2. By the guaranteed share: this class's own queue at its share of the slots.
-// The shorter holds. Within the class, a team need not wait for more than its part.
+// Returns the smaller of two estimates:
+// 1. In order of priority: the queues of this class and those before it, slowed down by the
+//    guaranteed shares of the backlogged classes behind it.
+// 2. By guaranteed share: the queue of this class at its share of the slots.
+// With a team, only the wait that weighted sharing gives the team within its class is counted.
 Duration Admission::estimatedWait(std::size_t classIndex, const TeamName *team) const
 {
     const ClassQueue &own = classes_[classIndex];
@@ -140,7 +140,7 @@
         if (i > classIndex && classes_[i].queued > 0)
             sharesBehind += guaranteedSharePercent[i];
     }
-    // One statement, on average half done, runs in each slot.
+    // A busy slot's statement is half done on average.
     const Duration running = busy_ >= slots_ ? service_.mean / 2 : 0ns;
     const Duration inOrder = running + (before + ownWork) * 100 / (100 - sharesBehind) / slots_;
     const Duration byShare = running + ownWork * 100 / guaranteedSharePercent[classIndex] / slots_;
@@ -157,8 +157,8 @@
     return estimatedWait(indexOf(requestClass), &team);
 }
 
-// Where several teams come, each may fill half of what the others leave free, at most its share: so
-// there is always room for the next.
+// With several teams, each may fill half of the space that the others leave, up to its share, so
+// that no team can fill the queue.
 int Admission::queueLimit(const ClassQueue &queue, const TeamName &team) const
 {
     if (queue.teams.size() < 2 && teamShares_.size() < 2)
@@ -176,21 +176,21 @@
     ClassQueue &queue = classes_[classIndex];
     const Duration wait = estimatedWait(classIndex, &work.team);
 
-    // 1. Room in the queue of the class, and in the team's part of it.
+    // 1. Queue limits of the class and of the team.
     TeamQueue &team = queue.teams[work.team];
     if (queue.queued >= queueLength_)
         return {Reason::QueueFull, withJitter(wait, work.id)};
     if (static_cast<int>(team.items.size()) >= queueLimit(queue, work.team))
         return {Reason::TeamLimit, withJitter(wait, work.id)};
 
-    // 2. Time enough: what can't finish is refused now, not when its deadline is near. An idle
-    //    server is tried in any case, or an estimate that was once high would stay for ever.
+    // 2. Deadline. An idle server takes any work: without new samples an estimate that is too high
+    //    would never come down.
     const Duration left = work.deadline - now;
     const Duration needed = isIdle() ? 0ns : wait + serviceTimeBound(queue);
     if (needed > left)
         return {Reason::DeadlineTooShort, withJitter(needed - left, work.id)};
 
-    // 3. A team that was idle starts level with the others.
+    // 3. A team that was idle gets no credit for that time.
     if (team.items.empty()) {
         team.weight = weightOf(work.team);
         team.virtualTime = std::max(team.virtualTime, queue.virtualTime);
@@ -210,7 +210,7 @@
     return queue.queued > 0 && !limited;
 }
 
-// The first class that is owed slot time, else the first with work.
+// Returns the first class with enough credit for a statement, else the first with startable work.
 std::optional<std::size_t> Admission::chooseClass() const
 {
     std::optional<std::size_t> first;
@@ -225,7 +225,8 @@
     return first;
 }
 
-// Counts the shares of all waiting classes up by the slot time that is given out now.
+// Adds each backlogged class's share of the granted slot time to its credit and charges the chosen
+// class.
 void Admission::updateCredits(std::size_t chosen)
 {
     const Duration service = meanServiceTime(classes_[chosen]);
@@ -245,7 +246,7 @@
     --queued_;
 }
 
-// The oldest work of the team that has had the least.
+// Removes and returns the oldest work of the team with the smallest virtual time.
 Work Admission::dequeue(ClassQueue &queue)
 {
     TeamQueue *least = nullptr;
@@ -300,7 +301,7 @@
         service_.add(*serviceTime);
     }
 
-    // The team was charged the expected time at the start.
+    // The team was charged the expected time in dequeue(): corrects that to the time used.
     const auto team = queue.teams.find(work.team);
     if (team == queue.teams.end())
         return;
@@ -315,7 +316,7 @@
     dropped_.push_back({work.id, reason, withJitter(retryAfter, work.id)});
 }
 
-// Drops what would miss its deadline even if it started now.
+// Drops work that would miss its deadline even if it started now.
 void Admission::dropInfeasible(Instant now, std::size_t classIndex)
 {
     ClassQueue &queue = classes_[classIndex];
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -16,7 +16,7 @@
 
 using WorkId = std::uint64_t;
 
-// One request that wants a slot of one server.
+// A request for a slot of one server.
 struct Work
 {
     WorkId id = 0;
@@ -25,15 +25,14 @@
     Instant deadline;
 };
 
-// The answer to an offer of work.
 struct AdmissionAnswer
 {
-    // Reason::None: it is queued or may start (see next()).
+    // Reason::None: queued, to be returned by next().
     Reason reason = Reason::None;
     Duration retryAfter {0};
 };
 
-// Work that left the queue unserved.
+// Work that was removed from the queue without being run.
 struct DroppedWork
 {
     WorkId id = 0;
@@ -41,48 +40,50 @@
     Duration retryAfter {0};
 };
 
-// The queue of one server: bounded, by class and team, with the callers' deadlines. Work that
-// cannot finish in time is refused at once. Critical work goes before browsing, but each class has
-// a guaranteed share of slots that others only borrow.
+// Admission control for one server: a bounded queue for each request class, shared fairly between
+// teams. Work that can't meet its deadline is refused at once. Classes are served in order of
+// priority, but each has a guaranteed share of slot time; unused shares go to the other classes.
 class Admission
 {
 public:
     Admission(int slots, int queueLength);
 
     void setSlots(int slots);
-    // Browsing holds at most so many slots at a time, so that the others need not wait for the end
-    // of a long statement. 0: all.
+    // Limits the slots that the Browse class may occupy at a time, so that other classes don't wait
+    // for a long statement. 0: no limit.
     void setBrowseSlots(int slots);
     void setTeamShares(const std::vector<settings::Team> &teams);
 
     AdmissionAnswer offer(Instant now, const Work &work);
 
-    // The next work that may start now; it then holds a slot until finished() is called.
+    // Returns the next work to start, if a slot is free. It occupies the slot until finished() or
+    // abandoned() is called.
     std::optional<Work> next(Instant now);
 
-    // A slot is free again. The service time feeds the estimate of waits.
+    // Frees the slot and adds the service time to the estimates.
     void finished(const Work &work, Duration serviceTime);
-    // A slot is free again after work that was given up or never sent; it tells nothing of waits.
+    // Frees the slot of work that was given up or never sent; the estimates stay unchanged.
     void abandoned(const Work &work);
 
-    // Work whose deadline can no longer be met; asked after each next() and on a tick, so that
-    // it gets its answer at once.
+    // Removes and returns work that can't meet its deadline any more. To be called after each
+    // next() and periodically, so that its callers are answered at once.
     std::vector<DroppedWork> expire(Instant now);
+    // Removes queued work; returns false if it isn't queued.
     bool cancel(WorkId id);
-    // Everything that waits, as when a server is gone.
+    // Removes and returns all queued work, for example when the server is gone.
     std::vector<Work> takeAll();
 
     int busy() const { return busy_; }
     int queued() const { return queued_; }
-    // Expected wait of new work of this class, its own service not counted; with a team, that of
-    // the team's next work.
+    // Returns the expected queueing time of new work of the class, or of the team within the class,
+    // without its own service time.
     Duration expectedWait(settings::RequestClass requestClass) const;
     Duration expectedWait(settings::RequestClass requestClass, const TeamName &team) const;
-    // Mean time of one statement over all classes; zero before the first one.
+    // Mean service time over all classes; zero before the first sample.
     Duration serviceTime() const;
 
 private:
-    // Running mean and mean deviation of service times (as TCP estimates round trips, RFC 6298).
+    // Smoothed mean and mean deviation, as for TCP's round-trip times (RFC 6298).
     struct Estimate
     {
         Duration mean {0};
@@ -95,7 +96,8 @@
     {
         std::deque<Work> items;
         int weight = 100;
-        // Slot time used divided by weight, in step with the other teams that wait.
+        // Slot time used, divided by weight; at least that of the class when the team becomes
+        // active.
         Duration virtualTime {0};
     };
     struct ClassQueue
@@ -103,10 +105,10 @@
         std::map<TeamName, TeamQueue> teams;
         int queued = 0;
         int busy = 0;
-        // No work here has an earlier one.
+        // Lower bound of the deadlines in the queue.
         Instant earliestDeadline = Instant::max();
         Estimate service;
-        // Slot time that the class is owed from its guaranteed share.
+        // Slot time that the class has accrued from its guaranteed share.
         Duration credit {0};
         Duration virtualTime {0};
     };
--- a/src/decision/connectionchoice.cpp
+++ b/src/decision/connectionchoice.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// What a group gives its owner at least, however few connections its servers take.
+// Allowed even if the share of the server's connections is smaller.
 constexpr int minOwnerConnections = 3;
 
-// The best of the organisation's own: with the session's values, else the one used last.
+// Returns the organisation's connection that has the session's values, else the most recently used.
 std::optional<std::size_t> ownConnection(const std::vector<IdleConnection> &idle)
 {
     std::optional<std::size_t> own;
@@ -56,15 +56,15 @@
 ConnectionChoice chooseConnection(const std::vector<IdleConnection> &idle,
                                   const ServerConnections &server, Instant now)
 {
-    // 1. One that is there.
+    // 1. An idle connection.
     if (const auto own = ownConnection(idle))
         return {ConnectionAction::Use, *own};
-    // 2. One that is on its way; openings leave no slot for work if they take all of them.
+    // 2. One that is being opened. One slot is left for statements.
     if (server.openingForOrganisation > 0 || server.opening >= std::max(1, server.slots - 1))
         return {ConnectionAction::WaitForOpening};
     if (!server.mayOpen)
         return {ConnectionAction::WaitForServer};
-    // 3. A new one, where there is room or can be made.
+    // 3. A new one, within the share or in place of another.
     if (server.total < server.share)
         return {ConnectionAction::Open};
     if (idle.empty() || now - idle.front().lastUsedAt < server.minIdleTime)
--- a/src/decision/connectionchoice.h
+++ b/src/decision/connectionchoice.h
@@ -5,84 +5,81 @@
 #include <cstddef>
 #include <vector>
 
-// Which connection of a server a statement gets. A server takes few connections from all processes
-// together, each belongs to one organisation for life, and opening one costs time and a slot.
+// Chooses the connection for a statement. A server's connection limit is shared by all owners, each
+// connection belongs to one organisation for its lifetime, and opening one takes time and a slot.
 namespace kelptally::decision {
 
-// One connection that nobody uses at the moment.
 struct IdleConnection
 {
-    // It belongs to the statement's organisation.
+    // Belongs to the statement's organisation.
     bool sameOrganisation = false;
-    // It holds just the values of the statement's session, so that nothing has to be set.
+    // Has exactly the session values that the statement needs.
     bool hasSessionValues = false;
-    // When it last answered.
+    // Time of the last answer.
     Instant lastUsedAt;
 };
 
-// The connections of one server as one owner has them.
+// One owner's connections to one server.
 struct ServerConnections
 {
-    // Open or being opened, in use or not, of all organisations.
+    // Open or being opened, of all organisations.
     int total = 0;
-    // As many this owner may have.
+    // Maximum of total.
     int share = 0;
-    // Being opened, of all organisations and of the statement's.
+    // Being opened, for all organisations and for the statement's.
     int opening = 0;
     int openingForOrganisation = 0;
-    // What the server does at the same time; opening a connection takes a slot meanwhile.
+    // Statements that the server runs concurrently. An opening connection occupies a slot.
     int slots = 1;
-    // The server may be dialled; it has not just refused a connection.
+    // False during the backoff after a refused connection.
     bool mayOpen = true;
-    // One that has rested for less may not make room: its organisation is likely to ask again.
+    // A connection that was idle for less is not closed to make room for another.
     Duration minIdleTime {0};
 };
 
-// What one owner may have of a server's connections, in percent.
+// One owner's share of a server's connections, in percent.
 struct OwnerShare
 {
     int basePercent = 0;
-    // With those that rest inside transactions, which serve nobody else meanwhile.
+    // Including connections that are idle in a transaction.
     int maxPercent = 0;
 };
 
-// How many connections an owner may have. The rest is for the next owner, for whom a server keeps
-// those of a host that lost power.
+// Returns how many connections an owner may open. The rest is left for the next owner of the group:
+// after a power loss the server still counts the connections of the lost host.
 int maxOwnerConnections(int maxConnections, int idleInTransaction, const OwnerShare &share);
 
 enum class ConnectionAction {
-    // An idle connection of the organisation.
+    // Use an idle connection of the organisation.
     Use,
-    // A new one, within the share.
+    // Open a new one, within the share.
     Open,
-    // A new one, and an idle one of another organisation is closed for it.
+    // Close an idle connection of another organisation and open a new one.
     Replace,
-    // One of the organisation is being opened, or as many as may be at a time.
+    // One is being opened for the organisation, or the limit of concurrent openings is reached.
     WaitForOpening,
-    // Every connection is in use.
+    // All connections are in use, or idle for too short a time.
     WaitForIdle,
-    // The server is not dialled for the moment.
+    // The server refused a connection; retry after the backoff.
     WaitForServer,
 };
 
 constexpr std::size_t connectionActionCount = 6;
 
-// As metrics and logs name it.
+// Returns the name used in metrics and logs.
 const char *connectionActionName(ConnectionAction action);
 
 struct ConnectionChoice
 {
     ConnectionAction action = ConnectionAction::WaitForIdle;
-    // Of the idle connection to use, or to close.
+    // Index of the idle connection to use or to close.
     std::size_t index = 0;
 };
 
-// The idle connections stand in the order in which they were used, the one that has rested longest
-// first; among those that serve equally the one used last is taken, so that the rest grow old.
-//
-// Making room by the longest rest keeps the connections of those that ask most. One opening at a
-// time for an organisation: several of its statements that wait would each open one, and close
-// those of others for it.
+// Expects the idle connections in order of last use, least recently used first. Of equally suitable
+// ones it takes the most recently used. The least recently used is replaced, which keeps the
+// connections of busy organisations. At most one connection is opened at a time for an
+// organisation: its queued statements would otherwise evict those of others.
 ConnectionChoice chooseConnection(const std::vector<IdleConnection> &idle,
                                   const ServerConnections &server, Instant now);
 
--- a/src/decision/policyoptions.h
+++ b/src/decision/policyoptions.h
@@ -1,30 +1,28 @@
 #pragma once
 
-// Decisions that can be made in several ways. The first of each is the one that measured best, and
-// is what a process does; a section of a settings file that is meant for experiments picks others.
+// Alternative policies, selected in the [experiments] section of the settings file. The defaults
+// are used in production.
 namespace kelptally::decision {
 
-// Which statement of a priority goes first.
+// How statements of equal priority are ordered.
 enum class QueueDiscipline {
-    // The one that would be late first; but an organisation without a quota that has had more than
-    // its share goes behind the others.
+    // By due time, except that an organisation without a quota that is over its fair share comes
+    // last.
     FairUnlessLimited,
-    // The same for organisations with a quota.
+    // As FairUnlessLimited, for organisations with a quota too.
     Fair,
-    // The one that would be late first.
     EarliestDueDate,
 };
 
 struct PolicyOptions
 {
     QueueDiscipline queueDiscipline = QueueDiscipline::FairUnlessLimited;
-    // Of a server's connections an owner may have this part, in percent, where each belongs to an
-    // organisation.
+    // Percentage of a server's connections that one owner may open, for groups whose connections
+    // each belong to one organisation.
     int ownerSharePercent = 60;
-    // And up to this part for connections that rest inside transactions.
+    // The same with the connections added that are idle in a transaction.
     int maxOwnerSharePercent = 85;
-    // What speaks against a server to which a connection would have to be opened, in percent of its
-    // slots.
+    // Routing cost of a server that needs a new connection, in percent of its slots.
     int openingCost = 100;
 };
 
--- a/src/decision/quota.cpp
+++ b/src/decision/quota.cpp
@@ -9,36 +9,34 @@
 
 namespace {
 
-// So many groups hold one organisation's quota: enough that the loss of one owner takes an eighth
-// for a moment, and few to ask at any number of groups.
+// Groups that hold one organisation's quota. Bounds the owners to request tokens from, and the
+// share that is unavailable when one owner fails.
 constexpr std::size_t maxHolders = 8;
-// How the operations that the tolerance allows beyond the plain rate are used: kept by owners for
-// moments when more is asked, and earned twice while two owners act for one group. The rest is left
-// for what is on its way. Small organisations need what is kept: with 0.6 and 0.3, and accounts
-// that began half full, one of seven operations a second had less than one at each of eight owners,
-// and 0.9% of what could be served on a calm day was refused.
+// How the operations that the tolerance allows beyond the rate are used: for the capacity of the
+// accounts, and for groups with two active owners. The rest covers grants in flight. The capacity
+// of small quotas must not fall far below one operation for each account.
 constexpr double capacityFraction = 0.85;
 constexpr double overlapFraction = 0.1;
-// Owners that take a group begin with something, too: room for a quarter of the groups changing
-// hands within a window.
+// Accounts of new owners start full: allows for a quarter of the groups changing owner within a
+// window.
 constexpr double accountsPerGroup = 1.25;
-// Below this part of its capacity an account gives nothing away; others are asked for so much.
+// Fraction of the capacity that an account doesn't grant to others, and up to which it requests
+// tokens.
 constexpr double reserveFraction = 0.5;
-// They are asked when less is left than what comes in this time, or when an operation has found
-// nothing. When an account asked all others as soon as half was gone, one that is used at its usual
-// rate sent 22 messages a second for 3.3 operations (the count in quota_test).
+// Tokens are requested when fewer are left than are refilled in this time, or when an operation was
+// refused. A higher threshold costs many messages at normal load.
 constexpr Duration lookAhead = std::chrono::milliseconds(200);
-// An owner can spare this part of what it may, most of the time; when an operation waits, more are
-// asked: with two of seven asked 1.5% of a small organisation's operations were refused.
+// Reciprocal of the part of the reserve that each owner is expected to grant while an operation
+// waits. A larger divisor requests from more owners.
 constexpr int missedGrantDivisor = 4;
-// An answer takes a message each way, 1 to 3 ms between zones.
+// Allows for a round trip between availability zones.
 constexpr Duration grantTimeout = std::chrono::milliseconds(20);
-// After an answer the next question may follow soon; without one nobody has anything to spare.
+// Interval of requests after a grant, and when nobody has granted anything.
 constexpr Duration minRequestInterval = std::chrono::milliseconds(40);
 constexpr Duration unansweredBackoff = std::chrono::milliseconds(400);
-// What was given to an owner that holds no part, and not used, is not kept for longer.
+// A host without a share discards unused grants after this time.
 constexpr Duration unusedGrantTimeout = std::chrono::seconds(1);
-// A caller is not told to wait for longer than this: what is asked may fall at any time.
+// Demand may fall at any time, so callers are not told to wait for longer.
 constexpr Duration maxRetryDelay = std::chrono::seconds(2);
 
 double seconds(Duration duration)
@@ -48,8 +46,8 @@
 
 } // namespace
 
-// The load it answers: an organisation at 7.5 times its usual rate, beside cuts after which both
-// halves have an owner for the same group.
+// Guards against overload by one organisation, also during partitions in which both sides have an
+// owner of the same group.
 QuotaShare quotaShare(const Quota &quota, const QuotaTolerance &tolerance,
                       const QuotaHolders &holders)
 {
@@ -58,8 +56,8 @@
         (nominal + quota.burst) * (1 + tolerance.overshoot) + tolerance.slack - nominal;
     if (holders.total == 0 || nominal + quota.burst <= 0)
         return {};
-    // 1. Rate: an equal part for each holder. Where two owners may act, the later one earns as much
-    // as keeps all of these together within the tolerance.
+    // 1. Rate: an equal share for each group. Where a previous owner may still be active, the new
+    // owner's rate is reduced so that all such groups together stay within the tolerance.
     double overlapping = 1;
     if (holders.overlapping > 0 && nominal > 0)
         overlapping = std::min(
@@ -68,8 +66,8 @@
         holders.owned - holders.ownedOverlapping + overlapping * holders.ownedOverlapping;
     QuotaShare share;
     share.perSecond = quota.perSecond * ownedShares / holders.total;
-    // 2. Capacity: for each group owned here; an owner that holds none keeps one account's gifts.
-    // Less than one operation could never be run.
+    // 2. Capacity: for each owned group. A host that owns none gets that of one group for received
+    // grants. At least one operation must fit.
     const double perGroup = capacityFraction * headroom / (accountsPerGroup * holders.total);
     share.capacity = std::max(1.0, perGroup * std::max(1, holders.owned));
     return share;
@@ -80,7 +78,7 @@
 {
     if (groups.size() <= maxHolders)
         return groups;
-    // Rendezvous hashing; by a sum that is the same in every build.
+    // Rendezvous hashing. The hash has to be the same on all hosts.
     std::vector<std::pair<Sha256Digest, const GroupName *>> ranked;
     ranked.reserve(groups.size());
     for (const GroupName &group : groups)
--- a/src/decision/quota.h
+++ b/src/decision/quota.h
@@ -7,26 +7,25 @@
 #include <optional>
 #include <vector>
 
-// What organisations may ask of all hosts together, and how owners keep to it without asking each
-// other for every statement.
+// Distributed rate limiting of organisations, without communication for every statement.
 //
-// A few groups hold an organisation's quota: each of their owners earns an equal part of it. An
-// owner that runs low asks the others, which give away what they have to spare. Whatever is given
-// is gone at the giver before it is sent, so that a lost message, a cut, a frozen or dead owner
-// never makes it more. What no arithmetic can undo is an owner that acts on after another has taken
-// its group: the new one earns less until the earlier one has ended, within what the tolerance
-// leaves.
+// A few groups hold an organisation's quota: each of their owners refills a token bucket at an
+// equal share of the rate. An owner that runs low requests tokens from the others, which grant what
+// they can spare. Granted tokens are subtracted before they are sent, so that lost messages,
+// partitions, paused and crashed owners never create tokens. While a previous owner of a group may
+// still be active, the new owner refills at a lower rate, so that both together stay within the
+// tolerance.
 namespace kelptally::decision {
 
-// For one organisation; in operations, a transaction counting as one.
+// An organisation's limit in operations. A transaction counts as one operation.
 struct Quota
 {
     double perSecond = 0;
     double burst = 0;
 };
 
-// In any span as long as the window all hosts together may run
-// (perSecond x window + burst) x (1 + over) + slack operations.
+// In any time window of this length, all hosts together may run at most
+// (perSecond x window + burst) x (1 + overshoot) + slack operations.
 struct QuotaTolerance
 {
     Duration window {std::chrono::seconds(5)};
@@ -37,59 +36,59 @@
 // The groups that hold an organisation's quota, as one host sees them.
 struct QuotaHolders
 {
-    // How many there are, and in how many of them an earlier owner may act beside the present one.
+    // All of them, and those in which a previous owner may still be active.
     int total = 0;
     int overlapping = 0;
-    // Of those, the ones that this host owns.
+    // The same for groups that this host owns.
     int owned = 0;
     int ownedOverlapping = 0;
 };
 
-// What one host earns and may keep.
+// One host's refill rate and capacity.
 struct QuotaShare
 {
     double perSecond = 0;
-    // Most that it keeps of what it has earned or been given.
     double capacity = 0;
 };
 
 QuotaShare quotaShare(const Quota &quota, const QuotaTolerance &tolerance,
                       const QuotaHolders &holders);
 
-// The groups whose owners hold the organisation's quota, by an order that all hosts agree on.
+// Returns the groups whose owners hold the organisation's quota, the same on all hosts.
 std::vector<GroupName> quotaHolders(const OrganisationName &organisation,
                                     const std::vector<GroupName> &groups);
 
-// What one host has of one organisation's quota. Counts from the steady clock.
+// One host's token bucket for one organisation. Times are of the steady clock.
 class QuotaAccount
 {
 public:
-    // From now on it earns and keeps this much. What is new of the capacity is there at once, and
-    // all of it when the account begins to earn, as its host takes a group.
+    // Sets rate and capacity. Added capacity is available at once, and all of it when the rate was
+    // zero before, that is when the host becomes the owner of a group.
     void set(Instant now, const QuotaShare &share);
 
-    // Takes one operation; false when there is none.
+    // Takes a token; returns false if there is none.
     bool take(Instant now);
-    // One that was taken has not run.
+    // Returns the token of an operation that was not run.
     void giveBack(Instant now);
 
-    // What can be spared of what another owner asks for; it is gone here.
+    // Subtracts and returns what can be spared of the tokens that another owner requests.
     double grant(Instant now, double wanted);
+    // Adds tokens that another owner granted.
     void receive(Instant now, double operations);
     struct GrantRequest
     {
-        // To ask each for, and how many to ask.
+        // Tokens to request from each owner, and the number of owners.
         double wanted = 0;
         std::size_t owners = 0;
     };
-    // What should be asked of other owners; nothing when there is enough, or when it is too early
-    // to ask again. They are taken to have been asked.
+    // Returns the request to send to other owners, if tokens run low and the last request was long
+    // enough ago. Assumes that the caller sends it.
     std::optional<GrantRequest> nextGrantRequest(Instant now);
-    // They have been asked a moment ago and may still answer.
+    // Whether a request is recent enough to be answered yet.
     bool awaitsGrants(Instant now) const;
 
-    // When there is room for one more that is refused now. Each refusal reckons with those before
-    // it, so that callers come back one after the other.
+    // Returns when a refused caller should retry. Each call reserves a later time, so that callers
+    // don't retry together.
     Duration retryDelay(Instant now);
 
     double available(Instant now);
@@ -100,12 +99,11 @@
     QuotaShare share_;
     double available_ = 0;
     Instant refilledAt_ {};
-    // Until when what comes is spoken for by callers that were refused.
+    // Tokens refilled until then are reserved for callers that were refused.
     Instant reservedUntil_ {};
     Instant requestedAt_ {};
     Instant nextRequestAt_ {};
     bool isSet_ = false;
-    // The last operation found nothing.
     bool lastTakeFailed_ = false;
 };
 
--- a/src/decision/retrypolicy.cpp
+++ b/src/decision/retrypolicy.cpp
@@ -9,25 +9,22 @@
 namespace {
 
 constexpr int creditPerRetry = 100;
-// Retries that may be saved up while all goes well. Chosen, not measured.
 constexpr int maxSavedRetries = 20;
 constexpr int initialRetries = 3;
-// With the budget spent, one wish in so many is granted: at most 2% more load.
+// With the budget spent, one retry in so many is allowed.
 constexpr int exhaustedRetryInterval = 50;
 
 constexpr int maxAttempts = 6;
-// Searches for an owner: with the delays below, 2 to 4 s. A takeover takes 1.6 s at most (measured,
-// docs/design/owner.md), so by then it is not coming soon, and the caller is told at once.
+// With the delays below, 2 to 4 s: longer than a failover takes.
 constexpr int maxOwnerLookups = 24;
-// First delay and longest delay; they double in between. Short, since a failover is over within a
-// second and a retry that oversleeps adds to its gap. Chosen, not measured.
+// Exponential backoff. Short, as each delay may prolong the outage that a failover causes.
 constexpr Duration initialBackoff = 10ms;
 constexpr Duration maxBackoff = 200ms;
-// What an attempt needs at least once its delay is over.
+// No retry if less time would be left until the deadline.
 constexpr Duration minAttemptTime = 2ms;
 
-// The request reached nobody who could work on it: asking for the owner again loads no server, so
-// it goes on for longer and costs no budget.
+// Whether the request reached no owner. Retrying it puts no load on a server, so it is retried for
+// longer and without the budget.
 bool isOwnerLookup(const FailedAttempt &attempt)
 {
     const Reason reason = attempt.reason;
@@ -70,7 +67,7 @@
     budget_.onSuccess();
 }
 
-// Half of the delay is fixed and half is drawn, so that those who failed together come back apart.
+// Half of the delay is random, so that requests that failed together aren't retried together.
 Duration RetryPolicy::backoff(int number)
 {
     Duration full = initialBackoff;
@@ -85,12 +82,12 @@
 {
     budgetSpent_ = false;
 
-    // 1. A repeat must not be able to do the work twice.
+    // 1. A retry must not execute the request twice.
     const bool safe = attempt.notExecuted || attempt.repeatable || attempt.hasKey;
     if (!safe || !reasonInfo(attempt.reason).retryable)
         return std::nullopt;
 
-    // 2. It must be able to help.
+    // 2. It must have a chance to succeed.
     const bool ownerLookup = isOwnerLookup(attempt);
     if (attempt.number >= (ownerLookup ? maxOwnerLookups : maxAttempts))
         return std::nullopt;
@@ -98,7 +95,7 @@
     if (delay + minAttemptTime > attempt.deadlineLeft)
         return std::nullopt;
 
-    // 3. It must not multiply a storm.
+    // 3. It must not amplify an overload.
     budgetSpent_ = !ownerLookup && !budget_.trySpend();
     if (budgetSpent_)
         return std::nullopt;
--- a/src/decision/retrypolicy.h
+++ b/src/decision/retrypolicy.h
@@ -9,15 +9,15 @@
 
 namespace kelptally::decision {
 
-// A share of successes that may be spent on retries, so that a storm of failures is not multiplied.
+// Limits retries to a percentage of the successes, so that a wave of failures isn't amplified.
 class RetryBudget
 {
 public:
     explicit RetryBudget(int percent);
 
     void onSuccess();
-    // Takes one retry off the budget; false when it is used up. A small share of the wishes is
-    // granted even then, so that a service without any success is still tried.
+    // Takes one retry from the budget; returns false if it is spent. A few retries are allowed even
+    // then, so that a service without any success is still tried.
     bool trySpend();
 
 private:
@@ -27,7 +27,6 @@
     int consecutiveRefusals_ = 0;
 };
 
-// What is known of a failed attempt.
 struct FailedAttempt
 {
     Reason reason = Reason::None;
@@ -38,17 +37,17 @@
     Duration deadlineLeft {0};
 };
 
-// Decides whether and when a failed attempt is made again. While no owner can be found the request
-// waits for one as long as a takeover may need; every other repeat draws on the budget.
+// Decides whether and when a failed attempt is retried. Lookups of the owner are retried for as
+// long as a failover may take, outside the budget; other retries are charged to it.
 class RetryPolicy
 {
 public:
     RetryPolicy(int budgetPercent, std::uint64_t seed);
 
     void onSuccess();
-    // The delay with jitter, or nothing when the failure is final.
+    // Returns the backoff with jitter, or nothing if the failure is final.
     std::optional<Duration> retryAfter(const FailedAttempt &attempt);
-    // Whether the last refusal was for the budget alone.
+    // Whether the last attempt would have been retried but for the budget.
     bool budgetSpent() const { return budgetSpent_; }
 
 private:
--- a/src/decision/slotadmission.cpp
+++ b/src/decision/slotadmission.cpp
@@ -7,24 +7,22 @@
 
 namespace {
 
-// Statements that wait in one group. Chosen, not measured: some seconds of a small group's work.
+// Statements of one group.
 constexpr std::size_t maxQueueLength = 512;
-// How long a statement may wait for a server: one and a half times its route's objective, within
-// these bounds. Longer waits end late, are given up by their callers, and keep others from being in
-// time. Between one and two and a half times, three sites differ by less than 0.005 in worth.
+// A statement may be queued for 3/2 of its route's objective, within these bounds. Longer queueing
+// delays others for answers that come too late anyway.
 constexpr int queueTimeNumerator = 3;
 constexpr int queueTimeDenominator = 2;
 constexpr Duration minQueueTime = std::chrono::milliseconds(250);
 constexpr Duration maxQueueTime = std::chrono::milliseconds(2000);
-// Weights of RFC 6298, as shifts; and how many deviations most samples are within.
+// Reciprocals of the smoothing factors, and deviations added to the mean.
 constexpr int meanDivisor = 8;
 constexpr int deviationDivisor = 4;
 constexpr int deviationFactor = 1;
-// An organisation that is ahead of the others by some statements has had more than its share.
+// An organisation this far ahead of the virtual time is over its share.
 constexpr Duration shareTolerance = std::chrono::milliseconds(50);
-// Of a statement whose kind has not been seen yet.
+// Minimum charge of a statement, for kinds without an estimate.
 constexpr Duration minServiceTime = std::chrono::milliseconds(1);
-// What a caller is told to wait when a group has no primary, or is full.
 constexpr Duration noPrimaryRetryHint = std::chrono::milliseconds(400);
 constexpr Duration queueFullRetryHint = std::chrono::milliseconds(100);
 
@@ -66,13 +64,9 @@
     return kind->second.mean + deviationFactor * kind->second.deviation;
 }
 
-// Open transactions hold connections that others need, so they go on first. Then by the routes'
-// priority; then what can still be answered within its objective before what cannot, and by the
-// time at which each would be late, or given up.
-//
-// The load it answers: a sixth more than two slots can do. In the order of arrival, and also with a
-// bonus for what is in time that knew nothing of the time that servers take, 38% were in time; with
-// this, 86% (the replay in slotadmission_test).
+// Open transactions come first, as they occupy connections. Then, within a priority, statements
+// that can still meet their objective come before late ones: under overload, order of arrival would
+// make most answers late.
 bool precedes(const WaitingStatement &a, const WaitingStatement &b, Instant now)
 {
     const auto rank = [now](const WaitingStatement &statement) {
@@ -83,11 +77,7 @@
     return rank(a) < rank(b);
 }
 
-// The load it answers: one organisation without a quota asks for forty times its usual. Of the
-// others' statements 54% were in time by due alone, and 96% with this (the replay in
-// fairshare_test). A quota bounds an organisation before it waits: for those that have one no
-// difference was measured (mean worth of six days 0.635 by due, 0.628 by equal shares, 0.635 by
-// shares as large as the quotas; the same days again differ by 0.025).
+// Guards against one organisation without a quota that delays the statements of all others.
 Duration StartTimeFairQueuing::onArrival(const OrganisationName &organisation, Duration service)
 {
     if (organisation.empty())
@@ -108,8 +98,8 @@
     return startTag > virtualTime_ + shareTolerance;
 }
 
-// One that has been sent keeps its time, and one that had to wait for a primary gets its turn once
-// there is one; any other that still waits is refused.
+// A statement that was sent may run until its deadline. One that waits for a primary is queued
+// until there is one, and then for its usual queue time.
 Instant giveUpAt(const WaitingStatement &statement, const WaitState &state, Instant now)
 {
     if (state.executing)
--- a/src/decision/slotadmission.h
+++ b/src/decision/slotadmission.h
@@ -7,41 +7,42 @@
 #include <map>
 #include <utility>
 
-// How statements wait for a slot of one of a group's servers: in which order, for how long, and
-// what those that are refused are told. Servers have two or three slots; a group whose replicas lag
-// has those of its primary alone, for half more work than they can do.
+// Admission control for the slots of a group's servers: the order and the time limits of queued
+// statements. It guards against overload, for example when the replicas lag and only the primary's
+// few slots remain.
 namespace kelptally::decision {
 
-// What the order and the limits need of one statement.
+// A queued statement.
 struct WaitingStatement
 {
-    // Of a transaction that is open: it holds a connection that others need.
+    // Belongs to an open transaction, which occupies a connection.
     bool continuesTransaction = false;
     // 0 is the most urgent.
     int priority = 0;
     Instant arrived;
-    // Its route's objective ends.
+    // Arrival plus the route's latency objective.
     Instant due;
-    // How long a server takes for its kind, most of the time.
+    // Expected service time.
     Duration service {0};
-    // Its caller or route gives it up.
+    // End of the caller's or the route's time limit.
     Instant deadline;
-    // Refused if it has not been sent by then.
+    // The statement is refused if it has not been sent by then.
     Instant queueDeadline;
-    // Its place among its organisation's statements; and whether that organisation has had more
-    // than others that wait.
+    // Start tag of fair queuing, and whether the organisation is over its fair share.
     Duration startTag {0};
     bool overShare = false;
 };
 
-// Start-time fair queuing of organisations: each statement's turn is the end of its organisation's
-// one before it, or the turn that the group has come to.
+// Start-time fair queuing between organisations. A statement's start tag is the finish tag of its
+// organisation's previous statement, or the virtual time if that is later.
 class StartTimeFairQueuing
 {
 public:
-    // The statement will take about so long at a server.
+    // Returns the start tag of a statement with this expected service time.
     Duration onArrival(const OrganisationName &organisation, Duration service);
+    // A statement was sent: advances the virtual time to its start tag.
     void onStart(Duration startTag);
+    // Whether the tag is so far ahead of the virtual time that the organisation is over its share.
     bool isOverShare(Duration startTag) const;
 
 private:
@@ -49,13 +50,13 @@
     std::map<OrganisationName, Duration> finishTags_;
 };
 
-// How long servers take for statements of each kind: those of one objective and priority. Mean and
-// mean deviation, as TCP estimates round trips (RFC 6298).
+// Estimates the service time of each kind of statement, as given by objective and priority, by
+// smoothed mean and mean deviation (RFC 6298).
 class ServiceTimes
 {
 public:
     void add(Duration objective, int priority, Duration sample);
-    // What most of them take; zero before the first one.
+    // Returns mean plus deviation; zero before the first sample.
     Duration typical(Duration objective, int priority) const;
 
 private:
@@ -68,31 +69,32 @@
     std::map<std::pair<Duration, int>, Estimate> kinds_;
 };
 
-// What a statement waits for.
+// What determines how long a statement may wait.
 struct WaitState
 {
-    // It runs, or its acknowledgement is being verified.
+    // The statement was sent, or its acknowledgement is being verified.
     bool executing = false;
     bool needsPrimary = false;
     // This process owns the group.
     bool ownsGroup = false;
     bool hasPrimary = false;
-    // When the present primary began to lead.
+    // Start of the current primary's term.
     Instant primarySince {};
 };
 
-// The statement that arrived with this objective and deadline.
+// Computes the due time, deadline and queue deadline of a statement.
 WaitingStatement makeWaitingStatement(Instant arrived, Duration objective, Duration timeLeft,
                                       int priority, bool continuesTransaction);
 
+// Whether a is to be sent before b.
 bool precedes(const WaitingStatement &a, const WaitingStatement &b, Instant now);
 
-// When the statement is given up, as things are now.
+// Returns when the statement is to be given up, given the present state.
 Instant giveUpAt(const WaitingStatement &statement, const WaitState &state, Instant now);
 
 bool isQueueFull(std::size_t queued);
 
-// What a refused caller is told to wait.
+// Returns the delay after which a refused caller should retry.
 Duration retryHint(bool hasPrimary);
 
 } // namespace kelptally::decision
--- a/src/decision/statementretry.cpp
+++ b/src/decision/statementretry.cpp
@@ -6,15 +6,14 @@
 
 namespace {
 
-// A read that met so many failing servers is refused. Chosen, not measured.
 constexpr int maxAttempts = 8;
-// A slot is free again after some milliseconds of work.
+// Roughly the time after which a slot is free again.
 constexpr Duration busyDelay = std::chrono::milliseconds(8);
-// Replicas are usually some 10 ms behind; the first read after a lag waits for no more than the
-// longest pause.
+// Exponential backoff of a lagging replica. The maximum bounds how long a replica is still avoided
+// after it has caught up.
 constexpr Duration minLaggingDelay = std::chrono::milliseconds(10);
 constexpr Duration maxLaggingDelay = std::chrono::milliseconds(160);
-// The primary is looked for meanwhile.
+// Leaves time to find the new primary.
 constexpr Duration readOnlyDelay = std::chrono::milliseconds(20);
 
 bool isNotExecuted(ServerError error)
@@ -41,8 +40,8 @@
     return result;
 }
 
-// A statement that was only refused can be sent again; any other error ends the transaction, and a
-// commit that ran may have taken effect.
+// A statement is sent again only if the server was busy and kept the transaction open. Other errors
+// end the transaction, and a commit that was executed may have taken effect.
 RetryDecision inTransaction(const FailedStatement &statement)
 {
     if (statement.error == ServerError::Busy && statement.transactionStillOpen)
--- a/src/decision/statementretry.h
+++ b/src/decision/statementretry.h
@@ -3,62 +3,61 @@
 #include "core/clock.h"
 #include "core/reason.h"
 
-// What follows when a server refused a statement, or its answer was lost: sent again, or refused
-// with what is known of its outcome. Writes that may have run are never sent again.
+// Decides whether a statement is sent again after a server error or a lost answer, or refused with
+// what is known of its outcome. Writes that may have been executed are never sent again.
 namespace kelptally::decision {
 
 enum class ServerError {
     None,
-    // These did not run.
+    // Not executed.
     Busy,
     Lagging,
     ReadOnly,
     UnknownStatement,
-    // These ran.
+    // Executed.
     Failed,
     TimedOut,
-    // Anything else, by its text.
+    // Any other error, treated as executed.
     Other,
 };
 
-// What is known of a statement that failed.
 struct FailedStatement
 {
     ServerError error = ServerError::None;
-    // Only reads.
     bool read = false;
     bool commit = false;
-    // A single statement, or one that begins a transaction, leaves nothing open.
+    // Outside a transaction.
     bool autocommit = false;
+    // First statement of a transaction.
     bool begins = false;
-    // A transaction is open at the server, by this statement or one before it.
+    // A transaction was open at the server, begun by this statement or an earlier one.
     bool inTransaction = false;
-    // The server says that it still is.
+    // The server reports that it is still open.
     bool transactionStillOpen = false;
-    // How often it was sent.
+    // Number of times it was sent.
     int attempts = 0;
 };
 
 struct RetryDecision
 {
     bool sendAgain = false;
-    // Why it is sent again, or the reason of the refusal.
+    // Reason of the retry or of the refusal.
     Reason reason = Reason::None;
-    // Before it is sent again.
+    // Delay before the statement is sent again.
     Duration delay {0};
-    // Of a refusal.
+    // For a refusal: whether the statement was executed.
     Executed executed = Executed::No;
-    // What was open ends with it.
+    // The open transaction ends.
     bool endsTransaction = false;
 };
 
 RetryDecision onServerError(const FailedStatement &statement);
 
-// The connection ended before the answer came.
+// The connection was lost before the answer arrived.
 RetryDecision onAnswerLost(const FailedStatement &statement);
 
-// How long a server that refused work is left alone, and a replica that was behind, by its last
-// pause: it grows while it goes on refusing.
+// Returns how long no statements are sent to a server that was busy, and to a lagging replica. The
+// latter doubles from its last value.
 Duration busyBackoff();
 Duration nextLaggingBackoff(Duration last);
 
--- a/src/group/quotamanager.cpp
+++ b/src/group/quotamanager.cpp
@@ -8,13 +8,12 @@
 
 namespace {
 
-// Owners change without a word to the book; their part is worked out anew this often.
+// The manager isn't notified when owners change: shares are recomputed at this interval.
 constexpr Duration refreshPeriod = std::chrono::milliseconds(200);
 constexpr double thousandths = 1000;
-// A request is bounded by what anyone could have.
+// Bounds the amounts in messages, which are converted to double.
 constexpr std::uint64_t maxThousandths = std::uint64_t(1) << 50;
-// Organisations with a counter of their hasOwnCounter; the rest share one, so that the page stays
-// bounded.
+// Further organisations share one counter, which bounds the size of the metrics page.
 constexpr std::size_t maxOrganisationCounters = 100;
 
 } // namespace
@@ -72,7 +71,7 @@
         return nullptr;
     Account &account = found->second;
     const Instant now = parts_.timers.now();
-    // Worked out by those hosts alone that count: a hash for each group and organisation.
+    // Computed on first use, as it takes a hash for each group.
     if (account.holders.empty())
         account.holders = decision::quotaHolders(organisation, groups_);
     if (now >= account.refreshAt) {
@@ -129,7 +128,7 @@
     return wait;
 }
 
-// Some of the owners of the groups that hold the quota, by turns.
+// Sends the request to some of the other owners that hold the quota, in round-robin order.
 void QuotaManager::requestGrants(const OrganisationName &organisation, const Account &account,
                                  const decision::QuotaAccount::GrantRequest &grantRequest)
 {
--- a/src/group/quotamanager.h
+++ b/src/group/quotamanager.h
@@ -15,8 +15,8 @@
 
 namespace kelptally::group {
 
-// What this host has of the quotas of organisations, whose operations the groups that it owns run.
-// Asks other owners for more, and gives them what is to spare; see decision/quota.
+// Enforces the quotas of organisations for the operations of the groups that this host owns.
+// Exchanges tokens with other owners; see decision/quota.h.
 class QuotaManager
 {
 public:
@@ -37,18 +37,18 @@
 
     enum class TakeResult {
         Taken,
-        // Other owners have been asked a moment ago: there may be room when they answer.
+        // Other owners may still grant tokens: try again when they answer.
         Pending,
         Refused,
     };
-    // One operation of the organisation.
+    // Takes a token for one operation. Organisations without a quota are always admitted.
     TakeResult take(const OrganisationName &organisation);
-    // One that was taken has not run.
+    // Returns the token of an operation that was not run.
     void giveBack(const OrganisationName &organisation);
-    // When there is room for one that is refused now; counts the refusal.
+    // Counts a refusal; returns the delay after which the caller should retry.
     Duration refuse(const OrganisationName &organisation);
 
-    // Whether the organisation is there, or may be: the statement's entry knows a newer
+    // Whether the organisation is configured, or may be: the statement's entry has a newer
     // configuration than this host.
     bool isKnown(const OrganisationName &organisation, ConfigVersion version) const;
     bool hasQuota(const OrganisationName &organisation) const
@@ -68,7 +68,7 @@
         Instant refreshAt {};
     };
 
-    // Null for an organisation without a quota.
+    // Returns the refreshed account, or null for an organisation without a quota.
     Account *find(const OrganisationName &organisation);
     decision::QuotaHolders holdersOf(const Account &account) const;
     void requestGrants(const OrganisationName &organisation, const Account &account,
@@ -78,11 +78,10 @@
     ConfigVersion version_ = 0;
     std::vector<GroupName> groups_;
     std::set<OrganisationName> organisations_;
-    // Of those that have a quota.
+    // Organisations that have a quota.
     std::map<OrganisationName, Account> accounts_;
-    // Where the next question begins among the owners, so that all are asked in turn.
+    // Round-robin position of the next owner to send a request to.
     std::size_t nextOwner_ = 0;
-    // Organisations that have a counter of their own.
     std::set<OrganisationName> organisationsWithCounter_;
 };
 
