--- a/tests/decision/connectionchoice_test.cpp
+++ b/tests/decision/connectionchoice_test.cpp
@@ -52,11 +52,13 @@
     CHECK(full.index == 0);
     CHECK(chooseConnection({}, server(4, 4), start).action == ConnectionAction::WaitForIdle);
     // Where another way is open nothing that was used a moment ago makes room.
-    ServerConnections near = server(4, 4);
-    near.minIdleTime = 5s;
-    CHECK(chooseConnection({idle(false, 3s)}, near, start).action == ConnectionAction::WaitForIdle);
-    near.minIdleTime = 2s;
-    CHECK(chooseConnection({idle(false, 3s)}, near, start).action == ConnectionAction::Replace);
+    ServerConnections recentlyUsed = server(4, 4);
+    recentlyUsed.minIdleTime = 5s;
+    CHECK(chooseConnection({idle(false, 3s)}, recentlyUsed, start).action
+          == ConnectionAction::WaitForIdle);
+    recentlyUsed.minIdleTime = 2s;
+    CHECK(chooseConnection({idle(false, 3s)}, recentlyUsed, start).action
+          == ConnectionAction::Replace);
 }
 
 TEST_CASE("Connections that rest inside transactions leave the others their share, up to a bound")
@@ -120,7 +122,7 @@
 
     int openings = 0;
     int served = 0;
-    std::map<int, Duration> longestWait;
+    std::map<int, Duration> maxWait;
 
     double weight(int organisation) const
     {
@@ -131,15 +133,15 @@
     {
         std::mt19937_64 random(seed);
         std::vector<double> weights;
-        double usual = 0;
+        double baseWeight = 0;
         for (int i = 0; i < organisations; ++i) {
             weights.push_back(weight(i));
-            usual += 1 / (i + 3.0);
+            baseWeight += 1 / (i + 3.0);
         }
-        double all = 0;
+        double totalWeight = 0;
         for (const double each : weights)
-            all += each;
-        std::discrete_distribution<int> whose(weights.begin(), weights.end());
+            totalWeight += each;
+        std::discrete_distribution<int> organisationOf(weights.begin(), weights.end());
         std::uniform_real_distribution<double> chance(0, 1);
         std::uniform_int_distribution<int> workMs(4, 24);
         std::vector<Statement> queue;
@@ -147,8 +149,8 @@
         for (int i = 0; i < inTransaction; ++i)
             connections.push_back({i, start, Instant::max(), false, true});
         for (Instant now = start; now < start + length; now += 1ms) {
-            if (chance(random) < rate * all / usual / 1000)
-                queue.push_back({whose(random), now});
+            if (chance(random) < rate * totalWeight / baseWeight / 1000)
+                queue.push_back({organisationOf(random), now});
             for (Connection &each : connections) {
                 if (each.inTransaction || each.busyUntil > now || each.busyUntil == Instant())
                     continue;
@@ -165,7 +167,7 @@
 
     void recordWait(const Statement &statement, Instant now)
     {
-        Duration &longest = longestWait[statement.organisation];
+        Duration &longest = maxWait[statement.organisation];
         longest = std::max(longest, now - statement.arrived);
     }
 
@@ -226,7 +228,7 @@
         CHECK(simulation.served > 1600);
         // Without a preference for the organisation's own nearly each statement would open one.
         CHECK(simulation.openings < simulation.served * 6 / 10);
-        for (const auto &[organisation, wait] : simulation.longestWait) {
+        for (const auto &[organisation, wait] : simulation.maxWait) {
             CAPTURE(organisation);
             CHECK(wait < 250ms);
         }
@@ -242,7 +244,7 @@
         simulation.inTransaction = 18;
         simulation.run(seed);
         CHECK(simulation.served > 1600);
-        for (const auto &[organisation, wait] : simulation.longestWait) {
+        for (const auto &[organisation, wait] : simulation.maxWait) {
             CAPTURE(organisation);
             CHECK(wait < 1000ms);
         }
--- a/tests/decision/fairshare_test.cpp
+++ b/tests/decision/fairshare_test.cpp
@@ -90,24 +90,24 @@
 // The load: one organisation without a quota asks for forty times its usual.
 TEST_CASE("Beside a greedy organisation the others keep their service")
 {
-    const Outcomes due = simulate(false, 40);
+    const Outcomes byDueDate = simulate(false, 40);
     const Outcomes fair = simulate(true, 40);
-    INFO(due.others.share() << " of the others' in time by due alone, " << fair.others.share()
-                            << " by fair shares; of the greedy one's " << due.greedy.share()
-                            << " and " << fair.greedy.share());
-    CHECK(due.others.share() < 0.75);
+    INFO(byDueDate.others.share() << " of the others' in time by due alone, " << fair.others.share()
+                                  << " by fair shares; of the greedy one's "
+                                  << byDueDate.greedy.share() << " and " << fair.greedy.share());
+    CHECK(byDueDate.others.share() < 0.75);
     CHECK(fair.others.share() > 0.95);
     // What the others leave is not wasted.
     CHECK(fair.greedy.inTime + fair.others.inTime
-          >= 0.95 * (due.greedy.inTime + due.others.inTime));
+          >= 0.95 * (byDueDate.greedy.inTime + byDueDate.others.inTime));
 }
 
 TEST_CASE("Fair shares change little when nobody is greedy")
 {
-    const Outcomes due = simulate(false, 1);
+    const Outcomes byDueDate = simulate(false, 1);
     const Outcomes fair = simulate(true, 1);
     CHECK(fair.others.inTime + fair.greedy.inTime
-          >= 0.99 * (due.others.inTime + due.greedy.inTime));
+          >= 0.99 * (byDueDate.others.inTime + byDueDate.greedy.inTime));
 }
 
 TEST_CASE("An organisation that rested gets no credit for it, and one that is ahead waits its turn")
--- a/tests/decision/quota_test.cpp
+++ b/tests/decision/quota_test.cpp
@@ -91,10 +91,10 @@
     CHECK(giver.grant(start, 100) == 2);
     CHECK(giver.grant(start, 100) == 0);
     CHECK(giver.grant(start, -5) == 0);
-    QuotaAccount taker;
-    taker.set(start, {1, 10});
-    taker.receive(start, 100);
-    CHECK(taker.available(start) == 10);
+    QuotaAccount receiver;
+    receiver.set(start, {1, 10});
+    receiver.receive(start, 100);
+    CHECK(receiver.available(start) == 10);
 }
 
 TEST_CASE("An account asks when it runs low, and not again at once when nobody has answered")
@@ -188,7 +188,7 @@
         retryWaiting();
         for (std::size_t i = 0; i < owners_.size(); ++i) {
             Owner &owner = owners_[i];
-            if (!owner.acts(now_))
+            if (!owner.isActive(now_))
                 continue;
             const Instant clock = start + (now_ - start) * owner.clockPercent / 100;
             owner.account.set(clock, quotaShare(quota_, tolerance, holders(i)));
@@ -197,7 +197,7 @@
             if (isOverlapping(owner.group))
                 rate /= 2;
             if (chance() < rate / 1000)
-                ask(i, clock);
+                request(i, clock);
         }
         while (!executed_.empty() && executed_.front() <= now_ - 5s)
             executed_.pop_front();
@@ -212,33 +212,33 @@
     // The owner acts on for so long, and another one has the group.
     void isolate(int group, Duration lease)
     {
-        Owner &owner = present(group);
-        owner.until = now_ + lease;
+        Owner &owner = currentOwner(group);
+        owner.activeUntil = now_ + lease;
         owner.isolated = true;
         addOwner(group);
     }
     // The owner has ended, and this is proven.
     void kill(int group)
     {
-        present(group).until = now_;
+        currentOwner(group).activeUntil = now_;
         addOwner(group);
     }
     // Stands still and wakes as if nothing had happened; others have taken its group.
     void freeze(int group, Duration time)
     {
-        Owner &owner = present(group);
+        Owner &owner = currentOwner(group);
         owner.frozenUntil = now_ + time;
-        owner.until = now_ + time + 100ms;
+        owner.activeUntil = now_ + time + 100ms;
         owner.isolated = true;
         addOwner(group);
     }
-    void setClock(int group, int percent) { present(group).clockPercent = percent; }
+    void setClock(int group, int percent) { currentOwner(group).clockPercent = percent; }
     void setQuota(const Quota &quota) { quota_ = quota; }
 
     int served = 0;
     int asked = 0;
     // Between owners, questions and gifts.
-    int sent = 0;
+    int messagesSent = 0;
     // Most that ran in any window.
     double maxInWindow = 0;
     double messageLossRate = 0;
@@ -247,13 +247,13 @@
     struct Owner
     {
         int group = 0;
-        Instant until = Instant::max();
+        Instant activeUntil = Instant::max();
         Instant frozenUntil {};
         bool isolated = false;
         int clockPercent = 100;
         QuotaAccount account;
 
-        bool acts(Instant now) const { return now < until && now >= frozenUntil; }
+        bool isActive(Instant now) const { return now < activeUntil && now >= frozenUntil; }
     };
     struct Message
     {
@@ -261,7 +261,7 @@
         std::size_t to = 0;
         std::size_t from = 0;
         double wanted = 0;
-        double gift = 0;
+        double granted = 0;
     };
 
     double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
@@ -272,7 +272,7 @@
         owner.group = group;
         owners_.push_back(owner);
     }
-    Owner &present(int group)
+    Owner &currentOwner(int group)
     {
         const auto found =
             std::find_if(owners_.rbegin(), owners_.rend(),
@@ -282,7 +282,7 @@
     bool isOverlapping(int group) const
     {
         return std::any_of(owners_.begin(), owners_.end(), [&](const Owner &owner) {
-            return owner.group == group && owner.isolated && now_ < owner.until;
+            return owner.group == group && owner.isolated && now_ < owner.activeUntil;
         });
     }
     // As the owner sees it: one that was cut off knows nothing of successors.
@@ -301,7 +301,7 @@
         if (owners_[message.from].isolated || owners_[message.to].isolated
             || chance() < messageLossRate)
             return;
-        ++sent;
+        ++messagesSent;
         messages_.push_back(message);
     }
     void deliver()
@@ -313,16 +313,16 @@
         }
         for (const Message &message : due) {
             Owner &to = owners_[message.to];
-            if (!to.acts(now_))
+            if (!to.isActive(now_))
                 continue;
             const Instant clock = start + (now_ - start) * to.clockPercent / 100;
-            if (message.gift > 0) {
-                to.account.receive(clock, message.gift);
+            if (message.granted > 0) {
+                to.account.receive(clock, message.granted);
                 continue;
             }
-            const double gift = to.account.grant(clock, message.wanted);
-            if (gift > 0)
-                send({now_ + 2ms, message.from, message.to, 0, gift});
+            const double granted = to.account.grant(clock, message.wanted);
+            if (granted > 0)
+                send({now_ + 2ms, message.from, message.to, 0, granted});
         }
     }
     // One operation; false when it finds nothing.
@@ -345,13 +345,13 @@
             waiting_.pop_front();
             const Owner &owner = owners_[index];
             const Instant clock = start + (now_ - start) * owner.clockPercent / 100;
-            if (!owner.acts(now_) || !owners_[index].account.take(clock))
+            if (!owner.isActive(now_) || !owners_[index].account.take(clock))
                 continue;
             ++served;
             executed_.push_back(now_);
         }
     }
-    void ask(std::size_t index, Instant clock)
+    void request(std::size_t index, Instant clock)
     {
         Owner &owner = owners_[index];
         ++asked;
@@ -361,7 +361,7 @@
             return;
         std::vector<std::size_t> others;
         for (int group = 0; group < groups; ++group) {
-            const auto to = static_cast<std::size_t>(&present(group) - owners_.data());
+            const auto to = static_cast<std::size_t>(&currentOwner(group) - owners_.data());
             if (to != index)
                 others.push_back(to);
         }
@@ -421,18 +421,18 @@
 {
     for (const double rate : {5.0, 35.0, 200.0}) {
         CAPTURE(rate);
-        QuotaSimulation usual(3, {rate, rate}, true);
-        std::fill(usual.demand.begin(), usual.demand.end(), rate / 1.6 / QuotaSimulation::groups);
-        usual.run(60s);
-        INFO(usual.sent << " messages for " << usual.asked << " operations in 60 s");
-        CHECK(usual.served >= 0.98 * usual.asked);
-        CHECK(usual.sent <= 0.6 * usual.asked);
+        QuotaSimulation normal(3, {rate, rate}, true);
+        std::fill(normal.demand.begin(), normal.demand.end(), rate / 1.6 / QuotaSimulation::groups);
+        normal.run(60s);
+        INFO(normal.messagesSent << " messages for " << normal.asked << " operations in 60 s");
+        CHECK(normal.served >= 0.98 * normal.asked);
+        CHECK(normal.messagesSent <= 0.6 * normal.asked);
         QuotaSimulation greedy(3, {rate, rate}, true);
         std::fill(greedy.demand.begin(), greedy.demand.end(), 4.7 * rate / QuotaSimulation::groups);
         greedy.run(60s);
-        INFO(greedy.sent << " messages in 60 s beside 4.7 times the quota");
+        INFO(greedy.messagesSent << " messages in 60 s beside 4.7 times the quota");
         // Each of eight owners asks seven others each 0.4 s, and nobody has anything to give.
-        CHECK(greedy.sent <= 60 * 8 * 7 * 5 / 2 * 11 / 10);
+        CHECK(greedy.messagesSent <= 60 * 8 * 7 * 5 / 2 * 11 / 10);
     }
 }
 
--- a/tests/decision/retrypolicy_test.cpp
+++ b/tests/decision/retrypolicy_test.cpp
@@ -47,24 +47,24 @@
 TEST_CASE("delays double with jitter, within bounds and the deadline")
 {
     RetryPolicy policy(100, 7);
-    Duration previousLongest {0};
+    Duration previousMax {0};
     for (int number = 0; number < 6; ++number) {
-        Duration shortest = 1h;
-        Duration longest {0};
+        Duration minDelay = 1h;
+        Duration maxDelay {0};
         for (int i = 0; i < 100; ++i) {
             policy.onSuccess();
             FailedAttempt attempt = attemptOf(Reason::NoPrimary);
             attempt.number = number;
             const auto delay = policy.retryAfter(attempt);
             REQUIRE(delay);
-            shortest = std::min(shortest, *delay);
-            longest = std::max(longest, *delay);
+            minDelay = std::min(minDelay, *delay);
+            maxDelay = std::max(maxDelay, *delay);
         }
-        CHECK(longest <= 2 * shortest);
-        CHECK(longest > shortest);
-        CHECK(longest > previousLongest / 2);
-        CHECK(longest <= 200ms);
-        previousLongest = longest;
+        CHECK(maxDelay <= 2 * minDelay);
+        CHECK(maxDelay > minDelay);
+        CHECK(maxDelay > previousMax / 2);
+        CHECK(maxDelay <= 200ms);
+        previousMax = maxDelay;
     }
     FailedAttempt attempt = attemptOf(Reason::NoPrimary);
     attempt.deadlineLeft = 5ms;
@@ -93,7 +93,7 @@
 
 TEST_CASE("a request waits for an owner as long as a takeover may need, off the budget")
 {
-    const auto search = [](Duration deadlineLeft, std::uint64_t seed) {
+    const auto waitForOwner = [](Duration deadlineLeft, std::uint64_t seed) {
         RetryPolicy policy(0, seed);
         FailedAttempt attempt = attemptOf(Reason::NoOwner);
         attempt.deadlineLeft = deadlineLeft;
@@ -108,12 +108,12 @@
     };
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         // The longest takeover that was measured is 1.6 s. Then the caller gets its answer at once.
-        const Duration unhurried = search(30s, seed);
-        CHECK(unhurried > 1900ms);
-        CHECK(unhurried < 4s);
-        const Duration hurried = search(1s, seed);
-        CHECK(hurried > 700ms);
-        CHECK(hurried <= 1s);
+        const Duration longDeadline = waitForOwner(30s, seed);
+        CHECK(longDeadline > 1900ms);
+        CHECK(longDeadline < 4s);
+        const Duration shortDeadline = waitForOwner(1s, seed);
+        CHECK(shortDeadline > 700ms);
+        CHECK(shortDeadline <= 1s);
     }
 
     RetryPolicy policy(0, 1);
--- a/tests/decision/slotadmission_test.cpp
+++ b/tests/decision/slotadmission_test.cpp
@@ -13,12 +13,12 @@
 
 const Instant start = Instant(100s);
 
-WaitingStatement arrived(Duration after, Duration objective = 200ms, int priority = 2)
+WaitingStatement arrivedAfter(Duration after, Duration objective = 200ms, int priority = 2)
 {
     return makeWaitingStatement(start + after, objective, 800ms, priority, false);
 }
 
-WaitState waiting()
+WaitState ownedWithPrimary()
 {
     WaitState state;
     state.ownsGroup = true;
@@ -31,45 +31,45 @@
 
 TEST_CASE("A statement waits for a slot one and a half objectives, within bounds and its deadline")
 {
-    CHECK(arrived(0ms).queueDeadline == start + 300ms);
-    CHECK(arrived(0ms, 50ms).queueDeadline == start + 250ms);
+    CHECK(arrivedAfter(0ms).queueDeadline == start + 300ms);
+    CHECK(arrivedAfter(0ms, 50ms).queueDeadline == start + 250ms);
     CHECK(makeWaitingStatement(start, 5s, 10s, 1, false).queueDeadline == start + 2s);
     CHECK(makeWaitingStatement(start, 500ms, 100ms, 1, false).queueDeadline == start + 100ms);
-    CHECK(giveUpAt(arrived(0ms), waiting(), start) == start + 300ms);
-    CHECK(giveUpAt(arrived(0ms), waiting(), start + 300ms) <= start + 300ms);
+    CHECK(giveUpAt(arrivedAfter(0ms), ownedWithPrimary(), start) == start + 300ms);
+    CHECK(giveUpAt(arrivedAfter(0ms), ownedWithPrimary(), start + 300ms) <= start + 300ms);
 }
 
 TEST_CASE("A statement that runs keeps its whole time")
 {
-    WaitState state = waiting();
+    WaitState state = ownedWithPrimary();
     state.executing = true;
-    CHECK(giveUpAt(arrived(0ms), state, start + 300ms) == start + 800ms);
+    CHECK(giveUpAt(arrivedAfter(0ms), state, start + 300ms) == start + 800ms);
 }
 
 TEST_CASE("What needs a primary waits for one, and then gets its turn")
 {
-    WaitState state = waiting();
+    WaitState state = ownedWithPrimary();
     state.needsPrimary = true;
     state.hasPrimary = false;
-    CHECK(giveUpAt(arrived(0ms), state, start + 300ms) == start + 800ms);
+    CHECK(giveUpAt(arrivedAfter(0ms), state, start + 300ms) == start + 800ms);
     state.hasPrimary = true;
     state.primarySince = start + 250ms;
-    CHECK(giveUpAt(arrived(0ms), state, start + 300ms) == start + 550ms);
+    CHECK(giveUpAt(arrivedAfter(0ms), state, start + 300ms) == start + 550ms);
     // Not beyond its deadline.
     state.primarySince = start + 700ms;
-    CHECK(giveUpAt(arrived(0ms), state, start + 750ms) == start + 800ms);
+    CHECK(giveUpAt(arrivedAfter(0ms), state, start + 750ms) == start + 800ms);
     // Another owner's group: nothing to wait for.
     state.ownsGroup = false;
-    CHECK(giveUpAt(arrived(0ms), state, start + 300ms) <= start + 300ms);
+    CHECK(giveUpAt(arrivedAfter(0ms), state, start + 300ms) <= start + 300ms);
 }
 
 TEST_CASE("Open transactions go first, then priority, then what can still be in time")
 {
     const Instant now = start + 250ms;
-    const WaitingStatement old = arrived(0ms);
-    const WaitingStatement fresh = arrived(100ms);
-    WaitingStatement urgent = arrived(200ms, 100ms, 1);
-    WaitingStatement open = arrived(240ms);
+    const WaitingStatement old = arrivedAfter(0ms);
+    const WaitingStatement fresh = arrivedAfter(100ms);
+    WaitingStatement urgent = arrivedAfter(200ms, 100ms, 1);
+    WaitingStatement open = arrivedAfter(240ms);
     open.continuesTransaction = true;
     CHECK(precedes(open, urgent, now));
     CHECK(precedes(urgent, fresh, now));
@@ -91,12 +91,12 @@
         for (Duration at {0}; at < 3s; at += 1ms) {
             const Instant now = start + at;
             if (at % 3846us < 1ms) {
-                queue.push_back(arrived(at));
+                queue.push_back(arrivedAfter(at));
                 queue.back().service = 9ms;
             }
             queue.erase(std::remove_if(queue.begin(), queue.end(),
                                        [&](const auto &each) {
-                                           return giveUpAt(each, waiting(), now) <= now;
+                                           return giveUpAt(each, ownedWithPrimary(), now) <= now;
                                        }),
                         queue.end());
             for (Instant &slot : slots) {
@@ -114,12 +114,12 @@
         return inTime;
     };
     const int ranked = servedInTime(precedes);
-    const int firstCome =
+    const int byArrival =
         servedInTime([](const auto &a, const auto &b, Instant) { return a.arrived < b.arrived; });
     // All that two slots can do are 667; by arrival 294.
-    INFO(ranked << " and " << firstCome << " of " << asked);
+    INFO(ranked << " and " << byArrival << " of " << asked);
     CHECK(10 * ranked > 8 * asked);
-    CHECK(10 * firstCome < 5 * asked);
+    CHECK(10 * byArrival < 5 * asked);
 }
 
 TEST_CASE("What a kind of statement usually takes is learnt for each kind")
