--- a/src/decision/quota.h
+++ b/src/decision/quota.h
@@ -84,11 +84,11 @@
     // Returns the request to send to other owners, if tokens run low and the last request was long
     // enough ago. Assumes that the caller sends it.
     std::optional<GrantRequest> nextGrantRequest(Instant now);
-    // Whether a request is recent enough to be answered yet.
+    // Whether the last request may still be answered.
     bool awaitsGrants(Instant now) const;
 
-    // Returns when a refused caller should retry. Each call reserves a later time, so that callers
-    // don't retry together.
+    // Returns the delay after which a refused caller should retry. Each call reserves a later time,
+    // so that callers don't retry together.
     Duration retryDelay(Instant now);
 
     double available(Instant now);
--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -34,7 +34,7 @@
     return team;
 }
 
-// Teaches the estimates that statements of all classes take so long.
+// Feeds the estimates of all classes with this service time.
 void recordServiceTimes(Admission &admission, Duration service)
 {
     for (int i = 0; i < 40; ++i) {
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("no more work runs than there are slots")
+TEST_CASE("concurrent work is limited to the number of slots")
 {
     Admission admission(3, 10);
     for (WorkId id = 1; id <= 5; ++id)
@@ -67,7 +67,7 @@
     CHECK_FALSE(admission.next(start));
 }
 
-TEST_CASE("a full queue refuses its class and no other")
+TEST_CASE("a full class queue refuses only work of that class")
 {
     Admission admission(1, 4);
     for (WorkId id = 1; id <= 4; ++id)
@@ -79,7 +79,7 @@
     CHECK(admission.next(start)->requestClass == RequestClass::Critical);
 }
 
-TEST_CASE("what can't finish in time is refused at once, with a time to come back")
+TEST_CASE("work that can't meet its deadline is refused at once, with a retry delay")
 {
     Admission admission(1, 1000);
     recordServiceTimes(admission, 10ms);
@@ -95,7 +95,7 @@
     CHECK(id <= 12);
 }
 
-TEST_CASE("work that waited too long is handed back unserved, once")
+TEST_CASE("queued work that can't meet its deadline any more is dropped once")
 {
     Admission admission(1, 100);
     recordServiceTimes(admission, 10ms);
@@ -113,7 +113,7 @@
     CHECK(admission.queued() == 1);
 }
 
-TEST_CASE("one very slow statement does not shut a server for good")
+TEST_CASE("the service time estimate recovers from an outlier")
 {
     Admission admission(3, 100);
     recordServiceTimes(admission, 2ms);
@@ -130,7 +130,7 @@
     CHECK(admission.serviceTime() < 3ms);
 }
 
-TEST_CASE("work that was given up frees its slot and teaches nothing")
+TEST_CASE("abandoned work frees its slot without a service time sample")
 {
     Admission admission(1, 100);
     recordServiceTimes(admission, 2ms);
@@ -143,7 +143,7 @@
     CHECK(admission.serviceTime() == 2ms);
 }
 
-TEST_CASE("critical work goes first, yet each class gets its share of slot time")
+TEST_CASE("each class gets its guaranteed share of slot time under backlog")
 {
     Admission admission(3, 100000);
     recordServiceTimes(admission, 2ms);
@@ -167,7 +167,7 @@
     CHECK(served[3] < 450);
 }
 
-TEST_CASE("an idle class's share is borrowed by the others")
+TEST_CASE("the unused share of an idle class goes to the others")
 {
     Admission admission(1, 1000);
     recordServiceTimes(admission, 2ms);
@@ -182,7 +182,7 @@
     CHECK(served == 100);
 }
 
-TEST_CASE("a greedy team does not keep others waiting or out")
+TEST_CASE("a team that floods the queue neither delays nor displaces others")
 {
     Admission admission(1, 100);
     admission.setTeamShares({teamOf("greedy", 50), teamOf("modest", 50)});
@@ -210,14 +210,14 @@
     CHECK(firstFour.count(2) == 1);
 }
 
-TEST_CASE("a greedy team leaves room for others that no configuration names")
+TEST_CASE("queue limits apply to teams without a configured share")
 {
     Admission admission(1, 100);
     recordServiceTimes(admission, 2ms);
     WorkId id = 100;
     for (int i = 0; i < 100; ++i)
         admission.offer(start, workOf(++id, RequestClass::Browse, "greedy", 1h));
-    // The first one finds the queue full; from then on the greedy team may not fill it again.
+    // The first request of a second team is refused, but activates the limit of the first team.
     CHECK(admission.offer(start, workOf(1, RequestClass::Browse, "modest", 1h)).reason
           == Reason::QueueFull);
     const Work done = *admission.next(start);
@@ -230,7 +230,7 @@
           < admission.expectedWait(RequestClass::Browse, "greedy") / 10);
 }
 
-TEST_CASE("browsing can be kept off some slots")
+TEST_CASE("the slots of the Browse class can be limited")
 {
     Admission admission(3, 100);
     admission.setBrowseSlots(2);
@@ -246,7 +246,7 @@
     CHECK(admission.next(start)->id == 3);
 }
 
-TEST_CASE("slot time is shared by the teams' weights, counting what was really used")
+TEST_CASE("slot time is shared between teams by weight and measured service time")
 {
     Admission admission(1, 1000);
     admission.setTeamShares({teamOf("big", 75), teamOf("small", 25)});
@@ -267,7 +267,7 @@
     CHECK(ratio < 3.4);
 }
 
-TEST_CASE("cancelled work leaves the queue, and all of it can be taken back")
+TEST_CASE("cancel() and takeAll() remove queued work")
 {
     Admission admission(1, 10);
     for (WorkId id = 1; id <= 3; ++id)
--- a/tests/decision/connectionchoice_test.cpp
+++ b/tests/decision/connectionchoice_test.cpp
@@ -31,27 +31,27 @@
 
 } // namespace
 
-TEST_CASE("A connection of the organisation is used, best one with the session's values")
+TEST_CASE("An idle connection of the organisation is used, preferably with the session's values")
 {
     const auto first = chooseConnection({idle(false), idle(true), idle(true, 0s, true), idle(true)},
                                         server(4, 4), start);
     CHECK(first.action == ConnectionAction::Use);
     CHECK(first.index == 2);
-    // Else the one used last, so that the others grow old.
+    // Otherwise the most recently used.
     const auto last =
         chooseConnection({idle(true, 3s), idle(true, 1s), idle(false)}, server(3, 4), start);
     CHECK(last.action == ConnectionAction::Use);
     CHECK(last.index == 1);
 }
 
-TEST_CASE("One is opened within the share, and beyond it the longest rest makes room")
+TEST_CASE("A connection is opened within the share, otherwise the least recently used is replaced")
 {
     CHECK(chooseConnection({idle(false)}, server(3, 4), start).action == ConnectionAction::Open);
     const auto full = chooseConnection({idle(false, 3s), idle(false, 1s)}, server(4, 4), start);
     CHECK(full.action == ConnectionAction::Replace);
     CHECK(full.index == 0);
     CHECK(chooseConnection({}, server(4, 4), start).action == ConnectionAction::WaitForIdle);
-    // Where another way is open nothing that was used a moment ago makes room.
+    // Connections idle for less than minIdleTime are not replaced.
     ServerConnections recentlyUsed = server(4, 4);
     recentlyUsed.minIdleTime = 5s;
     CHECK(chooseConnection({idle(false, 3s)}, recentlyUsed, start).action
@@ -61,7 +61,7 @@
           == ConnectionAction::Replace);
 }
 
-TEST_CASE("Connections that rest inside transactions leave the others their share, up to a bound")
+TEST_CASE("Connections idle in a transaction are added to the owner's share, up to a bound")
 {
     const OwnerShare share {60, 85};
     CHECK(maxOwnerConnections(39, 0, share) == 23);
@@ -71,7 +71,7 @@
     CHECK(maxOwnerConnections(2, 0, share) == 3);
 }
 
-TEST_CASE("Openings leave a slot for work, and an organisation opens one at a time")
+TEST_CASE("Opening connections leave a slot free, and each organisation opens one at a time")
 {
     ServerConnections state = server(1, 10);
     state.opening = 1;
@@ -91,16 +91,16 @@
 
 namespace {
 
-// One server in steps of one millisecond, as an owner has it: statements of organisations with the
-// times of the users' work, openings that take 12 ms and a slot, and transactions that pin.
+// Simulates one owner's connections to one server in steps of a millisecond. Opening a connection
+// takes 12 ms and a slot; some connections are idle in a transaction all the time.
 struct ConnectionSimulation
 {
     int organisations = 72;
     int share = 23;
     int slots = 3;
-    // Statements a second of all organisations; a few of them are large.
+    // Statements per second of all organisations, with a skewed distribution.
     double rate = 60;
-    // Times as much, of the largest one.
+    // Multiplies the load of the largest organisation.
     double loadFactor = 1;
     int inTransaction = 0;
     Duration length = 30s;
@@ -114,7 +114,7 @@
     {
         int organisation = 0;
         Instant lastUsedAt;
-        // Until then it works, or is being opened.
+        // End of the statement or of the opening; the epoch: idle.
         Instant busyUntil;
         bool opening = false;
         bool inTransaction = false;
@@ -219,14 +219,14 @@
 
 } // namespace
 
-TEST_CASE("72 organisations share 23 connections: few are opened anew, and nobody starves")
+TEST_CASE("72 organisations share 23 connections with few openings and bounded waits")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
         ConnectionSimulation simulation;
         simulation.run(seed);
         CHECK(simulation.served > 1600);
-        // Without a preference for the organisation's own nearly each statement would open one.
+        // Guards against a new connection for nearly every statement.
         CHECK(simulation.openings < simulation.served * 6 / 10);
         for (const auto &[organisation, wait] : simulation.maxWait) {
             CAPTURE(organisation);
@@ -235,7 +235,7 @@
     }
 }
 
-TEST_CASE("A greedy organisation, and callers that rest in transactions, starve nobody")
+TEST_CASE("Waits stay bounded beside an overloading organisation and idle transactions")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         CAPTURE(seed);
--- a/tests/decision/fairshare_test.cpp
+++ b/tests/decision/fairshare_test.cpp
@@ -31,8 +31,8 @@
     Outcome others;
 };
 
-// Three slots of 14 ms each, 214 statements a second. Twenty organisations ask for six a second
-// each, and one of them for so many times that.
+// Simulates three slots with a service time of 14 ms. Each of twenty organisations sends six
+// statements per second, and one of them loadFactor times as many.
 Outcomes simulate(bool fair, double loadFactor)
 {
     std::mt19937_64 random(3);
@@ -87,22 +87,22 @@
 
 } // namespace
 
-// The load: one organisation without a quota asks for forty times its usual.
-TEST_CASE("Beside a greedy organisation the others keep their service")
+// Guards against one organisation without a quota that delays the statements of all others.
+TEST_CASE("Fair queuing protects organisations from an overloading one")
 {
     const Outcomes byDueDate = simulate(false, 40);
     const Outcomes fair = simulate(true, 40);
-    INFO(byDueDate.others.share() << " of the others' in time by due alone, " << fair.others.share()
-                                  << " by fair shares; of the greedy one's "
+    INFO(byDueDate.others.share() << " of the others in time by due date, " << fair.others.share()
+                                  << " by fair queuing; of the overloading one "
                                   << byDueDate.greedy.share() << " and " << fair.greedy.share());
     CHECK(byDueDate.others.share() < 0.75);
     CHECK(fair.others.share() > 0.95);
-    // What the others leave is not wasted.
+    // Capacity that the others leave is used.
     CHECK(fair.greedy.inTime + fair.others.inTime
           >= 0.95 * (byDueDate.greedy.inTime + byDueDate.others.inTime));
 }
 
-TEST_CASE("Fair shares change little when nobody is greedy")
+TEST_CASE("Fair queuing costs little throughput at normal load")
 {
     const Outcomes byDueDate = simulate(false, 1);
     const Outcomes fair = simulate(true, 1);
@@ -110,7 +110,7 @@
           >= 0.99 * (byDueDate.others.inTime + byDueDate.greedy.inTime));
 }
 
-TEST_CASE("An organisation that rested gets no credit for it, and one that is ahead waits its turn")
+TEST_CASE("Start tags give no credit for idle time and detect organisations over their share")
 {
     StartTimeFairQueuing turns;
     for (int i = 0; i < 20; ++i)
@@ -119,6 +119,6 @@
     CHECK(turns.isOverShare(last));
     turns.onStart(last);
     CHECK(!turns.isOverShare(last));
-    // b comes late: its first one is due now, not two hundred milliseconds ago.
+    // The first statement of b starts at the current virtual time.
     CHECK(turns.onArrival("b", 10ms) == last);
 }
--- a/tests/decision/quota_test.cpp
+++ b/tests/decision/quota_test.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("Equal parts add up to the rate, and what is kept stays within the tolerance")
+TEST_CASE("The shares add up to the rate, and the capacities stay within the tolerance")
 {
     for (const double rate : {0.5, 7.0, 35.0, 283.0, 50'000.0}) {
         CAPTURE(rate);
@@ -33,32 +33,32 @@
         CHECK(8 * one.capacity + rate * 5 <= allowed(quota));
         const QuotaShare three = quotaShare(quota, tolerance, {8, 0, 3, 0});
         CHECK(three.perSecond == Approx(3 * one.perSecond));
-        // Nobody holds it here: gifts are kept, and nothing is earned.
+        // A host without groups gets no refill, but may hold received grants.
         const QuotaShare none = quotaShare(quota, tolerance, {8, 0, 0, 0});
         CHECK(none.perSecond == 0);
         CHECK(none.capacity >= 1);
     }
 }
 
-TEST_CASE("Groups with two owners earn twice only within the tolerance")
+TEST_CASE("Groups with two active owners stay within the tolerance")
 {
     const Quota quota {35, 35};
     for (int overlapping = 1; overlapping <= 8; ++overlapping) {
         CAPTURE(overlapping);
-        // The earlier owners, who do not know of it, and the later ones, each with its account.
+        // Previous owners, which don't know of their successors, and the successors.
         const QuotaShare earlier = quotaShare(quota, tolerance, {8, 0, 1, 0});
         const QuotaShare later = quotaShare(quota, tolerance, {8, overlapping, 1, 1});
         const double twice = overlapping * (later.perSecond * 5 + later.capacity);
         CHECK(later.perSecond > 0);
         if (overlapping <= 2)
             CHECK(8 * (earlier.perSecond * 5 + earlier.capacity) + twice <= allowed(quota));
-        // The rates alone always do.
+        // Without the capacity of the successors, at any number of them.
         CHECK(8 * earlier.perSecond * 5 + overlapping * later.perSecond * 5 + 8 * earlier.capacity
               <= allowed(quota));
     }
 }
 
-TEST_CASE("A quota of nothing lets nothing through")
+TEST_CASE("A quota of zero admits nothing")
 {
     const QuotaShare part = quotaShare({0, 0}, tolerance, {8, 0, 1, 0});
     CHECK(part.capacity == 0);
@@ -68,7 +68,7 @@
     CHECK(!account.take(start + 60s));
 }
 
-TEST_CASE("The holders of a quota are few, the same everywhere, and spread")
+TEST_CASE("Quota holders are bounded in number, independent of order, and differ by organisation")
 {
     const std::vector<GroupName> few = {"a", "b", "c"};
     CHECK(quotaHolders("town", few) == few);
@@ -82,7 +82,7 @@
     CHECK(quotaHolders("county", many) != town);
 }
 
-TEST_CASE("What is given is gone at the giver, and a giver keeps half")
+TEST_CASE("Granted tokens are subtracted, and half of the capacity is reserved")
 {
     QuotaAccount giver;
     giver.set(start, {1, 10});
@@ -97,7 +97,7 @@
     CHECK(receiver.available(start) == 10);
 }
 
-TEST_CASE("An account asks when it runs low, and not again at once when nobody has answered")
+TEST_CASE("An account requests grants when it runs low, with a backoff without an answer")
 {
     QuotaAccount account;
     account.set(start, {1, 4});
@@ -114,16 +114,16 @@
     CHECK(!account.nextGrantRequest(start + 300ms));
     CHECK(account.nextGrantRequest(start + 400ms)->wanted == Approx(1.6));
     CHECK(account.nextGrantRequest(start + 800ms)->owners == 3);
-    // After an answer the next question follows soon.
+    // The interval is shorter after a grant.
     account.receive(start + 803ms, 0.1);
     CHECK(account.nextGrantRequest(start + 840ms));
 }
 
-TEST_CASE("A host that takes a group begins with what an owner keeps, and not by a gift alone")
+TEST_CASE("A new owner starts with full capacity; grants to a host without a share expire")
 {
     QuotaAccount account;
     account.set(start, {0, 4});
-    // Gifts that are not used don't stay.
+    // Unused grants expire.
     CHECK(account.available(start + 2s) == 0);
     account.receive(start + 2s, 3);
     CHECK(account.available(start + 2s) == 3);
@@ -132,7 +132,7 @@
     CHECK(account.available(start + 5s) == 4);
 }
 
-TEST_CASE("Refused callers are told to come back one after the other")
+TEST_CASE("Retry delays of refused callers are staggered")
 {
     QuotaAccount account;
     account.set(start, {10, 2});
@@ -144,11 +144,11 @@
     CHECK(account.retryDelay(start) == 300ms);
     for (int i = 0; i < 100; ++i)
         CHECK(account.retryDelay(start) <= 2s);
-    // The first of them does find room.
+    // A token is available after the first delay.
     CHECK(account.take(start + 100ms));
 }
 
-TEST_CASE("A frozen process has earned no more than it may keep, and a lowered quota takes it away")
+TEST_CASE("Refill is bounded by the capacity, also after a pause or a lowered quota")
 {
     QuotaAccount account;
     account.set(start, {100, 20});
@@ -156,16 +156,16 @@
     CHECK(account.available(start + 1h) == 20);
     account.set(start + 1h, {1, 2});
     CHECK(account.available(start + 1h) == 2);
-    // A clock that stands still or runs back earns nothing.
+    // No refill if the clock stands still or runs backwards.
     CHECK(account.take(start + 1h));
     CHECK(account.available(start) == 1);
 }
 
 namespace {
 
-// Eight groups and their owners in steps of a millisecond. Messages take two, and some are lost.
-// Owners are cut off, frozen, killed, and run fast or slow clocks; a cut or frozen one acts on
-// beside its successor until its lease ends.
+// Simulates the owners of eight groups in steps of a millisecond, with a message latency of 2 ms,
+// message loss, partitions, paused and killed owners and clock drift. Isolated or paused owners
+// stay active beside their successors until their leases end.
 class QuotaSimulation
 {
 public:
@@ -178,7 +178,7 @@
 
     static constexpr int groups = 8;
 
-    // How much is asked in a second of each group.
+    // Operations per second of each group.
     std::vector<double> demand = std::vector<double>(groups, 0);
 
     void step()
@@ -192,7 +192,7 @@
                 continue;
             const Instant clock = start + (now_ - start) * owner.clockPercent / 100;
             owner.account.set(clock, quotaShare(quota_, tolerance, holders(i)));
-            // Entries of both halves ask the owner that they know.
+            // Entries on each side of a partition use the owner that they know.
             double rate = demand[static_cast<std::size_t>(owner.group)];
             if (isOverlapping(owner.group))
                 rate /= 2;
@@ -209,7 +209,7 @@
             step();
     }
 
-    // The owner acts on for so long, and another one has the group.
+    // Isolates the owner, which stays active for this time, and adds a successor.
     void isolate(int group, Duration lease)
     {
         Owner &owner = currentOwner(group);
@@ -217,13 +217,13 @@
         owner.isolated = true;
         addOwner(group);
     }
-    // The owner has ended, and this is proven.
+    // Ends the owner and adds a successor, which knows of the end.
     void kill(int group)
     {
         currentOwner(group).activeUntil = now_;
         addOwner(group);
     }
-    // Stands still and wakes as if nothing had happened; others have taken its group.
+    // Pauses the owner and adds a successor; the owner resumes for a moment.
     void freeze(int group, Duration time)
     {
         Owner &owner = currentOwner(group);
@@ -237,9 +237,9 @@
 
     int served = 0;
     int asked = 0;
-    // Between owners, questions and gifts.
+    // Requests and grants between owners.
     int messagesSent = 0;
-    // Most that ran in any window.
+    // Maximum number of operations executed within any window.
     double maxInWindow = 0;
     double messageLossRate = 0;
 
@@ -285,7 +285,7 @@
             return owner.group == group && owner.isolated && now_ < owner.activeUntil;
         });
     }
-    // As the owner sees it: one that was cut off knows nothing of successors.
+    // The owner's view: an isolated owner doesn't know of successors.
     QuotaHolders holders(std::size_t index) const
     {
         QuotaHolders holders {groups, 0, 1, 0};
@@ -325,7 +325,8 @@
                 send({now_ + 2ms, message.from, message.to, 0, granted});
         }
     }
-    // One operation; false when it finds nothing.
+    // Takes a token for an operation, or queues the operation for a second try; returns whether it
+    // was taken.
     bool take(std::size_t index, Instant clock)
     {
         const bool taken = owners_[index].account.take(clock);
@@ -337,7 +338,7 @@
         }
         return taken;
     }
-    // An operation that found nothing is tried once more, when others have answered.
+    // Retries refused operations once, when other owners may have answered.
     void retryWaiting()
     {
         while (!waiting_.empty() && waiting_.front().at <= now_) {
@@ -385,8 +386,8 @@
     std::deque<Waiting> waiting_;
 };
 
-// Part of the quota that is used in a minute when much more than it is asked of one group, of all
-// groups alike, or of one after the other.
+// Returns the fraction of the quota that is used in a minute of overload on one group (pattern 0),
+// on all groups (1) or on one group after the other (2).
 double usedFraction(bool grantsEnabled, double rate, int pattern)
 {
     QuotaSimulation simulation(17, {rate, rate}, grantsEnabled);
@@ -403,7 +404,7 @@
 
 } // namespace
 
-TEST_CASE("The whole quota can be used, wherever it is asked; fixed parts waste most of it")
+TEST_CASE("Grants make the whole quota usable under any load distribution, unlike fixed shares")
 {
     for (const double rate : {5.0, 35.0, 200.0}) {
         CAPTURE(rate);
@@ -416,8 +417,7 @@
     }
 }
 
-TEST_CASE(
-    "In usual work owners ask each other rarely, and a greedy organisation makes them ask little")
+TEST_CASE("The number of messages is bounded at normal load and under overload")
 {
     for (const double rate : {5.0, 35.0, 200.0}) {
         CAPTURE(rate);
@@ -430,13 +430,13 @@
         QuotaSimulation greedy(3, {rate, rate}, true);
         std::fill(greedy.demand.begin(), greedy.demand.end(), 4.7 * rate / QuotaSimulation::groups);
         greedy.run(60s);
-        INFO(greedy.messagesSent << " messages in 60 s beside 4.7 times the quota");
-        // Each of eight owners asks seven others each 0.4 s, and nobody has anything to give.
+        INFO(greedy.messagesSent << " messages in 60 s at 4.7 times the quota");
+        // Eight owners send seven requests each per 0.4 s, none of which is answered.
         CHECK(greedy.messagesSent <= 60 * 8 * 7 * 5 / 2 * 11 / 10);
     }
 }
 
-TEST_CASE("Nothing that happens to owners takes an organisation over its quota in any window")
+TEST_CASE("The quota holds in any window under random failures of owners")
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         CAPTURE(seed);
@@ -478,7 +478,7 @@
     }
 }
 
-TEST_CASE("A second after owners were killed nine tenths of the quota are granted again")
+TEST_CASE("90% of the quota is available one second after owners were killed")
 {
     for (const double rate : {35.0, 200.0}) {
         CAPTURE(rate);
--- a/tests/decision/retrypolicy_test.cpp
+++ b/tests/decision/retrypolicy_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("only a repeat that can't do the work twice is made")
+TEST_CASE("a request is only retried if it can't be executed twice")
 {
     RetryPolicy policy(10, 1);
     FailedAttempt attempt = attemptOf(Reason::OwnerUnreachable);
@@ -36,7 +36,7 @@
     CHECK(policy.retryAfter(attempt));
 }
 
-TEST_CASE("a failure that a repeat can't mend is final")
+TEST_CASE("failures that aren't retryable are final")
 {
     RetryPolicy policy(10, 1);
     for (const ReasonInfo &info : allReasons())
@@ -44,7 +44,7 @@
             CHECK_FALSE(policy.retryAfter(attemptOf(info.reason)));
 }
 
-TEST_CASE("delays double with jitter, within bounds and the deadline")
+TEST_CASE("the backoff is exponential with jitter, within bounds and the deadline")
 {
     RetryPolicy policy(100, 7);
     Duration previousMax {0};
@@ -75,7 +75,7 @@
     CHECK_FALSE(policy.retryAfter(attempt));
 }
 
-TEST_CASE("a storm of failures is retried by a small share only")
+TEST_CASE("only a small share of a wave of failures is retried")
 {
     RetryPolicy policy(10, 1);
     for (int i = 0; i < 10000; ++i)
@@ -91,7 +91,7 @@
     CHECK(retries <= 230);
 }
 
-TEST_CASE("a request waits for an owner as long as a takeover may need, off the budget")
+TEST_CASE("owner lookups are retried for the duration of a failover, outside the budget")
 {
     const auto waitForOwner = [](Duration deadlineLeft, std::uint64_t seed) {
         RetryPolicy policy(0, seed);
@@ -107,7 +107,7 @@
         return waited;
     };
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        // The longest takeover that was measured is 1.6 s. Then the caller gets its answer at once.
+        // Longer than a failover takes, but bounded.
         const Duration longDeadline = waitForOwner(30s, seed);
         CHECK(longDeadline > 1900ms);
         CHECK(longDeadline < 4s);
@@ -118,14 +118,14 @@
 
     RetryPolicy policy(0, 1);
     FailedAttempt attempt = attemptOf(Reason::NoOwner);
-    // What may have run is no search any more.
+    // A request that may have been executed is charged to the budget.
     attempt = attemptOf(Reason::OwnerUnreachable);
     attempt.notExecuted = false;
     CHECK_FALSE(policy.retryAfter(attempt));
     CHECK(policy.budgetSpent());
 }
 
-TEST_CASE("with failures among successes the retries keep to their share")
+TEST_CASE("with mixed results the retries keep to the budget")
 {
     RetryBudget budget(10);
     int spent = 0;
@@ -139,7 +139,7 @@
     CHECK(spent < 620);
 }
 
-TEST_CASE("a budget of nothing retries nothing")
+TEST_CASE("a budget of zero allows no retries")
 {
     RetryBudget budget(0);
     for (int i = 0; i < 1000; ++i) {
--- a/tests/decision/slotadmission_test.cpp
+++ b/tests/decision/slotadmission_test.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("A statement waits for a slot one and a half objectives, within bounds and its deadline")
+TEST_CASE("The queue time is 3/2 of the objective, within bounds and the deadline")
 {
     CHECK(arrivedAfter(0ms).queueDeadline == start + 300ms);
     CHECK(arrivedAfter(0ms, 50ms).queueDeadline == start + 250ms);
@@ -39,14 +39,14 @@
     CHECK(giveUpAt(arrivedAfter(0ms), ownedWithPrimary(), start + 300ms) <= start + 300ms);
 }
 
-TEST_CASE("A statement that runs keeps its whole time")
+TEST_CASE("A statement that was sent may run until its deadline")
 {
     WaitState state = ownedWithPrimary();
     state.executing = true;
     CHECK(giveUpAt(arrivedAfter(0ms), state, start + 300ms) == start + 800ms);
 }
 
-TEST_CASE("What needs a primary waits for one, and then gets its turn")
+TEST_CASE("A statement that needs a primary is queued until there is one, then for its queue time")
 {
     WaitState state = ownedWithPrimary();
     state.needsPrimary = true;
@@ -55,15 +55,15 @@
     state.hasPrimary = true;
     state.primarySince = start + 250ms;
     CHECK(giveUpAt(arrivedAfter(0ms), state, start + 300ms) == start + 550ms);
-    // Not beyond its deadline.
+    // Bounded by the deadline.
     state.primarySince = start + 700ms;
     CHECK(giveUpAt(arrivedAfter(0ms), state, start + 750ms) == start + 800ms);
-    // Another owner's group: nothing to wait for.
+    // No longer the owner.
     state.ownsGroup = false;
     CHECK(giveUpAt(arrivedAfter(0ms), state, start + 300ms) <= start + 300ms);
 }
 
-TEST_CASE("Open transactions go first, then priority, then what can still be in time")
+TEST_CASE("Order: open transactions, priority, statements that can still be in time")
 {
     const Instant now = start + 250ms;
     const WaitingStatement old = arrivedAfter(0ms);
@@ -75,13 +75,13 @@
     CHECK(precedes(urgent, fresh, now));
     CHECK(precedes(fresh, old, now));
     CHECK_FALSE(precedes(old, fresh, now));
-    // In time both: who is given up first.
+    // Both in time: by due time.
     CHECK(precedes(old, fresh, start + 110ms));
 }
 
-// Two slots of 9 ms each, 260 statements a second: a sixth more than can be done, for three
-// seconds.
-TEST_CASE("At overload the order keeps most of what is served in time")
+// Simulates two slots with a service time of 9 ms under an overload of 17%. Guards against queues
+// in which most answers come too late.
+TEST_CASE("Under overload most statements are still answered in time")
 {
     constexpr int asked = 780;
     const auto servedInTime = [](const auto &before) {
@@ -116,13 +116,12 @@
     const int ranked = servedInTime(precedes);
     const int byArrival =
         servedInTime([](const auto &a, const auto &b, Instant) { return a.arrived < b.arrived; });
-    // All that two slots can do are 667; by arrival 294.
-    INFO(ranked << " and " << byArrival << " of " << asked);
+    INFO(ranked << " in time, by arrival " << byArrival << ", of " << asked);
     CHECK(10 * ranked > 8 * asked);
     CHECK(10 * byArrival < 5 * asked);
 }
 
-TEST_CASE("What a kind of statement usually takes is learnt for each kind")
+TEST_CASE("Service times are estimated for each kind of statement")
 {
     ServiceTimes times;
     CHECK(times.typical(200ms, 2) == Duration(0));
@@ -136,7 +135,7 @@
     CHECK(times.typical(200ms, 1) == Duration(0));
 }
 
-TEST_CASE("A full queue takes nothing more, and refused callers are told when to come back")
+TEST_CASE("The queue is bounded, and the retry hint is longer without a primary")
 {
     CHECK_FALSE(isQueueFull(100));
     CHECK(isQueueFull(100'000));
--- a/tests/decision/statementretry_test.cpp
+++ b/tests/decision/statementretry_test.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("What did not run is sent again, a write too")
+TEST_CASE("Statements that were not executed are sent again, writes too")
 {
     for (const ServerError error : {ServerError::Busy, ServerError::Lagging, ServerError::ReadOnly,
                                     ServerError::UnknownStatement}) {
@@ -46,7 +46,7 @@
     }
 }
 
-TEST_CASE("What ran is sent again only if it reads, and not for ever")
+TEST_CASE("Executed statements are sent again only if they are reads, with a limit")
 {
     for (const ServerError error :
          {ServerError::Failed, ServerError::TimedOut, ServerError::Other}) {
@@ -60,7 +60,7 @@
     CHECK(onServerError(singleWrite(ServerError::Failed)).executed == Executed::Yes);
 }
 
-TEST_CASE("A write whose answer is lost is in doubt and never sent again")
+TEST_CASE("A write whose answer is lost has an unknown outcome and is never sent again")
 {
     CHECK(onAnswerLost(singleRead(ServerError::None)).sendAgain);
     const RetryDecision write = onAnswerLost(singleWrite(ServerError::None));
@@ -78,7 +78,7 @@
     CHECK(onAnswerLost(begin).sendAgain);
 }
 
-TEST_CASE("In a transaction only a busy server that keeps it open is asked again")
+TEST_CASE("In a transaction a statement is sent again only if a busy server kept it open")
 {
     FailedStatement busy = inTransaction(ServerError::Busy, false);
     CHECK_FALSE(onServerError(busy).sendAgain);
@@ -94,14 +94,14 @@
     }
 }
 
-TEST_CASE("A commit that ran and failed is in doubt; one that was not run is not")
+TEST_CASE("The outcome of a failed commit is unknown only if it was executed")
 {
     CHECK(onServerError(inTransaction(ServerError::TimedOut, true)).executed == Executed::Unknown);
     CHECK(onServerError(inTransaction(ServerError::Failed, true)).executed == Executed::Unknown);
     CHECK(onServerError(inTransaction(ServerError::ReadOnly, true)).executed == Executed::No);
 }
 
-TEST_CASE("A replica that goes on refusing is asked less and less, and soon after its lag again")
+TEST_CASE("The backoff of a lagging replica grows up to a bound")
 {
     Duration delay {0};
     for (int i = 0; i < 10; ++i) {
