--- a/src/decision/retrypolicy.h
+++ b/src/decision/retrypolicy.h
@@ -9,46 +9,45 @@
 
 namespace kelptally::decision {
 
-// A share of successes that may be spent on retries, so that a storm of failures is not multiplied.
+// Limits retries to a percentage of the successes, so that a wave of failures isn't amplified.
 class RetryBudget
 {
 public:
     explicit RetryBudget(int percent);
 
     void onSuccess();
-    // Takes one retry off the budget; false when it is used up. A small share of the wishes is
-    // granted even then, so that a service without any success is still tried.
+    // Takes one retry from the budget; returns false if it is spent. A few retries are allowed even
+    // then, so that a service without any success is still tried.
     bool trySpend();
 
 private:
     const int percent_;
     // In hundredths of a retry.
     int credit_;
-    int refusedInARow_ = 0;
+    int consecutiveRefusals_ = 0;
 };
 
-// What is known of a failed attempt.
-struct Attempt
+struct FailedAttempt
 {
     Reason reason = Reason::None;
-    bool executedNo = true;
+    bool notExecuted = true;
     bool repeatable = true;
     bool hasKey = false;
     int number = 0;
     Duration deadlineLeft {0};
 };
 
-// Decides whether and when a failed attempt is made again. While no owner can be found the request
-// waits for one as long as a takeover may need; every other repeat draws on the budget.
+// Decides whether and when a failed attempt is retried. Lookups of the owner are retried for as
+// long as a failover may take, outside the budget; other retries are charged to it.
 class RetryPolicy
 {
 public:
     RetryPolicy(int budgetPercent, std::uint64_t seed);
 
     void onSuccess();
-    // The delay with jitter, or nothing when the failure is final.
-    std::optional<Duration> retryAfter(const Attempt &attempt);
-    // Whether the last refusal was for the budget alone.
+    // Returns the backoff with jitter, or nothing if the failure is final.
+    std::optional<Duration> retryAfter(const FailedAttempt &attempt);
+    // Whether the last attempt would have been retried but for the budget.
     bool budgetSpent() const { return budgetSpent_; }
 
 private:
--- a/tests/decision/retrypolicy_test.cpp
+++ b/tests/decision/retrypolicy_test.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-Attempt attemptOf(Reason reason)
+FailedAttempt attemptOf(Reason reason)
 {
-    Attempt attempt;
+    FailedAttempt attempt;
     attempt.reason = reason;
     attempt.deadlineLeft = 5s;
     return attempt;
@@ -18,11 +18,11 @@
 
 } // namespace
 
-TEST_CASE("only a repeat that can't do the work twice is made")
+TEST_CASE("a request is only retried if it can't be executed twice")
 {
     RetryPolicy policy(10, 1);
-    Attempt attempt = attemptOf(Reason::OwnerUnreachable);
-    attempt.executedNo = false;
+    FailedAttempt attempt = attemptOf(Reason::OwnerUnreachable);
+    attempt.notExecuted = false;
     attempt.repeatable = false;
     CHECK_FALSE(policy.retryAfter(attempt));
     CHECK_FALSE(policy.budgetSpent());
@@ -32,11 +32,11 @@
     attempt.repeatable = true;
     CHECK(policy.retryAfter(attempt));
     attempt.repeatable = false;
-    attempt.executedNo = true;
+    attempt.notExecuted = true;
     CHECK(policy.retryAfter(attempt));
 }
 
-TEST_CASE("a failure that a repeat can't mend is final")
+TEST_CASE("failures that aren't retryable are final")
 {
     RetryPolicy policy(10, 1);
     for (const ReasonInfo &info : allReasons())
@@ -44,29 +44,29 @@
             CHECK_FALSE(policy.retryAfter(attemptOf(info.reason)));
 }
 
-TEST_CASE("delays double with jitter, within bounds and the deadline")
+TEST_CASE("the backoff is exponential with jitter, within bounds and the deadline")
 {
     RetryPolicy policy(100, 7);
-    Duration previousLongest {0};
+    Duration previousMax {0};
     for (int number = 0; number < 6; ++number) {
-        Duration shortest = 1h;
-        Duration longest {0};
+        Duration minDelay = 1h;
+        Duration maxDelay {0};
         for (int i = 0; i < 100; ++i) {
             policy.onSuccess();
-            Attempt attempt = attemptOf(Reason::NoPrimary);
+            FailedAttempt attempt = attemptOf(Reason::NoPrimary);
             attempt.number = number;
             const auto delay = policy.retryAfter(attempt);
             REQUIRE(delay);
-            shortest = std::min(shortest, *delay);
-            longest = std::max(longest, *delay);
+            minDelay = std::min(minDelay, *delay);
+            maxDelay = std::max(maxDelay, *delay);
         }
-        CHECK(longest <= 2 * shortest);
-        CHECK(longest > shortest);
-        CHECK(longest > previousLongest / 2);
-        CHECK(longest <= 200ms);
-        previousLongest = longest;
+        CHECK(maxDelay <= 2 * minDelay);
+        CHECK(maxDelay > minDelay);
+        CHECK(maxDelay > previousMax / 2);
+        CHECK(maxDelay <= 200ms);
+        previousMax = maxDelay;
     }
-    Attempt attempt = attemptOf(Reason::NoPrimary);
+    FailedAttempt attempt = attemptOf(Reason::NoPrimary);
     attempt.deadlineLeft = 5ms;
     CHECK_FALSE(policy.retryAfter(attempt));
     CHECK_FALSE(policy.budgetSpent());
@@ -75,7 +75,7 @@
     CHECK_FALSE(policy.retryAfter(attempt));
 }
 
-TEST_CASE("a storm of failures is retried by a small share only")
+TEST_CASE("only a small share of a wave of failures is retried")
 {
     RetryPolicy policy(10, 1);
     for (int i = 0; i < 10000; ++i)
@@ -91,11 +91,11 @@
     CHECK(retries <= 230);
 }
 
-TEST_CASE("a request waits for an owner as long as a takeover may need, off the budget")
+TEST_CASE("owner lookups are retried for the duration of a failover, outside the budget")
 {
-    const auto search = [](Duration deadlineLeft, std::uint64_t seed) {
+    const auto waitForOwner = [](Duration deadlineLeft, std::uint64_t seed) {
         RetryPolicy policy(0, seed);
-        Attempt attempt = attemptOf(Reason::NoOwner);
+        FailedAttempt attempt = attemptOf(Reason::NoOwner);
         attempt.deadlineLeft = deadlineLeft;
         Duration waited {0};
         while (const auto delay = policy.retryAfter(attempt)) {
@@ -107,25 +107,25 @@
         return waited;
     };
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        // The longest takeover that was measured is 1.6 s. Then the caller gets its answer at once.
-        const Duration unhurried = search(30s, seed);
-        CHECK(unhurried > 1900ms);
-        CHECK(unhurried < 4s);
-        const Duration hurried = search(1s, seed);
-        CHECK(hurried > 700ms);
-        CHECK(hurried <= 1s);
+        // Longer than a failover takes, but bounded.
+        const Duration longDeadline = waitForOwner(30s, seed);
+        CHECK(longDeadline > 1900ms);
+        CHECK(longDeadline < 4s);
+        const Duration shortDeadline = waitForOwner(1s, seed);
+        CHECK(shortDeadline > 700ms);
+        CHECK(shortDeadline <= 1s);
     }
 
     RetryPolicy policy(0, 1);
-    Attempt attempt = attemptOf(Reason::NoOwner);
-    // What may have run is no search any more.
+    FailedAttempt attempt = attemptOf(Reason::NoOwner);
+    // A request that may have been executed is charged to the budget.
     attempt = attemptOf(Reason::OwnerUnreachable);
-    attempt.executedNo = false;
+    attempt.notExecuted = false;
     CHECK_FALSE(policy.retryAfter(attempt));
     CHECK(policy.budgetSpent());
 }
 
-TEST_CASE("with failures among successes the retries keep to their share")
+TEST_CASE("with mixed results the retries keep to the budget")
 {
     RetryBudget budget(10);
     int spent = 0;
@@ -139,7 +139,7 @@
     CHECK(spent < 620);
 }
 
-TEST_CASE("a budget of nothing retries nothing")
+TEST_CASE("a budget of zero allows no retries")
 {
     RetryBudget budget(0);
     for (int i = 0; i < 1000; ++i) {
--- a/tests/decision/slotadmission_test.cpp
+++ b/tests/decision/slotadmission_test.cpp
@@ -13,15 +13,15 @@
 
 const Instant start = Instant(100s);
 
-WaitingStatement arrived(Duration after, Duration objective = 200ms, int priority = 2)
+WaitingStatement arrivedAfter(Duration after, Duration objective = 200ms, int priority = 2)
 {
-    return waitingStatement(start + after, objective, 800ms, priority, false);
+    return makeWaitingStatement(start + after, objective, 800ms, priority, false);
 }
 
-WaitState waiting()
+WaitState ownedWithPrimary()
 {
     WaitState state;
-    state.owned = true;
+    state.ownsGroup = true;
     state.hasPrimary = true;
     state.primarySince = start - 1h;
     return state;
@@ -29,59 +29,59 @@
 
 } // namespace
 
-TEST_CASE("A statement waits for a slot one and a half objectives, within bounds and its deadline")
+TEST_CASE("The queue time is 3/2 of the objective, within bounds and the deadline")
 {
-    CHECK(arrived(0ms).holdUntil == start + 300ms);
-    CHECK(arrived(0ms, 50ms).holdUntil == start + 250ms);
-    CHECK(waitingStatement(start, 5s, 10s, 1, false).holdUntil == start + 2s);
-    CHECK(waitingStatement(start, 500ms, 100ms, 1, false).holdUntil == start + 100ms);
-    CHECK(giveUpAt(arrived(0ms), waiting(), start) == start + 300ms);
-    CHECK(giveUpAt(arrived(0ms), waiting(), start + 300ms) <= start + 300ms);
+    CHECK(arrivedAfter(0ms).queueDeadline == start + 300ms);
+    CHECK(arrivedAfter(0ms, 50ms).queueDeadline == start + 250ms);
+    CHECK(makeWaitingStatement(start, 5s, 10s, 1, false).queueDeadline == start + 2s);
+    CHECK(makeWaitingStatement(start, 500ms, 100ms, 1, false).queueDeadline == start + 100ms);
+    CHECK(giveUpAt(arrivedAfter(0ms), ownedWithPrimary(), start) == start + 300ms);
+    CHECK(giveUpAt(arrivedAfter(0ms), ownedWithPrimary(), start + 300ms) <= start + 300ms);
 }
 
-TEST_CASE("A statement that runs keeps its whole time")
+TEST_CASE("A statement that was sent may run until its deadline")
 {
-    WaitState state = waiting();
-    state.underWay = true;
-    CHECK(giveUpAt(arrived(0ms), state, start + 300ms) == start + 800ms);
+    WaitState state = ownedWithPrimary();
+    state.executing = true;
+    CHECK(giveUpAt(arrivedAfter(0ms), state, start + 300ms) == start + 800ms);
 }
 
-TEST_CASE("What needs a primary waits for one, and then gets its turn")
+TEST_CASE("A statement that needs a primary is queued until there is one, then for its queue time")
 {
-    WaitState state = waiting();
+    WaitState state = ownedWithPrimary();
     state.needsPrimary = true;
     state.hasPrimary = false;
-    CHECK(giveUpAt(arrived(0ms), state, start + 300ms) == start + 800ms);
+    CHECK(giveUpAt(arrivedAfter(0ms), state, start + 300ms) == start + 800ms);
     state.hasPrimary = true;
     state.primarySince = start + 250ms;
-    CHECK(giveUpAt(arrived(0ms), state, start + 300ms) == start + 550ms);
-    // Not beyond its deadline.
+    CHECK(giveUpAt(arrivedAfter(0ms), state, start + 300ms) == start + 550ms);
+    // Bounded by the deadline.
     state.primarySince = start + 700ms;
-    CHECK(giveUpAt(arrived(0ms), state, start + 750ms) == start + 800ms);
-    // Another owner's group: nothing to wait for.
-    state.owned = false;
-    CHECK(giveUpAt(arrived(0ms), state, start + 300ms) <= start + 300ms);
+    CHECK(giveUpAt(arrivedAfter(0ms), state, start + 750ms) == start + 800ms);
+    // No longer the owner.
+    state.ownsGroup = false;
+    CHECK(giveUpAt(arrivedAfter(0ms), state, start + 300ms) <= start + 300ms);
 }
 
-TEST_CASE("Open transactions go first, then priority, then what can still be in time")
+TEST_CASE("Order: open transactions, priority, statements that can still be in time")
 {
     const Instant now = start + 250ms;
-    const WaitingStatement old = arrived(0ms);
-    const WaitingStatement fresh = arrived(100ms);
-    WaitingStatement urgent = arrived(200ms, 100ms, 1);
-    WaitingStatement open = arrived(240ms);
+    const WaitingStatement old = arrivedAfter(0ms);
+    const WaitingStatement fresh = arrivedAfter(100ms);
+    WaitingStatement urgent = arrivedAfter(200ms, 100ms, 1);
+    WaitingStatement open = arrivedAfter(240ms);
     open.continuesTransaction = true;
-    CHECK(goesBefore(open, urgent, now));
-    CHECK(goesBefore(urgent, fresh, now));
-    CHECK(goesBefore(fresh, old, now));
-    CHECK_FALSE(goesBefore(old, fresh, now));
-    // In time both: who is given up first.
-    CHECK(goesBefore(old, fresh, start + 110ms));
+    CHECK(precedes(open, urgent, now));
+    CHECK(precedes(urgent, fresh, now));
+    CHECK(precedes(fresh, old, now));
+    CHECK_FALSE(precedes(old, fresh, now));
+    // Both in time: by due time.
+    CHECK(precedes(old, fresh, start + 110ms));
 }
 
-// Two slots of 9 ms each, 260 statements a second: a sixth more than can be done, for three
-// seconds.
-TEST_CASE("At overload the order keeps most of what is served in time")
+// Simulates two slots with a service time of 9 ms under an overload of 17%. Guards against queues
+// in which most answers come too late.
+TEST_CASE("Under overload most statements are still answered in time")
 {
     constexpr int asked = 780;
     const auto servedInTime = [](const auto &before) {
@@ -91,12 +91,12 @@
         for (Duration at {0}; at < 3s; at += 1ms) {
             const Instant now = start + at;
             if (at % 3846us < 1ms) {
-                queue.push_back(arrived(at));
+                queue.push_back(arrivedAfter(at));
                 queue.back().service = 9ms;
             }
             queue.erase(std::remove_if(queue.begin(), queue.end(),
                                        [&](const auto &each) {
-                                           return giveUpAt(each, waiting(), now) <= now;
+                                           return giveUpAt(each, ownedWithPrimary(), now) <= now;
                                        }),
                         queue.end());
             for (Instant &slot : slots) {
@@ -113,30 +113,29 @@
         }
         return inTime;
     };
-    const int ranked = servedInTime(goesBefore);
-    const int firstCome =
+    const int ranked = servedInTime(precedes);
+    const int byArrival =
         servedInTime([](const auto &a, const auto &b, Instant) { return a.arrived < b.arrived; });
-    // All that two slots can do are 667; by arrival 294.
-    INFO(ranked << " and " << firstCome << " of " << asked);
+    INFO(ranked << " in time, by arrival " << byArrival << ", of " << asked);
     CHECK(10 * ranked > 8 * asked);
-    CHECK(10 * firstCome < 5 * asked);
+    CHECK(10 * byArrival < 5 * asked);
 }
 
-TEST_CASE("What a kind of statement usually takes is learnt for each kind")
+TEST_CASE("Service times are estimated for each kind of statement")
 {
     ServiceTimes times;
-    CHECK(times.usual(200ms, 2) == Duration(0));
+    CHECK(times.typical(200ms, 2) == Duration(0));
     for (int i = 0; i < 100; ++i) {
         times.add(200ms, 2, i % 2 == 0 ? 8ms : 10ms);
         times.add(300ms, 2, 30ms);
     }
-    CHECK(times.usual(200ms, 2) > 8ms);
-    CHECK(times.usual(200ms, 2) < 12ms);
-    CHECK(times.usual(300ms, 2) >= 29ms);
-    CHECK(times.usual(200ms, 1) == Duration(0));
+    CHECK(times.typical(200ms, 2) > 8ms);
+    CHECK(times.typical(200ms, 2) < 12ms);
+    CHECK(times.typical(300ms, 2) >= 29ms);
+    CHECK(times.typical(200ms, 1) == Duration(0));
 }
 
-TEST_CASE("A full queue takes nothing more, and refused callers are told when to come back")
+TEST_CASE("The queue is bounded, and the retry hint is longer without a primary")
 {
     CHECK_FALSE(isQueueFull(100));
     CHECK(isQueueFull(100'000));
--- a/tests/decision/statementretry_test.cpp
+++ b/tests/decision/statementretry_test.cpp
@@ -13,7 +13,7 @@
     FailedStatement statement;
     statement.error = error;
     statement.read = true;
-    statement.single = true;
+    statement.autocommit = true;
     statement.attempts = 1;
     return statement;
 }
@@ -37,78 +37,78 @@
 
 } // namespace
 
-TEST_CASE("What did not run is sent again, a write too")
+TEST_CASE("Statements that were not executed are sent again, writes too")
 {
     for (const ServerError error : {ServerError::Busy, ServerError::Lagging, ServerError::ReadOnly,
                                     ServerError::UnknownStatement}) {
-        CHECK(onServerError(singleRead(error)).again);
-        CHECK(onServerError(singleWrite(error)).again);
+        CHECK(onServerError(singleRead(error)).sendAgain);
+        CHECK(onServerError(singleWrite(error)).sendAgain);
     }
 }
 
-TEST_CASE("What ran is sent again only if it reads, and not for ever")
+TEST_CASE("Executed statements are sent again only if they are reads, with a limit")
 {
     for (const ServerError error :
          {ServerError::Failed, ServerError::TimedOut, ServerError::Other}) {
-        CHECK(onServerError(singleRead(error)).again);
-        CHECK_FALSE(onServerError(singleWrite(error)).again);
+        CHECK(onServerError(singleRead(error)).sendAgain);
+        CHECK_FALSE(onServerError(singleWrite(error)).sendAgain);
         FailedStatement often = singleRead(error);
         often.attempts = 100;
-        CHECK_FALSE(onServerError(often).again);
+        CHECK_FALSE(onServerError(often).sendAgain);
     }
     CHECK(onServerError(singleWrite(ServerError::TimedOut)).executed == Executed::Unknown);
     CHECK(onServerError(singleWrite(ServerError::Failed)).executed == Executed::Yes);
 }
 
-TEST_CASE("A write whose answer is lost is in doubt and never sent again")
+TEST_CASE("A write whose answer is lost has an unknown outcome and is never sent again")
 {
-    CHECK(onAnswerLost(singleRead(ServerError::None)).again);
-    const Verdict write = onAnswerLost(singleWrite(ServerError::None));
-    CHECK_FALSE(write.again);
+    CHECK(onAnswerLost(singleRead(ServerError::None)).sendAgain);
+    const RetryDecision write = onAnswerLost(singleWrite(ServerError::None));
+    CHECK_FALSE(write.sendAgain);
     CHECK(write.executed == Executed::Unknown);
-    const Verdict commit = onAnswerLost(inTransaction(ServerError::None, true));
-    CHECK_FALSE(commit.again);
+    const RetryDecision commit = onAnswerLost(inTransaction(ServerError::None, true));
+    CHECK_FALSE(commit.sendAgain);
     CHECK(commit.executed == Executed::Unknown);
-    const Verdict open = onAnswerLost(inTransaction(ServerError::None, false));
-    CHECK_FALSE(open.again);
+    const RetryDecision open = onAnswerLost(inTransaction(ServerError::None, false));
+    CHECK_FALSE(open.sendAgain);
     CHECK(open.executed == Executed::No);
     FailedStatement begin = inTransaction(ServerError::None, false);
     begin.inTransaction = false;
     begin.begins = true;
-    CHECK(onAnswerLost(begin).again);
+    CHECK(onAnswerLost(begin).sendAgain);
 }
 
-TEST_CASE("In a transaction only a busy server that keeps it open is asked again")
+TEST_CASE("In a transaction a statement is sent again only if a busy server kept it open")
 {
     FailedStatement busy = inTransaction(ServerError::Busy, false);
-    CHECK_FALSE(onServerError(busy).again);
+    CHECK_FALSE(onServerError(busy).sendAgain);
     CHECK(onServerError(busy).endsTransaction);
-    busy.stillOpen = true;
-    CHECK(onServerError(busy).again);
+    busy.transactionStillOpen = true;
+    CHECK(onServerError(busy).sendAgain);
     CHECK_FALSE(onServerError(busy).endsTransaction);
     for (const ServerError error : {ServerError::ReadOnly, ServerError::Failed}) {
-        const Verdict verdict = onServerError(inTransaction(error, false));
-        CHECK_FALSE(verdict.again);
-        CHECK(verdict.endsTransaction);
-        CHECK(verdict.executed == Executed::No);
+        const RetryDecision result = onServerError(inTransaction(error, false));
+        CHECK_FALSE(result.sendAgain);
+        CHECK(result.endsTransaction);
+        CHECK(result.executed == Executed::No);
     }
 }
 
-TEST_CASE("A commit that ran and failed is in doubt; one that was not run is not")
+TEST_CASE("The outcome of a failed commit is unknown only if it was executed")
 {
     CHECK(onServerError(inTransaction(ServerError::TimedOut, true)).executed == Executed::Unknown);
     CHECK(onServerError(inTransaction(ServerError::Failed, true)).executed == Executed::Unknown);
     CHECK(onServerError(inTransaction(ServerError::ReadOnly, true)).executed == Executed::No);
 }
 
-TEST_CASE("A replica that goes on refusing is asked less and less, and soon after its lag again")
+TEST_CASE("The backoff of a lagging replica grows up to a bound")
 {
-    Duration pause {0};
+    Duration delay {0};
     for (int i = 0; i < 10; ++i) {
-        const Duration next = nextBehindPause(pause);
-        CHECK(next >= pause);
-        pause = next;
+        const Duration next = nextLaggingBackoff(delay);
+        CHECK(next >= delay);
+        delay = next;
     }
-    CHECK(pause <= 200ms);
-    CHECK(busyPause() < pause);
+    CHECK(delay <= 200ms);
+    CHECK(busyBackoff() < delay);
 }
