--- a/src/admin/configservice.cpp
+++ b/src/admin/configservice.cpp
@@ -42,7 +42,7 @@
 {
     boost::asio::post(thread_.context(), [this] {
         carryOut(spread_.start(thread_.timers().now()));
-        thread_.timers().subscribeEvery(decision::ConfigSpread::tickPeriod, [this] {
+        thread_.timers().subscribeEvery(decision::ConfigPropagation::tickPeriod, [this] {
             carryOut(spread_.onTick(thread_.timers().now()));
         });
     });
@@ -61,19 +61,19 @@
 void ConfigService::carryOut(const decision::ConfigActions &actions)
 {
     for (const decision::ConfigAction &action : actions) {
-        if (std::holds_alternative<decision::ReadNewestConfig>(action))
+        if (std::holds_alternative<decision::ReadNewestConfigVersion>(action))
             readNewestVersion();
-        else if (const auto *read = std::get_if<decision::ReadConfigVersion>(&action))
+        else if (const auto *read = std::get_if<decision::ReadConfigDocument>(&action))
             readVersion(read->version);
         else if (std::holds_alternative<decision::ReadConfigSnapshot>(action))
             readSnapshot();
-        else if (const auto *ask = std::get_if<decision::AskPeerForConfig>(&action))
+        else if (const auto *ask = std::get_if<decision::FetchConfigFromPeer>(&action))
             askPeer(*ask);
         else if (const auto *announce = std::get_if<decision::AnnounceConfig>(&action))
             peers_.announce(announce->version);
         else if (const auto *install = std::get_if<decision::InstallConfig>(&action))
             putInForce(*install);
-        else if (const auto *keep = std::get_if<decision::KeepConfigSnapshot>(&action))
+        else if (const auto *keep = std::get_if<decision::UpdateConfigSnapshot>(&action))
             store_.keepSnapshot(keep->version);
         else if (const auto *mismatch = std::get_if<decision::ReportConfigMismatch>(&action))
             LOG(ERROR) << "event=config_mismatch version=" << mismatch->version
@@ -85,7 +85,7 @@
 {
     store_.readNewestVersion([this](absl::StatusOr<ConfigVersion> newest) {
         const Instant now = thread_.timers().now();
-        carryOut(newest.ok() ? spread_.onNewest(now, *newest) : spread_.onStoreFailed(now));
+        carryOut(newest.ok() ? spread_.onNewestVersion(now, *newest) : spread_.onStoreFailed(now));
     });
 }
 
@@ -110,7 +110,7 @@
     });
 }
 
-void ConfigService::askPeer(const decision::AskPeerForConfig &action)
+void ConfigService::askPeer(const decision::FetchConfigFromPeer &action)
 {
     peers_.askForConfig(action.address, action.atLeast,
                         [this, peer = action.address](absl::StatusOr<inner::ConfigAnswer> answer) {
--- a/src/admin/configservice.h
+++ b/src/admin/configservice.h
@@ -3,7 +3,7 @@
 #include "admin/adminpeers.h"
 #include "admin/configstore.h"
 #include "core/metrics.h"
-#include "decision/configspread.h"
+#include "decision/configpropagation.h"
 
 #include <functional>
 #include <memory>
@@ -38,7 +38,7 @@
     void readNewestVersion();
     void readVersion(ConfigVersion version);
     void readSnapshot();
-    void askPeer(const decision::AskPeerForConfig &action);
+    void askPeer(const decision::FetchConfigFromPeer &action);
     void putInForce(const decision::InstallConfig &action);
 
     DutyThread &thread_;
@@ -46,7 +46,7 @@
     ConfigStore &store_;
     prometheus::Gauge &versionGauge_;
     prometheus::Counter &rejected_;
-    decision::ConfigSpread spread_;
+    decision::ConfigPropagation spread_;
     std::vector<Subscriber> subscribers_;
     mutable std::mutex mutex_;
     settings::ConfigurationPtr current_;
--- a/src/admin/platformconfigstore.cpp
+++ b/src/admin/platformconfigstore.cpp
@@ -226,7 +226,7 @@
         if (!newest.ok())
             return step(apply, apply->decision.onReadFailed(now));
         const auto etag = *row ? std::optional((*row)->etag) : std::nullopt;
-        step(apply, apply->decision.onNewest(now, *newest, etag));
+        step(apply, apply->decision.onNewestVersion(now, *newest, etag));
     });
 }
 
--- a/src/bench/kelptally.cpp
+++ b/src/bench/kelptally.cpp
@@ -199,7 +199,7 @@
     for (auto &[group, ownership] : process.ownerships) {
         const ModelServer *primary = model_.primaryOf(group);
         const ZoneName zone = primary != nullptr ? primary->what().zone : ZoneName();
-        const auto wanted = process.membership.wantedOwner(group, zone);
+        const auto wanted = process.membership.preferredOwner(group, zone);
         ownership->setSuccessorChoice(process.membership.successorChoice(group, process.id()));
         ownership->setWanted(!process.stopping && wanted == process.id());
     }
--- a/src/bench/slopes.cpp
+++ b/src/bench/slopes.cpp
@@ -241,7 +241,7 @@
         const std::size_t bytes = allocatedBytes() - before;
         int group = 0;
         const Duration wanted =
-            timeOfCall(200, [&] { (void)membership.wantedOwner(groupOf(++group), "zone-1"); });
+            timeOfCall(200, [&] { (void)membership.preferredOwner(groupOf(++group), "zone-1"); });
         const Duration choice = timeOfCall(
             200, [&] { (void)membership.successorChoice(groupOf(++group), processOf(0)); });
         absl::PrintF("  %5d nodes: %7d bytes, wanted owner of a group %7.1f us, "
--- a/src/decision/configapply.cpp
+++ b/src/decision/configapply.cpp
@@ -9,31 +9,31 @@
 using namespace std::chrono_literals;
 
 // Wait before a step is tried again: doubled each time, with jitter. Chosen, not measured.
-constexpr Duration firstRetry = 100ms;
-constexpr Duration longestRetry = 1s;
+constexpr Duration minRetryDelay = 100ms;
+constexpr Duration maxRetryDelay = 1s;
 
 } // namespace
 
-ConfigApply::ConfigApply(ConfigVersion expected, std::string changeId, Duration patience,
+ConfigApply::ConfigApply(ConfigVersion expected, std::string changeId, Duration timeout,
                          std::uint64_t seed)
-    : expected_(expected), changeId_(std::move(changeId)), patience_(patience), random_(seed)
+    : expected_(expected), changeId_(std::move(changeId)), timeout_(timeout), random_(seed)
 { }
 
 std::optional<ApplyAction> ConfigApply::start(Instant now)
 {
-    deadline_ = now + patience_;
-    return go(ApplyState::Reading);
+    deadline_ = now + timeout_;
+    return enterState(ApplyState::Reading);
 }
 
-std::optional<ApplyAction> ConfigApply::onNewest(Instant, ConfigVersion version,
-                                                 const std::optional<std::string> &etag)
+std::optional<ApplyAction> ConfigApply::onNewestVersion(Instant, ConfigVersion version,
+                                                        const std::optional<std::string> &etag)
 {
     newest_ = std::max(newest_, version);
     newestEtag_ = etag;
     if (version < expected_)
-        return go(ApplyState::Conflict);
+        return enterState(ApplyState::Conflict);
     // The version may be this operator's own, accepted by an earlier attempt.
-    return go(version == expected_ ? ApplyState::Writing : ApplyState::ReadingBack);
+    return enterState(version == expected_ ? ApplyState::Writing : ApplyState::ReadingBack);
 }
 
 std::optional<ApplyAction> ConfigApply::onVersionRow(Instant now,
@@ -41,16 +41,16 @@
 {
     if (changeId) {
         newest_ = std::max(newest_, version());
-        return go(*changeId == changeId_ ? ApplyState::Accepted : ApplyState::Conflict);
+        return enterState(*changeId == changeId_ ? ApplyState::Accepted : ApplyState::Conflict);
     }
     // Not written, or not yet: a write that is still under way meets the same condition as the next
     // one, so only one of them can take effect.
-    return retry(now, ApplyState::Reading);
+    return scheduleRetry(now, ApplyState::Reading);
 }
 
 std::optional<ApplyAction> ConfigApply::onReadFailed(Instant now)
 {
-    return retry(now, state_);
+    return scheduleRetry(now, state_);
 }
 
 std::optional<ApplyAction> ConfigApply::onWriteOutcome(Instant now, WriteOutcome outcome)
@@ -58,14 +58,14 @@
     switch (outcome) {
     case WriteOutcome::Done:
         newest_ = version();
-        return go(ApplyState::Accepted);
+        return enterState(ApplyState::Accepted);
     case WriteOutcome::NotSent:
-        return retry(now, ApplyState::Writing);
+        return scheduleRetry(now, ApplyState::Writing);
     case WriteOutcome::Unknown:
-        outcomeOpen_ = true;
-        return go(ApplyState::ReadingBack);
+        writeOutcomeUnknown_ = true;
+        return enterState(ApplyState::ReadingBack);
     case WriteOutcome::Conflict:
-        return go(ApplyState::ReadingBack);
+        return enterState(ApplyState::ReadingBack);
     }
     return std::nullopt;
 }
@@ -74,7 +74,7 @@
 {
     if (!retryAt_ || now < *retryAt_)
         return std::nullopt;
-    return go(state_);
+    return enterState(state_);
 }
 
 bool ConfigApply::ended() const
@@ -82,7 +82,7 @@
     return state_ >= ApplyState::Accepted;
 }
 
-std::optional<ApplyAction> ConfigApply::go(ApplyState next)
+std::optional<ApplyAction> ConfigApply::enterState(ApplyState next)
 {
     state_ = next;
     retryAt_.reset();
@@ -98,15 +98,15 @@
     }
 }
 
-std::optional<ApplyAction> ConfigApply::retry(Instant now, ApplyState next)
+std::optional<ApplyAction> ConfigApply::scheduleRetry(Instant now, ApplyState next)
 {
     if (now >= deadline_)
-        return go(outcomeOpen_ ? ApplyState::Unknown : ApplyState::Failed);
-    const Duration longest =
-        std::min<Duration>(firstRetry * (1 << std::min(retries_++, 4)), longestRetry);
+        return enterState(writeOutcomeUnknown_ ? ApplyState::Unknown : ApplyState::Failed);
+    const Duration maxDelay =
+        std::min<Duration>(minRetryDelay * (1 << std::min(retries_++, 4)), maxRetryDelay);
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
     state_ = next;
-    retryAt_ = now + std::chrono::duration_cast<Duration>(longest * jitter(random_));
+    retryAt_ = now + std::chrono::duration_cast<Duration>(maxDelay * jitter(random_));
     return std::nullopt;
 }
 
--- a/src/decision/configapply.h
+++ b/src/decision/configapply.h
@@ -29,7 +29,7 @@
     Unknown,
 };
 
-// What the apply asks for next. ReadNewestRow ends in onNewest() or onReadFailed().
+// What the apply asks for next. ReadNewestRow ends in onNewestVersion() or onReadFailed().
 struct ReadNewestRow
 { };
 // Ends in onVersionRow() or onReadFailed().
@@ -53,13 +53,12 @@
 {
 public:
     // Gives up after the patience, or once the action then under way has ended.
-    ConfigApply(ConfigVersion expected, std::string changeId, Duration patience,
-                std::uint64_t seed);
+    ConfigApply(ConfigVersion expected, std::string changeId, Duration timeout, std::uint64_t seed);
 
     std::optional<ApplyAction> start(Instant now);
     // The newest row; version 0 and no tag when there is none.
-    std::optional<ApplyAction> onNewest(Instant now, ConfigVersion version,
-                                        const std::optional<std::string> &etag);
+    std::optional<ApplyAction> onNewestVersion(Instant now, ConfigVersion version,
+                                               const std::optional<std::string> &etag);
     // The change id of the version's row, or nothing when there is no such row.
     std::optional<ApplyAction> onVersionRow(Instant now,
                                             const std::optional<std::string> &changeId);
@@ -77,19 +76,19 @@
     static constexpr Duration tickPeriod = std::chrono::milliseconds(50);
 
 private:
-    std::optional<ApplyAction> go(ApplyState next);
-    std::optional<ApplyAction> retry(Instant now, ApplyState next);
+    std::optional<ApplyAction> enterState(ApplyState next);
+    std::optional<ApplyAction> scheduleRetry(Instant now, ApplyState next);
 
     const ConfigVersion expected_;
     const std::string changeId_;
-    const Duration patience_;
+    const Duration timeout_;
     std::mt19937_64 random_;
     ApplyState state_ = ApplyState::Reading;
     Instant deadline_;
     // When the next step may be tried; nothing while an action is under way.
     std::optional<Instant> retryAt_;
     int retries_ = 0;
-    bool outcomeOpen_ = false;
+    bool writeOutcomeUnknown_ = false;
     ConfigVersion newest_ = 0;
     std::optional<std::string> newestEtag_;
 };
--- a/src/decision/cutoff.cpp
+++ b/src/decision/cutoffpolicy.cpp
@@ -1,4 +1,4 @@
-#include "decision/cutoff.h"
+#include "decision/cutoffpolicy.h"
 
 namespace kelptally::decision {
 
@@ -9,34 +9,34 @@
         return "serve";
     case CutOffStep::HandingOver:
         return "handing_over";
-    case CutOffStep::Pause:
+    case CutOffStep::Cooldown:
         return "given_away_lately";
     case CutOffStep::ReadRow:
         return "row_to_be_read";
     case CutOffStep::NoSuccessor:
         return "no_successor";
-    case CutOffStep::GiveAway:
+    case CutOffStep::StartHandOver:
         return "give_away";
     }
     return "serve";
 }
 
-CutOffStep CutOff::next(Instant now, const CutOffView &view) const
+CutOffStep CutOffPolicy::next(Instant now, const CutOffView &view) const
 {
     if (!view.isCutOff)
         return CutOffStep::Serve;
-    if (view.handOverRuns)
+    if (view.handOverInProgress)
         return CutOffStep::HandingOver;
-    if (givenAwayAt_ && now - *givenAwayAt_ < pause)
-        return CutOffStep::Pause;
+    if (handOverStartedAt_ && now - *handOverStartedAt_ < handOverCooldown)
+        return CutOffStep::Cooldown;
     if (!view.rowIsFresh)
         return CutOffStep::ReadRow;
-    return view.successors == 0 ? CutOffStep::NoSuccessor : CutOffStep::GiveAway;
+    return view.successors == 0 ? CutOffStep::NoSuccessor : CutOffStep::StartHandOver;
 }
 
-void CutOff::onGivenAway(Instant now)
+void CutOffPolicy::onHandOverStarted(Instant now)
 {
-    givenAwayAt_ = now;
+    handOverStartedAt_ = now;
 }
 
 } // namespace kelptally::decision
--- a/src/decision/cutoff.h
+++ b/src/decision/cutoffpolicy.h
@@ -14,12 +14,12 @@
     // A hand-over is under way already.
     HandingOver,
     // The group was given away from here lately.
-    Pause,
+    Cooldown,
     // Too few are heard; the row is to be read before anything else.
     ReadRow,
     // The row was read, and lists nobody who could take the group.
     NoSuccessor,
-    GiveAway,
+    StartHandOver,
 };
 
 // For logs.
@@ -30,7 +30,7 @@
 {
     // Too few servers for a majority have been heard for a while.
     bool isCutOff = false;
-    bool handOverRuns = false;
+    bool handOverInProgress = false;
     // The table service has just told the row, so that it answers and the row is what it is.
     bool rowIsFresh = false;
     std::size_t successors = 0;
@@ -39,19 +39,19 @@
 // When an owner that hears too few of its servers gives the group to a successor, which another
 // availability zone may let hear them. The fault it answers: a partition that leaves the owner
 // alive and without a majority stopped the group for as long as it lasted.
-class CutOff
+class CutOffPolicy
 {
 public:
     CutOffStep next(Instant now, const CutOffView &view) const;
     // The group is being given away for this reason.
-    void onGivenAway(Instant now);
+    void onHandOverStarted(Instant now);
 
     // If the servers are really gone, the next owner hears as little, and the pause keeps the group
     // from going round.
-    static constexpr Duration pause = std::chrono::seconds(30);
+    static constexpr Duration handOverCooldown = std::chrono::seconds(30);
 
 private:
-    std::optional<Instant> givenAwayAt_;
+    std::optional<Instant> handOverStartedAt_;
 };
 
 } // namespace kelptally::decision
--- a/src/decision/failover.cpp
+++ b/src/decision/failover.cpp
@@ -67,7 +67,7 @@
 
 void Failover::heard(Instant now, ServerState &server)
 {
-    server.watch.onHeard(now);
+    server.watch.onResponse(now);
     if (server.name == leader_ && phase_ == Phase::Ready)
         troubleSince_.reset();
 }
@@ -75,7 +75,7 @@
 bool Failover::othersHeard(Instant now, const ServerState &server) const
 {
     return std::any_of(servers_.begin(), servers_.end(), [&](const ServerState &other) {
-        const std::optional<Instant> heard = other.watch.lastHeard();
+        const std::optional<Instant> heard = other.watch.lastResponseAt();
         return other.name != server.name && heard && now - *heard < othersHeardWithin;
     });
 }
@@ -124,7 +124,7 @@
         return actions;
     state->watch.onRefused(now);
     state->followed = false;
-    state->nextProbe = std::min(state->nextProbe, now + ServerWatch::refusalConfirm);
+    state->nextProbe = std::min(state->nextProbe, now + ServerWatch::refusalConfirmationDelay);
     if (server == leader_ && !troubleSince_)
         troubleSince_ = now;
     step(now, actions);
@@ -157,9 +157,9 @@
 void Failover::watchReplication(Instant now, const ServerState &server)
 {
     if (server.name != leader_)
-        replication_.onReplica(now, server.name, server.report->received, majority());
+        replication_.onReplicaPosition(now, server.name, server.report->received, majority());
     else if (server.report->isPrimary)
-        replication_.onPrimary(now, server.report->received);
+        replication_.onPrimaryPosition(now, server.report->received);
 }
 
 // The primary answers, but what it writes can't be confirmed, and the others can do without it.
@@ -230,7 +230,7 @@
         beginPromotion(now, refused ? "connections are refused" : "no answer to probes", actions);
     } else if (leader && isStalled(now)) {
         suspect_ = leader_;
-        replication_.onGivenUp();
+        replication_.onStallFailover();
         beginPromotion(now, "its log does not reach the replicas", actions);
     }
 
@@ -392,7 +392,7 @@
 
 bool Failover::isHeard(Instant now, const ServerState &server) const
 {
-    const std::optional<Instant> last = server.watch.lastHeard();
+    const std::optional<Instant> last = server.watch.lastResponseAt();
     return last && now - *last < cutOffLimit;
 }
 
--- a/src/decision/linkwatch.h
+++ b/src/decision/linkwatch.h
@@ -16,27 +16,27 @@
 {
 public:
     // With the time between two looks, and that after which a link in use counts as silent.
-    LinkWatch(Duration lookPeriod, Duration silenceTimeout);
+    LinkWatch(Duration checkPeriod, Duration silenceTimeout);
 
     // Anything at all came from the other end.
-    void onHeard() { heard_ = true; }
+    void onReceived() { received_ = true; }
     // A message of the processes' own was sent or came.
     void onMessage();
 
     enum class Step {
         Nothing,
         Ping,
-        GiveUp,
+        Close,
     };
-    Step look();
+    Step check();
 
 private:
-    const Duration lookPeriod_;
+    const Duration checkPeriod_;
     const Duration silenceTimeout_;
-    bool heard_ = false;
+    bool received_ = false;
     // Looks since anything was heard, and since the last message.
-    int silentLooks_ = 0;
-    int idleLooks_ = 0;
+    int silentChecks_ = 0;
+    int idleChecks_ = 0;
 };
 
 } // namespace kelptally::decision
--- a/src/decision/membership.cpp
+++ b/src/decision/membership.cpp
@@ -35,138 +35,139 @@
     return value;
 }
 
-Membership::Known *Membership::find(const std::string &address)
+Membership::HostRecord *Membership::find(const std::string &address)
 {
-    const auto found = std::find_if(known_.begin(), known_.end(), [&](const Known &known) {
-        return known.member.process.address == address;
-    });
-    return found == known_.end() ? nullptr : &*found;
+    const auto found =
+        std::find_if(records_.begin(), records_.end(), [&](const HostRecord &record) {
+            return record.member.process.address == address;
+        });
+    return found == records_.end() ? nullptr : &*found;
 }
 
 void Membership::setHosts(const std::vector<settings::Host> &hosts)
 {
-    std::vector<Known> next;
+    std::vector<HostRecord> next;
     for (const settings::Host &host : hosts) {
         if (host.ownerAddress.empty())
             continue;
-        const Known *old = find(host.ownerAddress);
-        next.push_back(old && old->member.host == host.name ? *old : Known {});
-        Known &known = next.back();
-        known.member.process.address = host.ownerAddress;
-        known.member.host = host.name;
-        known.member.zone = host.zone;
-        known.hash = stableHash(host.ownerAddress);
-        known.leavingByConfig = host.presence == settings::Presence::Leaving;
-        known.member.leaving = known.leavingByConfig || known.leavingByList;
+        const HostRecord *old = find(host.ownerAddress);
+        next.push_back(old && old->member.host == host.name ? *old : HostRecord {});
+        HostRecord &record = next.back();
+        record.member.process.address = host.ownerAddress;
+        record.member.host = host.name;
+        record.member.zone = host.zone;
+        record.hash = stableHash(host.ownerAddress);
+        record.leavingByConfig = host.presence == settings::Presence::Leaving;
+        record.member.leaving = record.leavingByConfig || record.leavingByList;
     }
-    known_ = std::move(next);
+    records_ = std::move(next);
 }
 
 void Membership::onPeerUp(Instant, const ProcessId &process)
 {
-    Known *known = find(process.address);
-    if (!known)
+    HostRecord *record = find(process.address);
+    if (!record)
         return;
-    ProcessId &last = known->member.process;
+    ProcessId &last = record->member.process;
     if (process.incarnation < last.incarnation)
         return;
     if (last.incarnation != 0 && process.incarnation > last.incarnation)
-        dead_.push_back(last);
+        deadProcesses_.push_back(last);
     last = process;
-    known->member.reachable = true;
-    known->reportedGone = false;
+    record->member.reachable = true;
+    record->reportedDead = false;
 }
 
 void Membership::onPeerDown(Instant, const ProcessId &process)
 {
-    Known *known = find(process.address);
+    HostRecord *record = find(process.address);
     // The end of an older run's link says nothing of the newer run.
-    if (known && process.incarnation >= known->member.process.incarnation)
-        known->member.reachable = false;
+    if (record && process.incarnation >= record->member.process.incarnation)
+        record->member.reachable = false;
 }
 
 void Membership::onHostList(Instant now, const std::vector<HostName> &live,
                             const std::vector<HostName> &leaving)
 {
-    for (Known &known : known_) {
-        const HostName &host = known.member.host;
-        known.leavingByList = contains(leaving, host);
-        known.member.leaving = known.leavingByConfig || known.leavingByList;
-        if (known.leavingByList || contains(live, host)) {
-            known.everListed = true;
-            known.absentSince.reset();
-        } else if (!known.absentSince) {
-            known.absentSince = now;
+    for (HostRecord &record : records_) {
+        const HostName &host = record.member.host;
+        record.leavingByList = contains(leaving, host);
+        record.member.leaving = record.leavingByConfig || record.leavingByList;
+        if (record.leavingByList || contains(live, host)) {
+            record.everListed = true;
+            record.absentSince.reset();
+        } else if (!record.absentSince) {
+            record.absentSince = now;
         }
     }
 }
 
-std::vector<ProcessId> Membership::takeDead(Instant now)
+std::vector<ProcessId> Membership::takeDeadProcesses(Instant now)
 {
-    for (Known &known : known_) {
+    for (HostRecord &record : records_) {
         // A host that was never listed may be too new for the list, and one that answers is alive
         // whatever the list says.
-        const bool gone = known.everListed && known.absentSince
-            && now - *known.absentSince >= absenceProvesGone && !known.member.reachable;
-        if (gone && !known.reportedGone && known.member.process.incarnation != 0) {
-            known.reportedGone = true;
-            dead_.push_back(known.member.process);
+        const bool gone = record.everListed && record.absentSince
+            && now - *record.absentSince >= absenceTimeout && !record.member.reachable;
+        if (gone && !record.reportedDead && record.member.process.incarnation != 0) {
+            record.reportedDead = true;
+            deadProcesses_.push_back(record.member.process);
         }
     }
-    return std::exchange(dead_, {});
+    return std::exchange(deadProcesses_, {});
 }
 
-bool Membership::isBefore(const Weighed &a, const Weighed &b)
+bool Membership::isBefore(const WeightedHost &a, const WeightedHost &b)
 {
     if (a.weight != b.weight)
         return a.weight > b.weight;
-    return a.known->member.process.address < b.known->member.process.address;
+    return a.record->member.process.address < b.record->member.process.address;
 }
 
 // Processes that may take work, in no order.
-std::vector<Membership::Weighed> Membership::weighed(const GroupName &group,
-                                                     bool onlyReachable) const
+std::vector<Membership::WeightedHost> Membership::weightedHosts(const GroupName &group,
+                                                                bool onlyReachable) const
 {
     const std::uint64_t groupHash = mix(stableHash(group));
-    std::vector<Weighed> weighed;
-    for (const Known &known : known_) {
-        if ((known.member.reachable || !onlyReachable) && !known.member.leaving)
-            weighed.push_back({mix(known.hash ^ groupHash), &known});
+    std::vector<WeightedHost> weightedHosts;
+    for (const HostRecord &record : records_) {
+        if ((record.member.reachable || !onlyReachable) && !record.member.leaving)
+            weightedHosts.push_back({mix(record.hash ^ groupHash), &record});
     }
-    return weighed;
+    return weightedHosts;
 }
 
 // Processes that may take work, best first for this group.
-std::vector<const Membership::Known *> Membership::ranked(const GroupName &group) const
+std::vector<const Membership::HostRecord *> Membership::rankedHosts(const GroupName &group) const
 {
-    std::vector<Weighed> reachable = weighed(group, true);
+    std::vector<WeightedHost> reachable = weightedHosts(group, true);
     std::sort(reachable.begin(), reachable.end(), isBefore);
-    std::vector<const Known *> result;
+    std::vector<const HostRecord *> result;
     result.reserve(reachable.size());
-    for (const Weighed &entry : reachable)
-        result.push_back(entry.known);
+    for (const WeightedHost &entry : reachable)
+        result.push_back(entry.record);
     return result;
 }
 
 std::vector<std::string> Membership::candidates(const GroupName &group, std::size_t count) const
 {
-    std::vector<Weighed> all = weighed(group, false);
-    const std::size_t taken = std::min(count, all.size());
-    std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(taken), all.end(),
+    std::vector<WeightedHost> all = weightedHosts(group, false);
+    const std::size_t selected = std::min(count, all.size());
+    std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(selected), all.end(),
                       isBefore);
     std::vector<std::string> addresses;
-    for (std::size_t i = 0; i < taken; ++i)
-        addresses.push_back(all[i].known->member.process.address);
+    for (std::size_t i = 0; i < selected; ++i)
+        addresses.push_back(all[i].record->member.process.address);
     return addresses;
 }
 
-std::optional<ProcessId> Membership::wantedOwner(const GroupName &group,
-                                                 const ZoneName &primaryZone) const
+std::optional<ProcessId> Membership::preferredOwner(const GroupName &group,
+                                                    const ZoneName &primaryZone) const
 {
-    const std::vector<const Known *> order = ranked(group);
-    for (const Known *known : order) {
-        if (known->member.zone != primaryZone)
-            return known->member.process;
+    const std::vector<const HostRecord *> order = rankedHosts(group);
+    for (const HostRecord *record : order) {
+        if (record->member.zone != primaryZone)
+            return record->member.process;
     }
     if (order.empty())
         return std::nullopt;
@@ -177,37 +178,37 @@
                                                    const ProcessId &owner) const
 {
     ZoneName ownerZone;
-    for (const Known &known : known_) {
-        if (known.member.process.address == owner.address)
-            ownerZone = known.member.zone;
+    for (const HostRecord &record : records_) {
+        if (record.member.process.address == owner.address)
+            ownerZone = record.member.zone;
     }
     // The best of each other zone, then what is left there, then the owner's own zone.
-    std::vector<ProcessId> firsts;
-    std::vector<ProcessId> others;
-    std::vector<ProcessId> own;
-    std::set<ZoneName> seen;
-    for (const Known *known : ranked(group)) {
-        const Member &member = known->member;
+    std::vector<ProcessId> bestPerZone;
+    std::vector<ProcessId> otherZones;
+    std::vector<ProcessId> ownerZoneProcesses;
+    std::set<ZoneName> seenZones;
+    for (const HostRecord *record : rankedHosts(group)) {
+        const Member &member = record->member;
         if (member.process.address == owner.address)
             continue;
         if (member.zone == ownerZone)
-            own.push_back(member.process);
-        else if (seen.insert(member.zone).second)
-            firsts.push_back(member.process);
+            ownerZoneProcesses.push_back(member.process);
+        else if (seenZones.insert(member.zone).second)
+            bestPerZone.push_back(member.process);
         else
-            others.push_back(member.process);
+            otherZones.push_back(member.process);
     }
-    firsts.insert(firsts.end(), others.begin(), others.end());
-    firsts.insert(firsts.end(), own.begin(), own.end());
-    return firsts;
+    bestPerZone.insert(bestPerZone.end(), otherZones.begin(), otherZones.end());
+    bestPerZone.insert(bestPerZone.end(), ownerZoneProcesses.begin(), ownerZoneProcesses.end());
+    return bestPerZone;
 }
 
 std::vector<Member> Membership::members() const
 {
     std::vector<Member> members;
-    members.reserve(known_.size());
-    for (const Known &known : known_)
-        members.push_back(known.member);
+    members.reserve(records_.size());
+    for (const HostRecord &record : records_)
+        members.push_back(record.member);
     return members;
 }
 
--- a/src/decision/membership.h
+++ b/src/decision/membership.h
@@ -30,7 +30,7 @@
 {
 public:
     // Absence from the platform's list counts only after this long: the list lags.
-    static constexpr Duration absenceProvesGone = std::chrono::seconds(30);
+    static constexpr Duration absenceTimeout = std::chrono::seconds(30);
 
     // Hosts of the configuration; each has one owner process. What is known of those that stay is
     // kept.
@@ -44,11 +44,12 @@
 
     // Processes proven dead since the last call: a newer incarnation was heard at their address,
     // or their host is gone from the list.
-    std::vector<ProcessId> takeDead(Instant now);
+    std::vector<ProcessId> takeDeadProcesses(Instant now);
 
     // Best owner for a group without one: rendezvous hashing over reachable processes, those in
     // another zone than the primary first.
-    std::optional<ProcessId> wantedOwner(const GroupName &group, const ZoneName &primaryZone) const;
+    std::optional<ProcessId> preferredOwner(const GroupName &group,
+                                            const ZoneName &primaryZone) const;
     // Fit successors, best first: one of each other zone than the owner's, then the rest of those,
     // then the owner's own zone; within each by hash.
     std::vector<ProcessId> successorChoice(const GroupName &group, const ProcessId &owner) const;
@@ -60,30 +61,30 @@
     std::vector<Member> members() const;
 
 private:
-    struct Known
+    struct HostRecord
     {
         Member member;
         std::uint64_t hash = 0;
         // The host as the platform lists it.
         bool everListed = false;
         std::optional<Instant> absentSince;
-        bool reportedGone = false;
+        bool reportedDead = false;
         bool leavingByConfig = false;
         bool leavingByList = false;
     };
 
-    Known *find(const std::string &address);
-    struct Weighed
+    HostRecord *find(const std::string &address);
+    struct WeightedHost
     {
         std::uint64_t weight;
-        const Known *known;
+        const HostRecord *record;
     };
-    static bool isBefore(const Weighed &a, const Weighed &b);
-    std::vector<Weighed> weighed(const GroupName &group, bool onlyReachable) const;
-    std::vector<const Known *> ranked(const GroupName &group) const;
+    static bool isBefore(const WeightedHost &a, const WeightedHost &b);
+    std::vector<WeightedHost> weightedHosts(const GroupName &group, bool onlyReachable) const;
+    std::vector<const HostRecord *> rankedHosts(const GroupName &group) const;
 
-    std::vector<Known> known_;
-    std::vector<ProcessId> dead_;
+    std::vector<HostRecord> records_;
+    std::vector<ProcessId> deadProcesses_;
 };
 
 } // namespace kelptally::decision
--- a/src/decision/ownersearch.h
+++ b/src/decision/ownersearch.h
@@ -14,17 +14,17 @@
 {
 public:
     // A statement waits: nobody that can be reached acts for the group.
-    void onWait(Instant now);
+    void onStatementWaiting(Instant now);
     // An owner has answered.
-    void onAnswered() { searching_ = false; }
+    void onOwnerAnswered() { searching_ = false; }
 
     // When a statement that arrived then is refused, unless its deadline comes first.
     Instant giveUpAt(Instant arrived) const;
 
 private:
     bool searching_ = false;
-    Instant since_ {};
-    Instant lastWait_ {};
+    Instant searchStartedAt_ {};
+    Instant lastWaitAt_ {};
 };
 
 } // namespace kelptally::decision
--- a/src/decision/promotion.cpp
+++ b/src/decision/promotion.cpp
@@ -35,7 +35,7 @@
         return actions;
     state->prepared = true;
     state->report = report;
-    state->reportSequence = state->watch.lastProbe();
+    state->reportSequence = state->watch.lastProbeSequence();
     step(now, actions);
     return actions;
 }
--- a/src/decision/replicationwatch.cpp
+++ b/src/decision/replicationwatch.cpp
@@ -4,50 +4,50 @@
 
 namespace kelptally::decision {
 
-void ReplicationWatch::onPrimary(Instant now, Position received)
+void ReplicationWatch::onPrimaryPosition(Instant now, Position received)
 {
-    if (!mark_)
-        mark_ = Mark {received, now};
+    if (!pending_)
+        pending_ = PendingPosition {received, now};
 }
 
-void ReplicationWatch::onReplica(Instant now, const ServerName &replica, Position received,
-                                 std::size_t majority)
+void ReplicationWatch::onReplicaPosition(Instant now, const ServerName &replica, Position received,
+                                         std::size_t majority)
 {
-    const auto known = replicas_.find(replica);
-    const bool advanced = known != replicas_.end() && known->second.received < received;
+    const auto previous = replicas_.find(replica);
+    const bool advanced = previous != replicas_.end() && previous->second.received < received;
     replicas_[replica] = Replica {received, now};
-    if (!mark_)
+    if (!pending_)
         return;
     // Slow replication is no stall.
     if (advanced)
-        mark_->since = now;
+        pending_->since = now;
     const auto reached = std::count_if(replicas_.begin(), replicas_.end(), [&](const auto &entry) {
-        return mark_->position <= entry.second.received;
+        return pending_->position <= entry.second.received;
     });
     if (std::size_t(reached) + 1 < majority)
         return;
-    mark_.reset();
-    limit_ = firstLimit;
+    pending_.reset();
+    stallTimeout_ = minStallTimeout;
 }
 
 bool ReplicationWatch::isStalled(Instant now, std::size_t majority) const
 {
-    if (!mark_ || now - mark_->since < limit_)
+    if (!pending_ || now - pending_->since < stallTimeout_)
         return false;
-    const auto heard = std::count_if(replicas_.begin(), replicas_.end(), [&](const auto &entry) {
-        return now - entry.second.heard < heardWithin;
+    const auto recent = std::count_if(replicas_.begin(), replicas_.end(), [&](const auto &entry) {
+        return now - entry.second.reportedAt < maxReportAge;
     });
-    return std::size_t(heard) >= majority;
+    return std::size_t(recent) >= majority;
 }
 
-void ReplicationWatch::onGivenUp()
+void ReplicationWatch::onStallFailover()
 {
-    limit_ = std::min(limit_ * 2, longestLimit);
+    stallTimeout_ = std::min(stallTimeout_ * 2, maxStallTimeout);
 }
 
 void ReplicationWatch::reset()
 {
-    mark_.reset();
+    pending_.reset();
     replicas_.clear();
 }
 
--- a/src/decision/replicationwatch.h
+++ b/src/decision/replicationwatch.h
@@ -15,9 +15,10 @@
 class ReplicationWatch
 {
 public:
-    void onPrimary(Instant now, Position received);
+    void onPrimaryPosition(Instant now, Position received);
     // The majority counts the primary too.
-    void onReplica(Instant now, const ServerName &replica, Position received, std::size_t majority);
+    void onReplicaPosition(Instant now, const ServerName &replica, Position received,
+                           std::size_t majority);
 
     // Records have waited for the limit, and a majority of replicas alone, each heard lately, has
     // received nothing meanwhile: so they can go on without this primary.
@@ -25,32 +26,32 @@
 
     // Another primary is chosen because of a stall: the next stall must last twice as long, until a
     // majority was reached again, so that slow replication does not turn the primary over and over.
-    void onGivenUp();
+    void onStallFailover();
     // Another primary begins.
     void reset();
 
     // Chosen, not measured: far above the round trips of a site, and what a caller can bear.
-    static constexpr Duration firstLimit = std::chrono::milliseconds(1000);
-    static constexpr Duration longestLimit = std::chrono::seconds(32);
+    static constexpr Duration minStallTimeout = std::chrono::milliseconds(1000);
+    static constexpr Duration maxStallTimeout = std::chrono::seconds(32);
     // A replica that was heard this lately counts as one that could take over.
-    static constexpr Duration heardWithin = std::chrono::milliseconds(250);
+    static constexpr Duration maxReportAge = std::chrono::milliseconds(250);
 
 private:
     struct Replica
     {
         Position received;
-        Instant heard;
+        Instant reportedAt;
     };
     // The primary's position that the replicas are awaited at, and since when.
-    struct Mark
+    struct PendingPosition
     {
         Position position;
         Instant since;
     };
 
-    std::optional<Mark> mark_;
+    std::optional<PendingPosition> pending_;
     std::map<ServerName, Replica> replicas_;
-    Duration limit_ = firstLimit;
+    Duration stallTimeout_ = minStallTimeout;
 };
 
 } // namespace kelptally::decision
--- a/src/decision/serverwatch.cpp
+++ b/src/decision/serverwatch.cpp
@@ -4,41 +4,41 @@
 
 void ServerWatch::onProbeSent(Instant now, std::uint64_t sequence)
 {
-    lastProbe_ = sequence;
+    lastProbeSequence_ = sequence;
     lastProbeAt_ = now;
-    ++unanswered_;
+    ++unansweredProbes_;
     if (!unansweredSince_)
         unansweredSince_ = now;
 }
 
-void ServerWatch::onHeard(Instant now)
+void ServerWatch::onResponse(Instant now)
 {
     reset();
-    lastHeard_ = now;
+    lastResponseAt_ = now;
 }
 
 void ServerWatch::onRefused(Instant now)
 {
     if (refusals_++ == 0)
-        firstRefusal_ = now;
+        firstRefusalAt_ = now;
 }
 
 void ServerWatch::reset()
 {
-    unanswered_ = 0;
+    unansweredProbes_ = 0;
     unansweredSince_.reset();
     refusals_ = 0;
 }
 
 bool ServerWatch::isRefused(Instant now) const
 {
-    return refusals_ >= 2 && now - firstRefusal_ >= refusalConfirm;
+    return refusals_ >= 2 && now - firstRefusalAt_ >= refusalConfirmationDelay;
 }
 
 bool ServerWatch::isSilent(Instant now) const
 {
-    return unansweredSince_ && unanswered_ >= silenceProbes
-        && now - *unansweredSince_ >= silenceLimit;
+    return unansweredSince_ && unansweredProbes_ >= minUnansweredProbes
+        && now - *unansweredSince_ >= silenceTimeout;
 }
 
 } // namespace kelptally::decision
--- a/src/decision/serverwatch.h
+++ b/src/decision/serverwatch.h
@@ -15,7 +15,7 @@
     // A probe of this sequence is sent.
     void onProbeSent(Instant now, std::uint64_t sequence);
     // It answered anything.
-    void onHeard(Instant now);
+    void onResponse(Instant now);
     // A connection was refused or reset at once.
     void onRefused(Instant now);
     // Forgets all evidence, as after a pause of this process, which made every server look silent.
@@ -25,28 +25,28 @@
     // Silent for long enough; counts only if another server was heard meanwhile.
     bool isSilent(Instant now) const;
 
-    std::uint64_t lastProbe() const { return lastProbe_; }
+    std::uint64_t lastProbeSequence() const { return lastProbeSequence_; }
     Instant lastProbeAt() const { return lastProbeAt_; }
-    std::optional<Instant> lastHeard() const { return lastHeard_; }
+    std::optional<Instant> lastResponseAt() const { return lastResponseAt_; }
     bool hasRefused() const { return refusals_ > 0; }
     // Send time of the oldest probe since the server was heard last.
     std::optional<Instant> unansweredSince() const { return unansweredSince_; }
 
     // Two refusals this far apart: one alone may be a full queue of connections.
-    static constexpr Duration refusalConfirm = std::chrono::milliseconds(50);
+    static constexpr Duration refusalConfirmationDelay = std::chrono::milliseconds(50);
     // Silence is declared after this time and number of probes; see docs/design/failover.md for
     // the measured rate of false alarms.
-    static constexpr Duration silenceLimit = std::chrono::milliseconds(400);
-    static constexpr int silenceProbes = 3;
+    static constexpr Duration silenceTimeout = std::chrono::milliseconds(400);
+    static constexpr int minUnansweredProbes = 3;
 
 private:
-    std::uint64_t lastProbe_ = 0;
+    std::uint64_t lastProbeSequence_ = 0;
     Instant lastProbeAt_;
-    std::optional<Instant> lastHeard_;
+    std::optional<Instant> lastResponseAt_;
     std::optional<Instant> unansweredSince_;
-    int unanswered_ = 0;
+    int unansweredProbes_ = 0;
     int refusals_ = 0;
-    Instant firstRefusal_;
+    Instant firstRefusalAt_;
 };
 
 } // namespace kelptally::decision
--- a/src/decision/storehealth.h
+++ b/src/decision/storehealth.h
@@ -12,7 +12,7 @@
     // Calls stay without an answer, or no connection can be opened.
     Silent,
     // Calls are refused or their connections reset, at once: the service may serve others.
-    TurnedAway,
+    Refusing,
 };
 
 const char *storeStateName(StoreState state);
@@ -28,45 +28,45 @@
 public:
     // Each returns whether the state has changed.
     bool onAnswer(Duration took);
-    bool onSilence(Instant now);
+    bool onTimeout(Instant now);
     bool onRefusal(Instant now);
     // A connection ended without the answer: the service may be as able as before.
-    bool onBroken(Instant now);
+    bool onConnectionLost(Instant now);
     StoreState state() const { return state_; }
     // When the service was lost; meaningless while it answers.
-    Instant since() const { return since_; }
+    Instant unavailableSince() const { return unavailableSince_; }
 
     // A call that waits longer than this for its answer, beyond the time for which it asked to be
     // held back, means silence. Grows with the answers of a slow service.
-    Duration patience() const;
+    Duration callTimeout() const;
     // The same for a call that looks for the service's return. Short: a service may accept calls
     // and never answer those, so each has to be followed by another; late answers count all the
     // same.
-    Duration trialPatience(Instant now) const;
+    Duration trialTimeout(Instant now) const;
     // Calls that may be open at once, held ones aside. Few at the start and after the service has
     // turned this host away, and with each answer one more, which doubles them in each round trip.
     //
     // The load it answers: hundreds of hosts ask at once for more than the service allows. Each
     // sent all that waited with the first answer, and most of it was refused again, for as long as
     // anything waited.
-    std::size_t mostOpen() const;
+    std::size_t maxOpenCalls() const;
     // From one attempt to reach the service to the next while it does not answer. The draw, from 0
     // to 1, spreads the attempts of many hosts.
-    Duration attemptPause(Instant now, double draw) const;
+    Duration retryDelay(Instant now, double draw) const;
 
 private:
-    static constexpr std::size_t firstOpen = 4;
+    static constexpr std::size_t initialOpenCalls = 4;
 
-    bool enter(StoreState state, Instant now);
+    bool changeState(StoreState state, Instant now);
 
     StoreState state_ = StoreState::Answering;
-    Instant since_ {};
+    Instant unavailableSince_ {};
     // Falls slowly towards the answers of now.
-    Duration slowest_ {0};
+    Duration peakLatency_ {0};
     int refusals_ = 0;
     std::optional<Instant> refusedAt_;
     // Nothing: all that wait. A process that has just begun knows nothing of the limit.
-    std::optional<std::size_t> mostOpen_ = firstOpen;
+    std::optional<std::size_t> maxOpenCalls_ = initialOpenCalls;
 };
 
 } // namespace kelptally::decision
--- a/src/inner/websocketlinks.cpp
+++ b/src/inner/websocketlinks.cpp
@@ -295,9 +295,9 @@
     });
     connection->set_close_handler([this, link](Handle) { onGone(link); });
     connection->set_fail_handler([this, link](Handle) { onGone(link); });
-    connection->set_pong_handler([link](Handle, std::string) { link->watch.onHeard(); });
+    connection->set_pong_handler([link](Handle, std::string) { link->watch.onReceived(); });
     connection->set_ping_handler([link](Handle, std::string) {
-        link->watch.onHeard();
+        link->watch.onReceived();
         return true;
     });
 }
@@ -309,7 +309,7 @@
 
 void WebsocketLinks::onFrame(const LinkPtr &link, const std::string &payload)
 {
-    link->watch.onHeard();
+    link->watch.onReceived();
     link->watch.onMessage();
     if (!link->refused.ok())
         return;
@@ -445,8 +445,8 @@
         refusals_.count(timeoutCause);
         return giveUp(link, absl::DeadlineExceededError("no valid Hello in time"));
     }
-    const decision::LinkWatch::Step step = link->watch.look();
-    if (step == decision::LinkWatch::Step::GiveUp) {
+    const decision::LinkWatch::Step step = link->watch.check();
+    if (step == decision::LinkWatch::Step::Close) {
         refusals_.count(silenceCause);
         return giveUp(link, absl::DeadlineExceededError("nothing heard in time"));
     }
--- a/src/owner/groupdirectory.cpp
+++ b/src/owner/groupdirectory.cpp
@@ -137,7 +137,7 @@
 
 void GroupDirectory::updateMembership()
 {
-    for (const ProcessId &dead : membership_.takeDead(ports_.timers.now()))
+    for (const ProcessId &dead : membership_.takeDeadProcesses(ports_.timers.now()))
         for (auto &[name, runtime] : runtimes_)
             runtime->ownership().onProcessGone(dead);
     if (!membershipChanged_ || !configuration_)
@@ -155,7 +155,7 @@
 void GroupDirectory::updateGroup(const settings::Group &group)
 {
     const ZoneName zone = group.servers.empty() ? ZoneName() : group.servers.front().zone;
-    const auto owner = membership_.wantedOwner(group.name, zone);
+    const auto owner = membership_.preferredOwner(group.name, zone);
     const bool candidate = ownGroups_.count(group.name) != 0;
     const bool wanted = candidate && !draining_ && owner && *owner == ports_.self;
     GroupRuntime *known = wanted ? runtime(group.name) : findRuntime(group.name);
--- a/src/owner/groupruntime.cpp
+++ b/src/owner/groupruntime.cpp
@@ -446,7 +446,7 @@
         return;
     decision::CutOffView view;
     view.isCutOff = failover->isCutOff(now());
-    view.handOverRuns = handOver_.running();
+    view.handOverInProgress = handOver_.running();
     view.rowIsFresh = now() - rowToldAt_ < refreshPeriod;
     view.successors = ownership_.row() ? ownership_.row()->row.successors.size() : 0;
     const decision::CutOffStep step = cutOff_.next(now(), view);
@@ -459,8 +459,8 @@
         rowAskedAt_ = now();
         ownership_.refresh();
     }
-    if (step == decision::CutOffStep::GiveAway) {
-        cutOff_.onGivenAway(now());
+    if (step == decision::CutOffStep::StartHandOver) {
+        cutOff_.onHandOverStarted(now());
         LOG(INFO) << "event=hand_over_begins group=" << name();
         handOver_.begin(now());
     }
--- a/src/owner/groupruntime.h
+++ b/src/owner/groupruntime.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decision/cutoff.h"
+#include "decision/cutoffpolicy.h"
 #include "owner/confirmationwaits.h"
 #include "owner/groupcontext.h"
 #include "owner/handover.h"
@@ -111,7 +111,7 @@
     Instant lastMetrics_;
     Instant lastRefresh_;
     Instant handOverAsked_;
-    decision::CutOff cutOff_;
+    decision::CutOffPolicy cutOff_;
     // As of the last line that told it.
     decision::CutOffStep cutOffStep_ = decision::CutOffStep::Serve;
     decision::HandOverWait handOverWait_ = decision::HandOverWait::None;
--- a/src/services/storegate.cpp
+++ b/src/services/storegate.cpp
@@ -65,7 +65,7 @@
 // A question for changes stays open for as long as nothing happens, and so is not counted.
 bool StoreGate::mayLaunch(const Call &call) const
 {
-    return call.wantedHold > Duration(0) || open_ < health_.mostOpen();
+    return call.wantedHold > Duration(0) || open_ < health_.maxOpenCalls();
 }
 
 void StoreGate::uncount(Call &call)
@@ -88,9 +88,9 @@
         ++open_;
     parts_.timers.cancel(call->expiry);
     parts_.timers.cancel(call->overdue);
-    const Duration patience =
-        call == trial_ ? health_.trialPatience(call->sentAt) : health_.patience();
-    call->overdue = parts_.timers.subscribeAfter(hold + patience, [this, alive = alive_, call] {
+    const Duration callTimeout =
+        call == trial_ ? health_.trialTimeout(call->sentAt) : health_.callTimeout();
+    call->overdue = parts_.timers.subscribeAfter(hold + callTimeout, [this, alive = alive_, call] {
         if (*alive)
             onOverdue(call);
     });
@@ -129,7 +129,7 @@
         uncount(*call);
     // What was sent before a refusal tells nothing of the limit that was met since.
     const bool isNews =
-        health_.state() != decision::StoreState::TurnedAway || call->sentAt >= refusedAt_;
+        health_.state() != decision::StoreState::Refusing || call->sentAt >= refusedAt_;
     if (isAnswer(status) && isNews)
         onAnswered(took);
     // That an earlier one is given up tells nothing: a call that had hung since the silence would
@@ -161,11 +161,11 @@
     if (givingUp_)
         return;
     const Instant now = parts_.timers.now();
-    const bool silent = absl::IsDeadlineExceeded(status) || took >= health_.patience() / 2;
+    const bool silent = absl::IsDeadlineExceeded(status) || took >= health_.callTimeout() / 2;
     if (silent)
-        return onLost(call, health_.onSilence(now));
+        return onLost(call, health_.onTimeout(now));
     if (!absl::IsUnavailable(status))
-        return onLost(call, health_.onBroken(now));
+        return onLost(call, health_.onConnectionLost(now));
     refusedAt_ = now;
     onLost(call, health_.onRefusal(now));
 }
@@ -183,7 +183,7 @@
 {
     if (call->done || call->waiting)
         return;
-    onLost(*call, health_.onSilence(parts_.timers.now()));
+    onLost(*call, health_.onTimeout(parts_.timers.now()));
     if (call->repeats)
         wait(call);
     else
@@ -209,7 +209,7 @@
 
 void StoreGate::onAnswered(Duration took)
 {
-    const Instant lost = health_.since();
+    const Instant lost = health_.unavailableSince();
     if (!health_.onAnswer(took)) {
         // Not from within an answer: whoever gets it comes first.
         if (!waiting_.empty() && !launchPlanned_) {
@@ -267,7 +267,7 @@
     if (attemptPlanned_ || answers())
         return;
     attemptPlanned_ = true;
-    const Duration pause = health_.attemptPause(parts_.timers.now(), parts_.draw());
+    const Duration pause = health_.retryDelay(parts_.timers.now(), parts_.draw());
     parts_.timers.subscribeAfter(pause, [this, alive = alive_] {
         if (!*alive)
             return;
@@ -284,7 +284,7 @@
     const bool isTrying = trial_ && !trial_->done && !trial_->waiting;
     if (isTrying)
         return;
-    if (health_.state() == decision::StoreState::TurnedAway)
+    if (health_.state() == decision::StoreState::Refusing)
         return tryOne();
     parts_.probe([this, alive = alive_](bool reached) {
         if (!*alive || !reached || health_.state() != decision::StoreState::Silent)
--- a/src/session/router.cpp
+++ b/src/session/router.cpp
@@ -203,7 +203,7 @@
 {
     pending.address.clear();
     waiting_.push_back(id);
-    searches_[pending.statement.group].onWait(parts_.timers.now());
+    searches_[pending.statement.group].onStatementWaiting(parts_.timers.now());
 }
 
 // A statement of an open transaction can go nowhere else.
@@ -264,7 +264,7 @@
             return parts_.owners.learnOwner(group, {done.ownerEpoch, done.owner});
         return parts_.owners.refreshOwner(group);
     }
-    searches_[pending.statement.group].onAnswered();
+    searches_[pending.statement.group].onOwnerAnswered();
     const inner::RequestId id = done.requestId;
     finish(id, std::move(done));
 }
--- a/tests/decision/configapply_test.cpp
+++ b/tests/decision/configapply_test.cpp
@@ -21,11 +21,11 @@
 }
 
 // An apply of version 4 whose newest row has been read, about to write.
-ConfigApply aboutToWrite()
+ConfigApply readyToWrite()
 {
     ConfigApply apply(3, "mine", 10s, 1);
     REQUIRE(is<ReadNewestRow>(apply.start(begin)));
-    const auto action = apply.onNewest(begin, 3, "tag");
+    const auto action = apply.onNewestVersion(begin, 3, "tag");
     REQUIRE(is<WriteVersionRow>(action));
     CHECK(std::get<WriteVersionRow>(*action).version == 4);
     CHECK(std::get<WriteVersionRow>(*action).newestEtag == "tag");
@@ -60,15 +60,15 @@
     }
 
     // Writes that were sent, whose outcome nobody waits for any more.
-    std::deque<Write> late;
+    std::deque<Write> delayedWrites;
 };
 
 // What the store does with one call.
-enum class Fate {
-    Answers,
+enum class CallOutcome {
+    Succeeds,
     Fails,
-    LosesAnswer,
-    TakesEffectLater,
+    LosesResponse,
+    AppliesLater,
 };
 
 // One operator's apply against the store.
@@ -76,7 +76,7 @@
 {
     Operator(const std::string &id, std::uint64_t seed) : changeId(id), apply(0, id, 3s, seed) { }
 
-    void step(Instant now, FakeStore &store, Fate fate)
+    void step(Instant now, FakeStore &store, CallOutcome outcome)
     {
         if (apply.ended())
             return;
@@ -87,28 +87,28 @@
             return;
         const ApplyAction action = *pending;
         if (const auto *write = std::get_if<WriteVersionRow>(&action))
-            pending = apply.onWriteOutcome(now, carryOut(store, *write, fate));
-        else if (fate != Fate::Answers)
+            pending = apply.onWriteOutcome(now, execute(store, *write, outcome));
+        else if (outcome != CallOutcome::Succeeds)
             pending = apply.onReadFailed(now);
         else if (const auto *read = std::get_if<ReadVersionRow>(&action))
             pending = apply.onVersionRow(now, changeIdOf(store, read->version));
         else
-            pending = apply.onNewest(now, store.newest, store.tag());
+            pending = apply.onNewestVersion(now, store.newest, store.tag());
     }
 
-    WriteOutcome carryOut(FakeStore &store, const WriteVersionRow &write, Fate fate) const
+    WriteOutcome execute(FakeStore &store, const WriteVersionRow &write, CallOutcome outcome) const
     {
         const FakeStore::Write sent {write, changeId};
-        switch (fate) {
-        case Fate::Answers:
+        switch (outcome) {
+        case CallOutcome::Succeeds:
             return store.write(sent) ? WriteOutcome::Done : WriteOutcome::Conflict;
-        case Fate::Fails:
+        case CallOutcome::Fails:
             return WriteOutcome::NotSent;
-        case Fate::LosesAnswer:
+        case CallOutcome::LosesResponse:
             store.write(sent);
             return WriteOutcome::Unknown;
-        case Fate::TakesEffectLater:
-            store.late.push_back(sent);
+        case CallOutcome::AppliesLater:
+            store.delayedWrites.push_back(sent);
             return WriteOutcome::Unknown;
         }
         return WriteOutcome::Unknown;
@@ -130,7 +130,7 @@
 
 TEST_CASE("an apply that the store takes is accepted")
 {
-    ConfigApply apply = aboutToWrite();
+    ConfigApply apply = readyToWrite();
     CHECK_FALSE(apply.onWriteOutcome(begin, WriteOutcome::Done));
     CHECK(apply.state() == ApplyState::Accepted);
     CHECK(apply.version() == 4);
@@ -141,14 +141,14 @@
 {
     ConfigApply apply(0, "mine", 10s, 1);
     apply.start(begin);
-    const auto action = apply.onNewest(begin, 0, std::nullopt);
+    const auto action = apply.onNewestVersion(begin, 0, std::nullopt);
     REQUIRE(is<WriteVersionRow>(action));
     CHECK_FALSE(std::get<WriteVersionRow>(*action).newestEtag);
 }
 
 TEST_CASE("a lost answer is settled by reading back")
 {
-    ConfigApply apply = aboutToWrite();
+    ConfigApply apply = readyToWrite();
     CHECK(is<ReadVersionRow>(apply.onWriteOutcome(begin, WriteOutcome::Unknown)));
     SECTION("the write took effect")
     {
@@ -165,7 +165,7 @@
         CHECK_FALSE(apply.onVersionRow(begin, std::nullopt));
         CHECK_FALSE(apply.onTick(begin + 1ms));
         CHECK(is<ReadNewestRow>(apply.onTick(begin + 200ms)));
-        CHECK(is<WriteVersionRow>(apply.onNewest(begin + 200ms, 3, "tag")));
+        CHECK(is<WriteVersionRow>(apply.onNewestVersion(begin + 200ms, 3, "tag")));
         CHECK(is<ReadVersionRow>(apply.onWriteOutcome(begin + 200ms, WriteOutcome::Conflict)));
         apply.onVersionRow(begin + 200ms, "mine");
         CHECK(apply.state() == ApplyState::Accepted);
@@ -190,13 +190,13 @@
     apply.start(begin);
     SECTION("the newest is higher")
     {
-        CHECK(is<ReadVersionRow>(apply.onNewest(begin, 5, "tag")));
+        CHECK(is<ReadVersionRow>(apply.onNewestVersion(begin, 5, "tag")));
         apply.onVersionRow(begin, "theirs");
         CHECK(apply.newest() == 5);
     }
     SECTION("the newest is lower")
     {
-        CHECK_FALSE(apply.onNewest(begin, 2, "tag"));
+        CHECK_FALSE(apply.onNewestVersion(begin, 2, "tag"));
         CHECK(apply.newest() == 2);
     }
     CHECK(apply.state() == ApplyState::Conflict);
@@ -206,7 +206,7 @@
 {
     ConfigApply apply(3, "mine", 10s, 1);
     apply.start(begin);
-    CHECK(is<ReadVersionRow>(apply.onNewest(begin, 7, "tag")));
+    CHECK(is<ReadVersionRow>(apply.onNewestVersion(begin, 7, "tag")));
     apply.onVersionRow(begin, "mine");
     CHECK(apply.state() == ApplyState::Accepted);
     CHECK(apply.newest() == 7);
@@ -240,29 +240,29 @@
         operators.emplace_back("a", 1);
         operators.emplace_back("b", 2);
         operators.emplace_back("c", 3);
-        const auto steps = *rc::gen::container<std::vector<std::tuple<int, Fate, bool>>>(
+        const auto steps = *rc::gen::container<std::vector<std::tuple<int, CallOutcome, bool>>>(
             rc::gen::tuple(rc::gen::inRange(0, 3),
-                           rc::gen::weightedElement<Fate>({{4, Fate::Answers},
-                                                           {2, Fate::Fails},
-                                                           {2, Fate::LosesAnswer},
-                                                           {2, Fate::TakesEffectLater}}),
+                           rc::gen::weightedElement<CallOutcome>({{4, CallOutcome::Succeeds},
+                                                                  {2, CallOutcome::Fails},
+                                                                  {2, CallOutcome::LosesResponse},
+                                                                  {2, CallOutcome::AppliesLater}}),
                            rc::gen::arbitrary<bool>()));
         Instant now = begin;
-        for (const auto &[index, fate, lateLands] : steps) {
+        for (const auto &[index, outcome, applyDelayed] : steps) {
             now += 70ms;
-            operators[static_cast<std::size_t>(index)].step(now, store, fate);
-            if (lateLands && !store.late.empty()) {
-                store.write(store.late.front());
-                store.late.pop_front();
+            operators[static_cast<std::size_t>(index)].step(now, store, outcome);
+            if (applyDelayed && !store.delayedWrites.empty()) {
+                store.write(store.delayedWrites.front());
+                store.delayedWrites.pop_front();
             }
         }
         // The store answers from now on, and whatever was under way lands at the end.
         for (int i = 0; i < 400; ++i) {
             now += 70ms;
             for (Operator &one : operators)
-                one.step(now, store, Fate::Answers);
+                one.step(now, store, CallOutcome::Succeeds);
         }
-        for (const FakeStore::Write &write : store.late)
+        for (const FakeStore::Write &write : store.delayedWrites)
             store.write(write);
 
         int accepted = 0;
--- a/tests/decision/cutoff_test.cpp
+++ b/tests/decision/cutoffpolicy_test.cpp
@@ -1,4 +1,4 @@
-#include "decision/cutoff.h"
+#include "decision/cutoffpolicy.h"
 
 #include <catch2/catch.hpp>
 
@@ -23,16 +23,16 @@
 
 TEST_CASE("Each condition of giving a group away names itself")
 {
-    CutOff cutOff;
+    CutOffPolicy cutOff;
     CutOffView view = cutOffWithSuccessor();
-    CHECK(cutOff.next(start, view) == CutOffStep::GiveAway);
+    CHECK(cutOff.next(start, view) == CutOffStep::StartHandOver);
     view.successors = 0;
     CHECK(cutOff.next(start, view) == CutOffStep::NoSuccessor);
     view.rowIsFresh = false;
     CHECK(cutOff.next(start, view) == CutOffStep::ReadRow);
-    cutOff.onGivenAway(start);
-    CHECK(cutOff.next(start, view) == CutOffStep::Pause);
-    view.handOverRuns = true;
+    cutOff.onHandOverStarted(start);
+    CHECK(cutOff.next(start, view) == CutOffStep::Cooldown);
+    view.handOverInProgress = true;
     CHECK(cutOff.next(start, view) == CutOffStep::HandingOver);
     view.isCutOff = false;
     CHECK(cutOff.next(start, view) == CutOffStep::Serve);
@@ -40,27 +40,27 @@
 
 TEST_CASE("A group is given away again once the pause is over, and not before")
 {
-    CutOff cutOff;
+    CutOffPolicy cutOff;
     const CutOffView view = cutOffWithSuccessor();
-    cutOff.onGivenAway(start);
-    CHECK(cutOff.next(start + CutOff::pause - 1ms, view) == CutOffStep::Pause);
-    CHECK(cutOff.next(start + CutOff::pause, view) == CutOffStep::GiveAway);
+    cutOff.onHandOverStarted(start);
+    CHECK(cutOff.next(start + CutOffPolicy::handOverCooldown - 1ms, view) == CutOffStep::Cooldown);
+    CHECK(cutOff.next(start + CutOffPolicy::handOverCooldown, view) == CutOffStep::StartHandOver);
 }
 
 TEST_CASE("Two processes that hear no majority pass a group on four times a minute at most")
 {
     // Each new owner counts as cut off after two seconds.
     constexpr Duration untilCutOff = 2s;
-    CutOff processes[2];
+    CutOffPolicy processes[2];
     int holder = 0;
     int changes = 0;
     Instant since = start;
     for (Instant now = start; now < start + 60s; now += 20ms) {
         CutOffView view = cutOffWithSuccessor();
         view.isCutOff = now - since >= untilCutOff;
-        if (processes[holder].next(now, view) != CutOffStep::GiveAway)
+        if (processes[holder].next(now, view) != CutOffStep::StartHandOver)
             continue;
-        processes[holder].onGivenAway(now);
+        processes[holder].onHandOverStarted(now);
         holder = 1 - holder;
         since = now;
         ++changes;
--- a/tests/decision/failover_test.cpp
+++ b/tests/decision/failover_test.cpp
@@ -466,7 +466,7 @@
     REQUIRE(group.isReady("s0"));
     group.isolated = {"s0", "s1", "s2"};
     group.write("s0", 1);
-    group.run(ReplicationWatch::firstLimit - milliseconds(100));
+    group.run(ReplicationWatch::minStallTimeout - milliseconds(100));
     CHECK(group.isReady("s0"));
     group.run(milliseconds(400));
     // The others hold no record of the write, which nobody could confirm.
@@ -494,9 +494,9 @@
     constexpr std::size_t majority = 2;
     ReplicationWatch watch;
     const auto hear = [&](Instant now, LogOffset primary, LogOffset replicas) {
-        watch.onPrimary(now, {1, primary});
-        watch.onReplica(now, "b", {1, replicas}, majority);
-        watch.onReplica(now, "c", {1, replicas}, majority);
+        watch.onPrimaryPosition(now, {1, primary});
+        watch.onReplicaPosition(now, "b", {1, replicas}, majority);
+        watch.onReplicaPosition(now, "c", {1, replicas}, majority);
     };
     Instant now = start;
     // Always behind, but moving.
@@ -510,13 +510,13 @@
             hear(now, 2000, 60);
         return now - begin;
     };
-    CHECK(stallLength() >= ReplicationWatch::firstLimit);
-    watch.onGivenUp();
+    CHECK(stallLength() >= ReplicationWatch::minStallTimeout);
+    watch.onStallFailover();
     watch.reset();
-    CHECK(stallLength() >= 2 * ReplicationWatch::firstLimit);
+    CHECK(stallLength() >= 2 * ReplicationWatch::minStallTimeout);
     hear(now, 2000, 2000);
     watch.reset();
-    CHECK(stallLength() < 2 * ReplicationWatch::firstLimit);
+    CHECK(stallLength() < 2 * ReplicationWatch::minStallTimeout);
 }
 
 TEST_CASE("a session's position is not called lost before the history of the term is read")
--- a/tests/decision/linkwatch_test.cpp
+++ b/tests/decision/linkwatch_test.cpp
@@ -12,44 +12,44 @@
 constexpr Duration timeout = 1800ms;
 
 // Two ends of one link that looks at each other by turns.
-struct Ends
+struct LinkEnds
 {
-    LinkWatch here {period, timeout};
-    LinkWatch there {period, timeout};
+    LinkWatch local {period, timeout};
+    LinkWatch remote {period, timeout};
     int pings = 0;
-    bool givenUp = false;
+    bool closed = false;
 
-    void lookAt(LinkWatch &watch, LinkWatch &other)
+    void checkEnd(LinkWatch &watch, LinkWatch &other)
     {
-        const LinkWatch::Step step = watch.look();
-        givenUp = givenUp || step == LinkWatch::Step::GiveUp;
+        const LinkWatch::Step step = watch.check();
+        closed = closed || step == LinkWatch::Step::Close;
         if (step != LinkWatch::Step::Ping)
             return;
         ++pings;
-        other.onHeard();
-        watch.onHeard();
+        other.onReceived();
+        watch.onReceived();
     }
     void run(Duration time)
     {
-        for (Duration passed {0}; passed < time; passed += period) {
-            lookAt(here, there);
-            lookAt(there, here);
+        for (Duration elapsed {0}; elapsed < time; elapsed += period) {
+            checkEnd(local, remote);
+            checkEnd(remote, local);
         }
     }
-    void message()
+    void sendMessage()
     {
-        here.onMessage();
-        there.onMessage();
-        there.onHeard();
+        local.onMessage();
+        remote.onMessage();
+        remote.onReceived();
     }
 };
 
-Duration timeToGiveUp(LinkWatch &watch)
+Duration timeUntilClosed(LinkWatch &watch)
 {
-    Duration passed {0};
-    while (watch.look() != LinkWatch::Step::GiveUp)
-        passed += period;
-    return passed + period;
+    Duration elapsed {0};
+    while (watch.check() != LinkWatch::Step::Close)
+        elapsed += period;
+    return elapsed + period;
 }
 
 } // namespace
@@ -57,12 +57,12 @@
 // 164 hosts of a zone had 30 links each: 400 pings and answers a second for nothing.
 TEST_CASE("An idle link is pinged rarely and stays")
 {
-    Ends link;
-    link.message();
+    LinkEnds link;
+    link.sendMessage();
     link.run(4s);
     link.pings = 0;
     link.run(60s);
-    CHECK(!link.givenUp);
+    CHECK(!link.closed);
     CHECK(link.pings <= 60);
     CHECK(link.pings >= 10);
 }
@@ -71,27 +71,27 @@
 {
     LinkWatch watch(period, timeout);
     watch.onMessage();
-    CHECK(timeToGiveUp(watch) == timeout);
+    CHECK(timeUntilClosed(watch) == timeout);
     // One that was idle counts from the message that it should have answered.
     LinkWatch idle(period, timeout);
     for (int i = 0; i < 100; ++i) {
-        idle.onHeard();
-        CHECK(idle.look() != LinkWatch::Step::GiveUp);
+        idle.onReceived();
+        CHECK(idle.check() != LinkWatch::Step::Close);
     }
     for (int i = 0; i < 12; ++i)
-        CHECK(idle.look() != LinkWatch::Step::GiveUp);
+        CHECK(idle.check() != LinkWatch::Step::Close);
     idle.onMessage();
-    CHECK(timeToGiveUp(idle) == timeout);
+    CHECK(timeUntilClosed(idle) == timeout);
 }
 
 TEST_CASE("An idle link that is dead is given up within some seconds")
 {
     LinkWatch watch(period, timeout);
     for (int i = 0; i < 100; ++i) {
-        watch.onHeard();
-        watch.look();
+        watch.onReceived();
+        watch.check();
     }
-    const Duration took = timeToGiveUp(watch);
+    const Duration took = timeUntilClosed(watch);
     CHECK(took >= 3 * timeout);
     CHECK(took <= 8s);
 }
@@ -101,6 +101,6 @@
     LinkWatch watch(period, 500ms);
     int pings = 0;
     for (int i = 0; i < 2; ++i)
-        pings += watch.look() == LinkWatch::Step::Ping;
+        pings += watch.check() == LinkWatch::Step::Ping;
     CHECK(pings == 2);
 }
--- a/tests/decision/membership_test.cpp
+++ b/tests/decision/membership_test.cpp
@@ -61,7 +61,7 @@
         backwards.onPeerUp(start, processOf(i));
     for (int group = 0; group < 50; ++group) {
         const GroupName name = "group" + std::to_string(group);
-        CHECK(forwards.wantedOwner(name, "zone1") == backwards.wantedOwner(name, "zone1"));
+        CHECK(forwards.preferredOwner(name, "zone1") == backwards.preferredOwner(name, "zone1"));
         CHECK(forwards.successorChoice(name, processOf(3))
               == backwards.successorChoice(name, processOf(3)));
     }
@@ -77,14 +77,14 @@
 {
     Membership membership = makeMembership(6, 3);
     for (int group = 0; group < 30; ++group) {
-        const auto wanted = membership.wantedOwner("g" + std::to_string(group), "zone1");
+        const auto wanted = membership.preferredOwner("g" + std::to_string(group), "zone1");
         REQUIRE(wanted);
         CHECK(*wanted != processOf(1));
         CHECK(*wanted != processOf(4));
     }
     Membership one = makeMembership(2, 1);
-    CHECK(one.wantedOwner("g", "zone0"));
-    CHECK_FALSE(Membership().wantedOwner("g", "zone0"));
+    CHECK(one.preferredOwner("g", "zone0"));
+    CHECK_FALSE(Membership().preferredOwner("g", "zone0"));
 }
 
 TEST_CASE("Successors of other zones come first, each of another zone while there are any",
@@ -109,7 +109,7 @@
     std::map<std::string, int> owned;
     std::vector<ProcessId> before;
     for (int group = 0; group < groups; ++group) {
-        before.push_back(*membership.wantedOwner("g" + std::to_string(group), ""));
+        before.push_back(*membership.preferredOwner("g" + std::to_string(group), ""));
         ++owned[before.back().address];
     }
     for (const auto &[address, count] : owned) {
@@ -118,7 +118,7 @@
     }
     membership.onPeerDown(start, processOf(2));
     for (int group = 0; group < groups; ++group) {
-        const auto now = *membership.wantedOwner("g" + std::to_string(group), "");
+        const auto now = *membership.preferredOwner("g" + std::to_string(group), "");
         const bool moved = now != before[static_cast<std::size_t>(group)];
         CHECK(moved == (before[static_cast<std::size_t>(group)] == processOf(2)));
     }
@@ -130,7 +130,7 @@
     membership.onHostList(start, namesOf({0, 2}), namesOf({1}));
     membership.onPeerDown(start, processOf(2));
     for (int group = 0; group < 20; ++group)
-        CHECK(membership.wantedOwner("g" + std::to_string(group), "") == processOf(0));
+        CHECK(membership.preferredOwner("g" + std::to_string(group), "") == processOf(0));
     CHECK(membership.successorChoice("g", processOf(0)).empty());
 }
 
@@ -145,7 +145,7 @@
     CHECK(few.candidates("offers", 6) == candidates);
     CHECK(all.candidates("offers", 50).size() == 20);
     CHECK(all.candidates("offers", 1).front() == candidates.front());
-    CHECK(all.wantedOwner("offers", "no zone")->address == candidates.front());
+    CHECK(all.preferredOwner("offers", "no zone")->address == candidates.front());
 }
 
 TEST_CASE("A newer incarnation proves the older dead; a late link end changes nothing",
@@ -153,8 +153,8 @@
 {
     Membership membership = makeMembership(2, 2);
     membership.onPeerUp(start, processOf(1, 5));
-    CHECK(membership.takeDead(start) == std::vector<ProcessId> {processOf(1, 1)});
-    CHECK(membership.takeDead(start).empty());
+    CHECK(membership.takeDeadProcesses(start) == std::vector<ProcessId> {processOf(1, 1)});
+    CHECK(membership.takeDeadProcesses(start).empty());
     membership.onPeerDown(start, processOf(1, 1));
     membership.onPeerUp(start, processOf(1, 1));
     CHECK(membership.members()[1].reachable);
@@ -170,9 +170,10 @@
     membership.onHostList(start + seconds(5), namesOf({0}), {});
     membership.onHostList(start + seconds(20), namesOf({0, 2}), {});
     membership.onHostList(start + seconds(34), namesOf({0}), {});
-    CHECK(membership.takeDead(start + seconds(34)).empty());
-    CHECK(membership.takeDead(start + seconds(35)) == std::vector<ProcessId> {processOf(1)});
+    CHECK(membership.takeDeadProcesses(start + seconds(34)).empty());
+    CHECK(membership.takeDeadProcesses(start + seconds(35))
+          == std::vector<ProcessId> {processOf(1)});
     // One that answers is alive whatever the list says.
     membership.onPeerUp(start + seconds(60), processOf(2));
-    CHECK(membership.takeDead(start + seconds(90)).empty());
+    CHECK(membership.takeDeadProcesses(start + seconds(90)).empty());
 }
--- a/tests/decision/modelprocess.cpp
+++ b/tests/decision/modelprocess.cpp
@@ -80,7 +80,7 @@
         if (member.reachable && lost && member.process != self_)
             membership_.onPeerDown(now(), member.process);
     }
-    ownership_.setWanted(membership_.wantedOwner(group, "") == self_);
+    ownership_.setWanted(membership_.preferredOwner(group, "") == self_);
     ownership_.setSuccessorChoice(membership_.successorChoice(group, self_));
     carryOut(ownership_.onTick(now()));
 }
--- a/tests/decision/ownersearch_test.cpp
+++ b/tests/decision/ownersearch_test.cpp
@@ -15,9 +15,9 @@
 TEST_CASE("Statements wait for as long as a takeover takes")
 {
     OwnerSearch search;
-    search.onWait(start);
+    search.onStatementWaiting(start);
     CHECK(search.giveUpAt(start) >= start + 800ms);
-    search.onWait(start + 300ms);
+    search.onStatementWaiting(start + 300ms);
     CHECK(search.giveUpAt(start + 300ms) >= start + 800ms);
     CHECK(search.giveUpAt(start + 300ms) <= start + 1s);
 }
@@ -28,7 +28,7 @@
     OwnerSearch search;
     for (Duration at {0}; at < 6s; at += 20ms) {
         const Instant now = start + at;
-        search.onWait(now);
+        search.onStatementWaiting(now);
         if (at < 1s)
             continue;
         CHECK(search.giveUpAt(now) > now);
@@ -40,17 +40,17 @@
 TEST_CASE("An answer ends the search, and the next one has its whole time")
 {
     OwnerSearch search;
-    search.onWait(start);
-    search.onWait(start + 1500ms);
-    search.onAnswered();
-    search.onWait(start + 1600ms);
+    search.onStatementWaiting(start);
+    search.onStatementWaiting(start + 1500ms);
+    search.onOwnerAnswered();
+    search.onStatementWaiting(start + 1600ms);
     CHECK(search.giveUpAt(start + 1600ms) >= start + 2400ms);
 }
 
 TEST_CASE("What was searched for long ago is searched for anew")
 {
     OwnerSearch search;
-    search.onWait(start);
-    search.onWait(start + 1h);
+    search.onStatementWaiting(start);
+    search.onStatementWaiting(start + 1h);
     CHECK(search.giveUpAt(start + 1h) >= start + 1h + 800ms);
 }
--- a/tests/decision/storehealth_test.cpp
+++ b/tests/decision/storehealth_test.cpp
@@ -11,13 +11,13 @@
     StoreHealth health;
     const Instant start {};
     CHECK(!health.onAnswer(4ms));
-    CHECK(health.onSilence(start + 1s));
-    CHECK(!health.onSilence(start + 2s));
-    CHECK(health.since() == start + 1s);
+    CHECK(health.onTimeout(start + 1s));
+    CHECK(!health.onTimeout(start + 2s));
+    CHECK(health.unavailableSince() == start + 1s);
     CHECK(health.onRefusal(start + 3s));
-    CHECK(health.state() == StoreState::TurnedAway);
+    CHECK(health.state() == StoreState::Refusing);
     // Lost since the first sign.
-    CHECK(health.since() == start + 1s);
+    CHECK(health.unavailableSince() == start + 1s);
     CHECK(health.onAnswer(4ms));
     CHECK(!health.onAnswer(4ms));
     CHECK(health.state() == StoreState::Answering);
@@ -26,19 +26,19 @@
 TEST_CASE("A slow service is given more time, and less again when it recovers")
 {
     StoreHealth health;
-    const Duration usual = health.patience();
+    const Duration usual = health.callTimeout();
     CHECK(usual >= 600ms);
     health.onAnswer(700ms);
-    CHECK(health.patience() >= 2s);
+    CHECK(health.callTimeout() >= 2s);
     for (int i = 0; i < 60; ++i)
         health.onAnswer(4ms);
-    CHECK(health.patience() == usual);
+    CHECK(health.callTimeout() == usual);
     health.onAnswer(1h);
-    CHECK(health.patience() <= 3s);
-    health.onSilence(Instant());
-    CHECK(health.trialPatience(Instant() + 1s) == 250ms);
-    CHECK(health.trialPatience(Instant() + 4s) == 400ms);
-    CHECK(health.trialPatience(Instant() + 1h) == 800ms);
+    CHECK(health.callTimeout() <= 3s);
+    health.onTimeout(Instant());
+    CHECK(health.trialTimeout(Instant() + 1s) == 250ms);
+    CHECK(health.trialTimeout(Instant() + 4s) == 400ms);
+    CHECK(health.trialTimeout(Instant() + 1h) == 800ms);
 }
 
 TEST_CASE(
@@ -46,29 +46,29 @@
 {
     StoreHealth health;
     const Instant start {};
-    health.onSilence(start);
+    health.onTimeout(start);
     for (const Duration age : {0s, 3s, 9s, 12s}) {
-        CHECK(health.attemptPause(start + age, 0) >= 100ms);
-        CHECK(health.attemptPause(start + age, 1) <= 200ms);
-        CHECK(health.attemptPause(start + age, 0) < health.attemptPause(start + age, 1));
+        CHECK(health.retryDelay(start + age, 0) >= 100ms);
+        CHECK(health.retryDelay(start + age, 1) <= 200ms);
+        CHECK(health.retryDelay(start + age, 0) < health.retryDelay(start + age, 1));
     }
     // An outage of minutes costs little.
-    CHECK(health.attemptPause(start + 10min, 0.5) == 1s);
+    CHECK(health.retryDelay(start + 10min, 0.5) == 1s);
 }
 
 TEST_CASE("Attempts that are refused become rare, and begin anew with the next loss")
 {
     StoreHealth health;
     const Instant start {};
-    std::vector<Duration> pauses;
+    std::vector<Duration> delays;
     for (int i = 0; i < 6; ++i) {
         health.onRefusal(start + i * 1s);
-        pauses.push_back(health.attemptPause(start + i * 1s, 0.5));
+        delays.push_back(health.retryDelay(start + i * 1s, 0.5));
     }
-    CHECK(pauses == std::vector<Duration> {100ms, 200ms, 400ms, 800ms, 800ms, 800ms});
+    CHECK(delays == std::vector<Duration> {100ms, 200ms, 400ms, 800ms, 800ms, 800ms});
     health.onAnswer(4ms);
     health.onRefusal(start + 20s);
-    CHECK(health.attemptPause(start + 20s, 0.5) == 100ms);
+    CHECK(health.retryDelay(start + 20s, 0.5) == 100ms);
 }
 
 TEST_CASE("After a refusal calls return as answers come, and after a broken connection all at once")
@@ -77,18 +77,18 @@
     const Instant start {};
     for (int i = 0; i < 100; ++i)
         health.onAnswer(4ms);
-    const std::size_t all = health.mostOpen();
-    health.onBroken(start);
+    const std::size_t all = health.maxOpenCalls();
+    health.onConnectionLost(start);
     health.onAnswer(4ms);
-    CHECK(health.mostOpen() == all);
+    CHECK(health.maxOpenCalls() == all);
     health.onRefusal(start + 1s);
-    CHECK(health.mostOpen() == 1);
+    CHECK(health.maxOpenCalls() == 1);
     health.onAnswer(4ms);
     health.onAnswer(4ms);
-    CHECK(health.mostOpen() == 3);
+    CHECK(health.maxOpenCalls() == 3);
     for (int i = 0; i < 100; ++i)
         health.onAnswer(4ms);
-    CHECK(health.mostOpen() == all);
+    CHECK(health.maxOpenCalls() == all);
 }
 
 TEST_CASE("Attempts of a host that is refused again and again stay rare, though some are answered")
@@ -100,9 +100,9 @@
         health.onAnswer(4ms);
     }
     health.onRefusal(start + 2s);
-    CHECK(health.attemptPause(start + 2s, 0.5) == 800ms);
+    CHECK(health.retryDelay(start + 2s, 0.5) == 800ms);
     health.onAnswer(4ms);
     // Lost answers are no limit: their next attempt is soon.
-    health.onBroken(start + 3s);
-    CHECK(health.attemptPause(start + 3s, 0.5) == 100ms);
+    health.onConnectionLost(start + 3s);
+    CHECK(health.retryDelay(start + 3s, 0.5) == 100ms);
 }
