--- a/src/decision/configapply.cpp
+++ b/src/decision/configapply.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-// Wait before a step is tried again: doubled each time, with jitter. Chosen, not measured.
+// Bounds of the exponential backoff before a step is retried, without its jitter.
 constexpr Duration minRetryDelay = 100ms;
 constexpr Duration maxRetryDelay = 1s;
 
@@ -32,7 +32,7 @@
     newestEtag_ = etag;
     if (version < expected_)
         return enterState(ApplyState::Conflict);
-    // The version may be this operator's own, accepted by an earlier attempt.
+    // A newer version may be this operator's own, from an earlier apply with the same change id.
     return enterState(version == expected_ ? ApplyState::Writing : ApplyState::ReadingBack);
 }
 
@@ -43,8 +43,8 @@
         newest_ = std::max(newest_, version());
         return enterState(*changeId == changeId_ ? ApplyState::Accepted : ApplyState::Conflict);
     }
-    // Not written, or not yet: a write that is still under way meets the same condition as the next
-    // one, so only one of them can take effect.
+    // Not written, or not yet. A write still in flight has the same condition as the next one, so
+    // at most one of them can take effect.
     return scheduleRetry(now, ApplyState::Reading);
 }
 
--- a/src/decision/configapply.h
+++ b/src/decision/configapply.h
@@ -12,24 +12,24 @@
 
 namespace kelptally::decision {
 
-// The steps of one apply: write version n+1 on condition that n is the newest, read back when the
-// answer is lost.
+// States of one apply: version n+1 is written on condition that n is the newest, and read back when
+// the outcome of the write is unknown.
 enum class ApplyState {
     Reading,
     Writing,
     ReadingBack,
-    // The version is the operator's.
+    // The version holds this operator's document.
     Accepted,
-    // Another version stands in the way; nothing of this apply was or will be written.
+    // Another version conflicts with this apply; nothing of it was or will be written.
     Conflict,
     // The store could not be reached; nothing was or will be written.
     Failed,
-    // A write was sent and its outcome could not be learnt: the version may be accepted, now or a
-    // little later. The same apply with the same change id tells.
+    // A write was sent and its outcome is unknown: it may still take effect. Repeating the apply
+    // with the same change id finds out.
     Unknown,
 };
 
-// What the apply asks for next. ReadNewestRow ends in onNewestVersion() or onReadFailed().
+// Actions that the caller carries out. ReadNewestRow ends in onNewestVersion() or onReadFailed().
 struct ReadNewestRow
 { };
 // Ends in onVersionRow() or onReadFailed().
@@ -37,8 +37,8 @@
 {
     ConfigVersion version = 0;
 };
-// One transaction: the row of the version, which must not exist yet, and the newest row, on its
-// tag (nothing: it must not exist either). Ends in onWriteOutcome().
+// Writes two rows in one transaction: the row of the version, which must not exist yet, and the
+// newest row, which must have this tag, or not exist if there is no tag. Ends in onWriteOutcome().
 struct WriteVersionRow
 {
     ConfigVersion version = 0;
@@ -46,20 +46,20 @@
 };
 using ApplyAction = std::variant<ReadNewestRow, ReadVersionRow, WriteVersionRow>;
 
-// One operator's attempt to make a document the version after the expected one. One action is under
-// way at a time. The change id stays the same over all its writes, so a write that takes effect
-// late is still recognised as this operator's.
+// State machine of one operator's attempt to make a document the version after the expected one.
+// At most one action is in flight. All writes carry the same change id, so a write that takes
+// effect late is still recognised as this operator's.
 class ConfigApply
 {
 public:
-    // Gives up after the patience, or once the action then under way has ended.
+    // Retries until the timeout; an action in flight by then is awaited.
     ConfigApply(ConfigVersion expected, std::string changeId, Duration timeout, std::uint64_t seed);
 
     std::optional<ApplyAction> start(Instant now);
-    // The newest row; version 0 and no tag when there is none.
+    // Takes the newest row; version 0 and no tag if there is none.
     std::optional<ApplyAction> onNewestVersion(Instant now, ConfigVersion version,
                                                const std::optional<std::string> &etag);
-    // The change id of the version's row, or nothing when there is no such row.
+    // Takes the change id of the version's row, or no value if there is no such row.
     std::optional<ApplyAction> onVersionRow(Instant now,
                                             const std::optional<std::string> &changeId);
     std::optional<ApplyAction> onReadFailed(Instant now);
@@ -68,7 +68,7 @@
 
     ApplyState state() const { return state_; }
     bool ended() const;
-    // The version that this apply makes.
+    // The version that this apply creates.
     ConfigVersion version() const { return expected_ + 1; }
     // Newest version seen in the store.
     ConfigVersion newest() const { return newest_; }
@@ -85,7 +85,7 @@
     std::mt19937_64 random_;
     ApplyState state_ = ApplyState::Reading;
     Instant deadline_;
-    // When the next step may be tried; nothing while an action is under way.
+    // When to retry; no value while an action is in flight.
     std::optional<Instant> retryAt_;
     int retries_ = 0;
     bool writeOutcomeUnknown_ = false;
--- a/src/decision/configpropagation.cpp
+++ b/src/decision/configpropagation.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-// A period varies by this share to either side, so that processes started together drift apart.
+// Share by which the poll period varies to either side, so that processes that started together do
+// not poll together.
 constexpr double jitterShare = 0.25;
 
-// While there is no version and no store, the snapshot is asked for again after this long.
+// Time between reads of the snapshot while there is no version and the store does not answer.
 constexpr Duration snapshotRetryInterval = std::chrono::seconds(1);
 
 } // namespace
@@ -55,7 +56,7 @@
 ConfigActions ConfigPropagation::onNewestVersion(Instant, ConfigVersion version)
 {
     pollInFlight_ = false;
-    // The store answers: whatever it holds is newer than the snapshot.
+    // The store answers and is never older than the snapshot.
     readSnapshotAt_.reset();
     newestInStore_ = std::max(newestInStore_, version);
     return fetch();
@@ -80,7 +81,7 @@
     pollInFlight_ = false;
     if (version_ == 0)
         readSnapshotAt_ = std::min(readSnapshotAt_.value_or(now), now);
-    // The next poll tells again whether the store has a newer version.
+    // The next poll reads the newest version again.
     newestInStore_ = version_;
     if (fetchSource_ && std::holds_alternative<FromStore>(*fetchSource_))
         fetchSource_.reset();
@@ -122,7 +123,8 @@
     actions.push_back(AnnounceConfig {version});
 }
 
-// A peer that gives less than it has announced is not asked again until its next notice.
+// Drops the announcement of a peer that returned an older version than it had announced, so the
+// peer is not asked again until its next notice.
 void ConfigPropagation::endFetch(ConfigVersion received)
 {
     const auto *from = fetchSource_ ? std::get_if<FromPeer>(&*fetchSource_) : nullptr;
@@ -132,7 +134,7 @@
     fetchSource_.reset();
 }
 
-// A peer spares the store the document; the store is the one source that always has it.
+// Prefers a peer, to keep load off the store, unless the store has a newer version.
 ConfigActions ConfigPropagation::fetch()
 {
     if (fetchSource_)
--- a/src/decision/configpropagation.h
+++ b/src/decision/configpropagation.h
@@ -14,44 +14,45 @@
 
 namespace kelptally::decision {
 
-// Actions of the spread of configuration.
+// Actions of the configuration's propagation, carried out by the caller.
 
-// Ask the store for the number of the newest version; a small read. Ends in onNewestVersion() or
+// Reads the number of the newest version from the store. Ends in onNewestVersion() or
 // onStoreFailed().
 struct ReadNewestConfigVersion
 { };
-// Read a version's document from the store. Ends in onDocument() or onStoreFailed().
+// Reads a version's document from the store. Ends in onDocument() or onStoreFailed().
 struct ReadConfigDocument
 {
     ConfigVersion version = 0;
 };
-// Ends in onDocument() or, when there is no snapshot to be had, in nothing.
+// Reads the snapshot from the object store. Ends in onDocument(), or in no event if there is none.
 struct ReadConfigSnapshot
 { };
-// Ends in onDocument() or onPeerFailed().
+// Requests a document of at least this version from a peer. Ends in onDocument() or onPeerFailed().
 struct FetchConfigFromPeer
 {
     std::string address;
     ConfigVersion atLeast = 0;
 };
-// Tell all peers.
+// Sends a notice of the version to all peers.
 struct AnnounceConfig
 {
     ConfigVersion version = 0;
 };
+// Puts the document in force in this process.
 struct InstallConfig
 {
     ConfigVersion version = 0;
     std::string document;
 };
-// Somebody holds another document under the version that is in force here. This must never happen;
-// the one in force stays.
+// Reports that another process has a different document for the version in force here, which
+// indicates a bug. The document in force stays.
 struct ReportConfigMismatch
 {
     ConfigVersion version = 0;
 };
-// Bring the snapshot up to this version if it is behind. The process that applied it does so at
-// once; a few others look after it, in case that one died while the object store was down.
+// Updates the snapshot to this version if it is older. The process that applied the version does so
+// at once; a few others check it later, in case that process failed before it could.
 struct UpdateConfigSnapshot
 {
     ConfigVersion version = 0;
@@ -61,9 +62,8 @@
                                   ReportConfigMismatch, UpdateConfigSnapshot>;
 using ConfigActions = std::vector<ConfigAction>;
 
-// Brings each accepted version to this process: notices of peers first, polling of the store as
-// the net below them. Never goes to a lower version. docs/design/configuration.md gives the
-// reasons.
+// Brings each accepted version to this process, by notices from peers and, in case these are lost,
+// by polling the store. The version in force never decreases. See docs/design/configuration.md.
 class ConfigPropagation
 {
 public:
@@ -71,36 +71,35 @@
 
     ConfigActions start(Instant now);
     ConfigActions onTick(Instant now);
-    // A peer says that it has this version.
+    // A peer announced that it has this version.
     ConfigActions onNotice(Instant now, const std::string &peer, ConfigVersion version);
-    // The store's newest version; 0 when it has none.
+    // Takes the store's newest version; 0 if it has none.
     ConfigActions onNewestVersion(Instant now, ConfigVersion version);
-    // A whole document, from the store, the snapshot or a peer.
+    // Takes a complete document from the store, the snapshot or a peer.
     ConfigActions onDocument(Instant now, ConfigVersion version, const std::string &document);
     ConfigActions onStoreFailed(Instant now);
     ConfigActions onPeerFailed(Instant now, const std::string &peer);
 
-    // How many processes poll the store; they share its budget for this.
+    // Sets the number of processes that poll the store and share the poll budget.
     void setProcessCount(std::size_t count);
 
     ConfigVersion version() const { return version_; }
     Duration pollPeriod() const;
 
     static constexpr Duration tickPeriod = std::chrono::milliseconds(200);
-    // At today's sizes every process polls this often. With the jitter of a quarter and the tick,
-    // a version is seen within 2.7 s even if every notice is lost.
+    // Poll period while all processes together stay within the poll budget.
     static constexpr Duration minPollPeriod = std::chrono::seconds(2);
-    // Polls of all processes together, per second: a tenth of the table service's two thousand.
+    // Poll budget of all processes together.
     static constexpr int pollsPerSecond = 200;
-    // A process that has no version asks for the snapshot when the store is silent for this long.
+    // A process without a version reads the snapshot if the store has not answered for this long.
     static constexpr Duration snapshotDelay = std::chrono::milliseconds(500);
-    // So many processes, on average, look after the snapshot of a version, each at some time up to
-    // the latest one after it is in force.
+    // Average number of processes that check the snapshot of a version, each after a random delay
+    // up to the maximum.
     static constexpr double snapshotUpdaters = 3;
     static constexpr Duration maxSnapshotUpdateDelay = std::chrono::seconds(5);
 
 private:
-    // Where the document that is being fetched should come from.
+    // Source of the fetch in flight.
     struct FromPeer
     {
         std::string address;
@@ -118,14 +117,14 @@
 
     std::mt19937_64 random_;
     ConfigVersion version_ = 0;
-    // Of the document in force.
+    // Digest of the document in force.
     Sha256Digest digest_ {};
     std::size_t processCount_ = 1;
     Instant nextPoll_;
     bool pollInFlight_ = false;
     std::optional<Instant> readSnapshotAt_;
     std::optional<Instant> updateSnapshotAt_;
-    // Versions that peers have announced and that are newer than ours.
+    // Versions announced by peers that are newer than the one in force, by peer address.
     std::map<std::string, ConfigVersion> announced_;
     ConfigVersion newestInStore_ = 0;
     std::optional<Source> fetchSource_;
--- a/src/decision/cutoffpolicy.h
+++ b/src/decision/cutoffpolicy.h
@@ -7,47 +7,48 @@
 
 namespace kelptally::decision {
 
-// What an owner does about servers that it does not hear.
+// What an owner does when it may have lost contact with a majority of its servers.
 enum class CutOffStep {
-    // A majority is heard, or was a moment ago.
+    // A majority responds, or did so recently.
     Serve,
-    // A hand-over is under way already.
+    // A hand-over is already in progress.
     HandingOver,
-    // The group was given away from here lately.
+    // This process handed the group over recently.
     Cooldown,
-    // Too few are heard; the row is to be read before anything else.
+    // No majority responds; the ownership row must be read before a hand-over.
     ReadRow,
-    // The row was read, and lists nobody who could take the group.
+    // The row was read and lists no successor.
     NoSuccessor,
     StartHandOver,
 };
 
-// For logs.
+// Returns the name of the step for logs.
 const char *cutOffStepName(CutOffStep step);
 
-// What the step depends on.
+// Inputs of the decision.
 struct CutOffView
 {
-    // Too few servers for a majority have been heard for a while.
+    // Fewer servers than a majority have responded for a while.
     bool isCutOff = false;
     bool handOverInProgress = false;
-    // The table service has just told the row, so that it answers and the row is what it is.
+    // The row was just read from the table service, so the service is reachable and the row
+    // current.
     bool rowIsFresh = false;
     std::size_t successors = 0;
 };
 
-// When an owner that hears too few of its servers gives the group to a successor, which another
-// availability zone may let hear them. The fault it answers: a partition that leaves the owner
-// alive and without a majority stopped the group for as long as it lasted.
+// Decides when an owner without a majority of its servers hands the group to a successor, which may
+// reach them from another availability zone. Without this, a partition between an owner and its
+// servers would stop the group for as long as it lasts.
 class CutOffPolicy
 {
 public:
     CutOffStep next(Instant now, const CutOffView &view) const;
-    // The group is being given away for this reason.
+    // A hand-over was started because of StartHandOver.
     void onHandOverStarted(Instant now);
 
-    // If the servers are really gone, the next owner hears as little, and the pause keeps the group
-    // from going round.
+    // Minimum time between hand-overs by this process: if the servers have failed, no successor
+    // reaches them either, and the group would keep changing owners.
     static constexpr Duration handOverCooldown = std::chrono::seconds(30);
 
 private:
--- a/src/decision/linkwatch.cpp
+++ b/src/decision/linkwatch.cpp
@@ -8,10 +8,10 @@
 
 // A link without a message for this long is idle.
 constexpr Duration idleAfter = std::chrono::seconds(3);
-// Silence after which a link is pinged, once for each such span.
+// Silence after which a link is pinged, and the time between further pings.
 constexpr Duration activePingInterval = std::chrono::milliseconds(400);
 constexpr Duration idlePingInterval = std::chrono::seconds(2);
-// An idle link is given up after so many times the silence of one in use: three pings.
+// Multiplies the silence timeout of an idle link, so that several pings fit in it.
 constexpr int idleTimeoutFactor = 4;
 
 } // namespace
@@ -20,7 +20,7 @@
     : checkPeriod_(checkPeriod), silenceTimeout_(silenceTimeout)
 { }
 
-// What an idle link owes was asked for long ago: its silence counts anew from now.
+// Restarts the silence timeout of an idle link, as its last ping may be old.
 void LinkWatch::onMessage()
 {
     if (idleChecks_ * checkPeriod_ >= idleAfter)
--- a/src/decision/membership.cpp
+++ b/src/decision/membership.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Finalizer of SplitMix64 (Steele, Lea and Flood 2014): spreads a difference in any bit over all.
+// Finalizer of SplitMix64 (Steele, Lea and Flood 2014): each input bit affects every output bit.
 std::uint64_t mix(std::uint64_t value)
 {
     value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -81,7 +81,7 @@
 void Membership::onPeerDown(Instant, const ProcessId &process)
 {
     HostRecord *record = find(process.address);
-    // The end of an older run's link says nothing of the newer run.
+    // A link of an older incarnation may close after the newer one has connected.
     if (record && process.incarnation >= record->member.process.incarnation)
         record->member.reachable = false;
 }
@@ -105,8 +105,8 @@
 std::vector<ProcessId> Membership::takeDeadProcesses(Instant now)
 {
     for (HostRecord &record : records_) {
-        // A host that was never listed may be too new for the list, and one that answers is alive
-        // whatever the list says.
+        // A host that was never listed may be too new for the list, and a reachable process is
+        // alive even if the list omits it.
         const bool gone = record.everListed && record.absentSince
             && now - *record.absentSince >= absenceTimeout && !record.member.reachable;
         if (gone && !record.reportedDead && record.member.process.incarnation != 0) {
@@ -124,7 +124,7 @@
     return a.record->member.process.address < b.record->member.process.address;
 }
 
-// Processes that may take work, in no order.
+// Returns the processes that may own groups, unordered.
 std::vector<Membership::WeightedHost> Membership::weightedHosts(const GroupName &group,
                                                                 bool onlyReachable) const
 {
@@ -137,7 +137,7 @@
     return weightedHosts;
 }
 
-// Processes that may take work, best first for this group.
+// Returns the reachable processes that may own the group, best first.
 std::vector<const Membership::HostRecord *> Membership::rankedHosts(const GroupName &group) const
 {
     std::vector<WeightedHost> reachable = weightedHosts(group, true);
@@ -182,7 +182,6 @@
         if (record.member.process.address == owner.address)
             ownerZone = record.member.zone;
     }
-    // The best of each other zone, then what is left there, then the owner's own zone.
     std::vector<ProcessId> bestPerZone;
     std::vector<ProcessId> otherZones;
     std::vector<ProcessId> ownerZoneProcesses;
--- a/src/decision/membership.h
+++ b/src/decision/membership.h
@@ -11,7 +11,7 @@
 
 namespace kelptally::decision {
 
-// One owner process as this process sees it.
+// State of one host's owner process as seen by this process.
 struct Member
 {
     ProcessId process;
@@ -21,41 +21,42 @@
     bool leaving = false;
 };
 
-// Stable number of a name: the same in every process and build.
+// Hash of a name that is the same in every process and build.
 std::uint64_t stableHash(const std::string &name);
 
-// Which owner processes there are, from the configuration's hosts, the platform's lagging list and
-// the links, and which of them should own or succeed a group.
+// Tracks the owner processes from the configuration's hosts, the platform's host list and the links
+// between processes, and ranks them as owners and successors of each group. The host list lags.
 class Membership
 {
 public:
-    // Absence from the platform's list counts only after this long: the list lags.
+    // A host absent from the platform's list for this long counts as gone.
     static constexpr Duration absenceTimeout = std::chrono::seconds(30);
 
-    // Hosts of the configuration; each has one owner process. What is known of those that stay is
-    // kept.
+    // Sets the hosts of the configuration, each with one owner process. Keeps the state of hosts
+    // that are still configured.
     void setHosts(const std::vector<settings::Host> &hosts);
-    // A process was heard; the process that asks counts itself as heard.
+    // A link to the process is up. The caller also reports its own process here.
     void onPeerUp(Instant now, const ProcessId &process);
     void onPeerDown(Instant now, const ProcessId &process);
-    // The platform's list as just fetched: hosts that are live or leaving by name.
+    // Takes the names of live and leaving hosts from the platform's list as just fetched.
     void onHostList(Instant now, const std::vector<HostName> &live,
                     const std::vector<HostName> &leaving);
 
-    // Processes proven dead since the last call: a newer incarnation was heard at their address,
-    // or their host is gone from the list.
+    // Returns the processes proven dead since the last call: a newer incarnation runs at their
+    // address, or their host has been absent from the list for the timeout.
     std::vector<ProcessId> takeDeadProcesses(Instant now);
 
-    // Best owner for a group without one: rendezvous hashing over reachable processes, those in
-    // another zone than the primary first.
+    // Returns the best owner for a group without one, by rendezvous hashing over the reachable
+    // processes. Prefers processes in other zones than the primary's.
     std::optional<ProcessId> preferredOwner(const GroupName &group,
                                             const ZoneName &primaryZone) const;
-    // Fit successors, best first: one of each other zone than the owner's, then the rest of those,
-    // then the owner's own zone; within each by hash.
+    // Returns the eligible successors, best first: one process from each zone other than the
+    // owner's, then the remaining processes of those zones, then those of the owner's zone. Each
+    // part is ordered by hash.
     std::vector<ProcessId> successorChoice(const GroupName &group, const ProcessId &owner) const;
 
-    // Addresses of the first hosts for a group by the same hash, whether reachable or not: the
-    // processes that keep links to each other for it. Leaving hosts are left out.
+    // Returns the addresses of the first processes for a group by the same hash, reachable or not.
+    // These processes keep links to each other for the group. Leaving hosts are excluded.
     std::vector<std::string> candidates(const GroupName &group, std::size_t count) const;
 
     std::vector<Member> members() const;
@@ -65,7 +66,7 @@
     {
         Member member;
         std::uint64_t hash = 0;
-        // The host as the platform lists it.
+        // State of the host on the platform's list.
         bool everListed = false;
         std::optional<Instant> absentSince;
         bool reportedDead = false;
--- a/src/decision/ownersearch.cpp
+++ b/src/decision/ownersearch.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// A lost owner is noticed after 450 ms and followed 100 to 200 ms later, where the store answers.
+// Longer than the detection of a lost owner and the takeover by its successor together.
 constexpr Duration takeoverWait = std::chrono::milliseconds(900);
-// Of a statement that arrives later: three attempts of a caller take under a second of the shortest
-// deadline in use, 1,500 ms, and meet up to three hosts.
+// Wait of a statement once the takeover wait is over. Three attempts of a caller fit in a deadline
+// of 1,500 ms.
 constexpr Duration shortWait = std::chrono::milliseconds(300);
-// Without a statement for this long nothing is known of the search any more.
+// A search without waiting statements for this long is over; the next statement starts a new one.
 constexpr Duration searchIdleTimeout = std::chrono::seconds(2);
 
 } // namespace
--- a/src/decision/ownersearch.h
+++ b/src/decision/ownersearch.h
@@ -4,21 +4,19 @@
 
 namespace kelptally::decision {
 
-// How long statements wait at an entry for an owner of their group that can be reached.
-//
-// The load it answers: hosts cut in two halves, where one half has neither the owner nor the store.
-// A takeover by a host that reaches the store is over within a second, so statements wait for it
-// that long. A longer search means that this host will hardly find one, while the caller's repeat
-// through another host may: then each waits a moment only, and is refused with enough time left.
+// Limits how long statements wait at an entry for a reachable owner of their group. At first they
+// wait for as long as a takeover takes. If no owner is found by then, this host may be partitioned
+// from all owners, so each statement waits only briefly and leaves the caller time to retry through
+// another host.
 class OwnerSearch
 {
 public:
-    // A statement waits: nobody that can be reached acts for the group.
+    // A statement waits because no reachable process owns the group.
     void onStatementWaiting(Instant now);
-    // An owner has answered.
+    // An owner answered; ends the search.
     void onOwnerAnswered() { searching_ = false; }
 
-    // When a statement that arrived then is refused, unless its deadline comes first.
+    // Returns when a statement with this arrival time is refused, unless its deadline is earlier.
     Instant giveUpAt(Instant arrived) const;
 
 private:
--- a/src/decision/replicationwatch.cpp
+++ b/src/decision/replicationwatch.cpp
@@ -18,7 +18,7 @@
     replicas_[replica] = Replica {received, now};
     if (!pending_)
         return;
-    // Slow replication is no stall.
+    // Replication that still advances is slow, not stalled.
     if (advanced)
         pending_->since = now;
     const auto reached = std::count_if(replicas_.begin(), replicas_.end(), [&](const auto &entry) {
--- a/src/decision/replicationwatch.h
+++ b/src/decision/replicationwatch.h
@@ -9,31 +9,31 @@
 
 namespace kelptally::decision {
 
-// Whether the primary's log still reaches the replicas, from the positions that all servers report.
-// A primary that answers its owner but is cut off from its group would otherwise take writes
-// forever that nobody can confirm.
+// Detects a primary whose log no longer reaches its replicas, from the positions that all servers
+// report. Such a primary still answers its owner, but its writes can't be confirmed.
 class ReplicationWatch
 {
 public:
     void onPrimaryPosition(Instant now, Position received);
-    // The majority counts the primary too.
+    // The majority is a number of servers, the primary included.
     void onReplicaPosition(Instant now, const ServerName &replica, Position received,
                            std::size_t majority);
 
-    // Records have waited for the limit, and a majority of replicas alone, each heard lately, has
-    // received nothing meanwhile: so they can go on without this primary.
+    // Whether records have been pending for the stall timeout without any replica advancing, while
+    // a majority made of replicas alone has reported recently and so could continue without this
+    // primary.
     bool isStalled(Instant now, std::size_t majority) const;
 
-    // Another primary is chosen because of a stall: the next stall must last twice as long, until a
-    // majority was reached again, so that slow replication does not turn the primary over and over.
+    // A failover begins because of a stall. Doubles the stall timeout until a majority is reached
+    // again, so that slow replication does not cause repeated failovers.
     void onStallFailover();
-    // Another primary begins.
+    // Discards all positions when the primary changes.
     void reset();
 
-    // Chosen, not measured: far above the round trips of a site, and what a caller can bear.
+    // Bounds of the stall timeout.
     static constexpr Duration minStallTimeout = std::chrono::milliseconds(1000);
     static constexpr Duration maxStallTimeout = std::chrono::seconds(32);
-    // A replica that was heard this lately counts as one that could take over.
+    // A replica whose last report is older than this can't take over.
     static constexpr Duration maxReportAge = std::chrono::milliseconds(250);
 
 private:
@@ -42,7 +42,8 @@
         Position received;
         Instant reportedAt;
     };
-    // The primary's position that the replicas are awaited at, and since when.
+    // A position of the primary that a majority has not reached yet. The time restarts whenever a
+    // replica advances.
     struct PendingPosition
     {
         Position position;
--- a/src/decision/storehealth.cpp
+++ b/src/decision/storehealth.cpp
@@ -7,32 +7,31 @@
 
 namespace {
 
-// A read on a connection that went silent is sent again after 500 ms; 300 more for that answer.
+// The minimum leaves time for a read to be resent on another connection after 500 ms.
 constexpr Duration minCallTimeout = std::chrono::milliseconds(800);
 constexpr Duration maxCallTimeout = std::chrono::milliseconds(3000);
-// Of calls that look for the return: with 800 ms and more, 197 of 295 hosts heard the service again
-// 1.4 to 1.8 s after its return. Each is a call, so they become fewer the longer it lasts.
+// The timeout of a trial call grows with the length of the outage, so that a long outage causes
+// fewer trial calls.
 constexpr Duration minTrialTimeout = std::chrono::milliseconds(250);
 constexpr int trialTimeoutDivisor = 10;
-// Of the slowest recent answer.
+// Timeout of a call as a multiple of the peak latency.
 constexpr int callTimeoutFactor = 3;
 constexpr int peakDecayDivisor = 16;
-// A silent service is looked for by opening a connection, which is no call. So often for as long as
-// owners act on what they know (12 s), then more and more rarely: 1,300 hosts would else open 8,700
-// connections a second for as long as it lasts.
+// A silent service is probed by opening a connection. The delay grows with the length of the
+// outage, to limit the connections that many hosts open together.
 constexpr Duration minProbeDelay = std::chrono::milliseconds(150);
 constexpr Duration maxProbeDelay = std::chrono::seconds(1);
 constexpr int probeDelayDivisor = 80;
-// Attempts that are refused are calls, so they become rare sooner.
+// A refusing service is tried with calls, so their delay doubles with each refusal.
 constexpr Duration minAttemptDelay = std::chrono::milliseconds(100);
 constexpr Duration maxAttemptDelay = std::chrono::milliseconds(800);
 constexpr int maxDoublings = 3;
-// Hosts that are refused again so soon share a limit: their attempts go on becoming rare, though
-// some calls are answered in between.
+// A refusal this long after the previous one restarts the backoff. Sooner, the backoff continues
+// even if calls were answered in between, as hosts that share a limit may still exceed it.
 constexpr Duration backoffResetAfter = std::chrono::seconds(2);
-// With so many answered in a row no limit is in sight.
+// The limit on calls in flight is removed when it reaches this number.
 constexpr std::size_t openCallsUnlimitedAt = 64;
-// Attempts are spread over this part of their pause, around it.
+// Width of the jitter as a share of the delay, centred on the delay.
 constexpr double jitterShare = 0.5;
 
 } // namespace
--- a/src/decision/storehealth.h
+++ b/src/decision/storehealth.h
@@ -9,49 +9,41 @@
 
 enum class StoreState {
     Answering,
-    // Calls stay without an answer, or no connection can be opened.
+    // Calls time out, or no connection can be opened.
     Silent,
-    // Calls are refused or their connections reset, at once: the service may serve others.
+    // Calls are refused or their connections reset without delay; other hosts may still be served.
     Refusing,
 };
 
 const char *storeStateName(StoreState state);
 
-// What a process believes of the table service, learnt from any of its calls, and how it looks for
-// the service's return.
-//
-// The fault it answers: each call found out by itself. After 3.5 s of silence some readers asked
-// again 2.4 to 7.2 s late, as each waited out its own timeout on a connection that would never
-// answer, and a primary lost meanwhile was replaced 4.5 s after the service was back.
+// Circuit breaker of a process for the table service: combines the results of all its calls, so
+// that each call need not wait out its own timeout, and paces the attempts to reach a lost service.
 class StoreHealth
 {
 public:
-    // Each returns whether the state has changed.
+    // Each of these four returns whether the state has changed.
     bool onAnswer(Duration took);
     bool onTimeout(Instant now);
     bool onRefusal(Instant now);
-    // A connection ended without the answer: the service may be as able as before.
+    // A connection ended before the answer came. The service need not be overloaded.
     bool onConnectionLost(Instant now);
     StoreState state() const { return state_; }
-    // When the service was lost; meaningless while it answers.
+    // When the service was lost; valid only while it is not answering.
     Instant unavailableSince() const { return unavailableSince_; }
 
-    // A call that waits longer than this for its answer, beyond the time for which it asked to be
-    // held back, means silence. Grows with the answers of a slow service.
+    // Timeout of a call, in addition to the time that the call asked the service to hold it. Grows
+    // with the latency of the service.
     Duration callTimeout() const;
-    // The same for a call that looks for the service's return. Short: a service may accept calls
-    // and never answer those, so each has to be followed by another; late answers count all the
-    // same.
+    // Timeout of a trial call to a lost service. Short, as a recovering service may accept calls
+    // that it never answers; a late answer still counts.
     Duration trialTimeout(Instant now) const;
-    // Calls that may be open at once, held ones aside. Few at the start and after the service has
-    // turned this host away, and with each answer one more, which doubles them in each round trip.
-    //
-    // The load it answers: hundreds of hosts ask at once for more than the service allows. Each
-    // sent all that waited with the first answer, and most of it was refused again, for as long as
-    // anything waited.
+    // Maximum number of calls in flight, held calls excluded. Low at the start and after a refusal,
+    // and raised by one with each answer (slow start), so that many hosts do not exceed the limit
+    // of a recovering service together.
     std::size_t maxOpenCalls() const;
-    // From one attempt to reach the service to the next while it does not answer. The draw, from 0
-    // to 1, spreads the attempts of many hosts.
+    // Delay between attempts to reach a lost service. The draw is a random number from 0 to 1 for
+    // the jitter, which spreads the attempts of many hosts.
     Duration retryDelay(Instant now, double draw) const;
 
 private:
@@ -61,11 +53,11 @@
 
     StoreState state_ = StoreState::Answering;
     Instant unavailableSince_ {};
-    // Falls slowly towards the answers of now.
+    // Maximum latency of recent answers; decays with each faster answer.
     Duration peakLatency_ {0};
     int refusals_ = 0;
     std::optional<Instant> refusedAt_;
-    // Nothing: all that wait. A process that has just begun knows nothing of the limit.
+    // No value means unlimited.
     std::optional<std::size_t> maxOpenCalls_ = initialOpenCalls;
 };
 
--- a/tests/decision/configapply_test.cpp
+++ b/tests/decision/configapply_test.cpp
@@ -20,7 +20,7 @@
     return action && std::holds_alternative<T>(*action);
 }
 
-// An apply of version 4 whose newest row has been read, about to write.
+// Returns an apply of version 4 that has read the newest row and is about to write.
 ConfigApply readyToWrite()
 {
     ConfigApply apply(3, "mine", 10s, 1);
@@ -32,7 +32,7 @@
     return apply;
 }
 
-// The store's two kinds of rows, with writes that may take effect late or never.
+// Store with the version rows and the newest row, whose writes may take effect late or never.
 class FakeStore
 {
 public:
@@ -59,11 +59,11 @@
         return true;
     }
 
-    // Writes that were sent, whose outcome nobody waits for any more.
+    // Writes that were sent and have not taken effect yet; their outcome was reported as unknown.
     std::deque<Write> delayedWrites;
 };
 
-// What the store does with one call.
+// Outcome of one call to the store.
 enum class CallOutcome {
     Succeeds,
     Fails,
@@ -71,7 +71,7 @@
     AppliesLater,
 };
 
-// One operator's apply against the store.
+// Runs one operator's apply against the store.
 struct Operator
 {
     Operator(const std::string &id, std::uint64_t seed) : changeId(id), apply(0, id, 3s, seed) { }
@@ -128,7 +128,7 @@
 
 } // namespace
 
-TEST_CASE("an apply that the store takes is accepted")
+TEST_CASE("an apply whose write succeeds is accepted")
 {
     ConfigApply apply = readyToWrite();
     CHECK_FALSE(apply.onWriteOutcome(begin, WriteOutcome::Done));
@@ -137,7 +137,7 @@
     CHECK(apply.newest() == 4);
 }
 
-TEST_CASE("the first version is written where there is no row")
+TEST_CASE("the first version is written on condition that there is no newest row")
 {
     ConfigApply apply(0, "mine", 10s, 1);
     apply.start(begin);
@@ -146,7 +146,7 @@
     CHECK_FALSE(std::get<WriteVersionRow>(*action).newestEtag);
 }
 
-TEST_CASE("a lost answer is settled by reading back")
+TEST_CASE("an unknown write outcome is resolved by reading back")
 {
     ConfigApply apply = readyToWrite();
     CHECK(is<ReadVersionRow>(apply.onWriteOutcome(begin, WriteOutcome::Unknown)));
@@ -155,12 +155,12 @@
         apply.onVersionRow(begin, "mine");
         CHECK(apply.state() == ApplyState::Accepted);
     }
-    SECTION("another operator was first")
+    SECTION("another operator wrote the version")
     {
         apply.onVersionRow(begin, "theirs");
         CHECK(apply.state() == ApplyState::Conflict);
     }
-    SECTION("it has not taken effect: the same write is tried again, and the late one is found")
+    SECTION("the write takes effect late and is found when it is retried")
     {
         CHECK_FALSE(apply.onVersionRow(begin, std::nullopt));
         CHECK_FALSE(apply.onTick(begin + 1ms));
@@ -170,7 +170,7 @@
         apply.onVersionRow(begin + 200ms, "mine");
         CHECK(apply.state() == ApplyState::Accepted);
     }
-    SECTION("the store stays down: the outcome is unknown and said so")
+    SECTION("the store stays unreachable: the outcome is reported as unknown")
     {
         Instant now = begin;
         CHECK_FALSE(apply.onReadFailed(now));
@@ -184,7 +184,7 @@
     }
 }
 
-TEST_CASE("an apply with a version that is not the newest is a conflict")
+TEST_CASE("an apply whose expected version is not the newest is a conflict")
 {
     ConfigApply apply(3, "mine", 10s, 1);
     apply.start(begin);
@@ -202,7 +202,7 @@
     CHECK(apply.state() == ApplyState::Conflict);
 }
 
-TEST_CASE("an apply that is repeated with its change id finds its own version")
+TEST_CASE("a repeated apply finds its own version by the change id")
 {
     ConfigApply apply(3, "mine", 10s, 1);
     apply.start(begin);
@@ -212,7 +212,7 @@
     CHECK(apply.newest() == 7);
 }
 
-TEST_CASE("a store that is down from the start fails the apply, with nothing written")
+TEST_CASE("an apply fails without a write if the store is unreachable from the start")
 {
     ConfigApply apply(3, "mine", 2s, 1);
     apply.start(begin);
@@ -232,7 +232,8 @@
     CHECK(tries < 20);
 }
 
-TEST_CASE("of racing operators at most one wins, and each is told the truth")
+TEST_CASE(
+    "at most one of several concurrent applies is accepted, and each reports its true outcome")
 {
     const bool holds = rc::check([] {
         FakeStore store;
@@ -256,7 +257,7 @@
                 store.delayedWrites.pop_front();
             }
         }
-        // The store answers from now on, and whatever was under way lands at the end.
+        // The store answers from now on; writes still delayed are applied at the end.
         for (int i = 0; i < 400; ++i) {
             now += 70ms;
             for (Operator &one : operators)
--- a/tests/decision/configpropagation_test.cpp
+++ b/tests/decision/configpropagation_test.cpp
@@ -30,7 +30,7 @@
     return false;
 }
 
-// A process that has version 3 in force.
+// Returns a process that has version 3 in force.
 ConfigPropagation atVersionThree()
 {
     ConfigPropagation propagation(1);
@@ -45,7 +45,7 @@
     return "document " + std::to_string(version);
 }
 
-// Many processes with links among them, one store, and a manual clock.
+// Simulates many linked processes and one store on a manual clock.
 class Installation
 {
 public:
@@ -53,7 +53,7 @@
     {
         std::size_t processes = 16;
         std::size_t linksPerProcess = 4;
-        // Share of notices that are lost.
+        // Probability that a notice is lost.
         double noticeLoss = 0;
     };
 
@@ -77,7 +77,7 @@
         installTimes_.clear();
     }
 
-    // The process through which an operator applied it.
+    // Applies the newest version through this process.
     void applyAt(std::size_t i)
     {
         execute(i,
@@ -192,13 +192,13 @@
     std::vector<std::unique_ptr<Process>> processes_;
     ConfigVersion newest_ = 0;
     Instant acceptedAt_;
-    // Times from acceptance, in order.
+    // Time from acceptance to installation on each process, ascending.
     std::vector<Duration> installTimes_;
 };
 
 } // namespace
 
-TEST_CASE("a start reads the newest version and its document")
+TEST_CASE("a starting process reads the newest version and its document")
 {
     ConfigPropagation propagation(1);
     CHECK(onlyAction<ReadNewestConfigVersion>(propagation.start(begin)));
@@ -213,7 +213,7 @@
     CHECK(propagation.version() == 3);
 }
 
-TEST_CASE("a store without any version is asked again and nothing else happens")
+TEST_CASE("an empty store is polled again")
 {
     ConfigPropagation propagation(1);
     propagation.start(begin);
@@ -223,25 +223,25 @@
     CHECK(propagation.version() == 0);
 }
 
-TEST_CASE("a start while the store is silent or down takes the highest of snapshot and peers")
+TEST_CASE("a process that starts without the store uses the snapshot and newer versions of peers")
 {
     ConfigPropagation propagation(1);
     propagation.start(begin);
     CHECK(propagation.onTick(begin + 200ms).empty());
     CHECK(onlyAction<ReadConfigSnapshot>(propagation.onTick(begin + 600ms)));
     CHECK(contains<InstallConfig>(propagation.onDocument(begin + 601ms, 4, "four")));
-    // A peer knows a newer one.
+    // A peer announces a newer version.
     const auto asked = propagation.onNotice(begin + 700ms, "p", 6);
     REQUIRE(onlyAction<FetchConfigFromPeer>(asked));
     CHECK(onlyAction<FetchConfigFromPeer>(asked)->address == "p");
     CHECK(onlyAction<FetchConfigFromPeer>(asked)->atLeast == 6);
     CHECK(contains<InstallConfig>(propagation.onDocument(begin + 701ms, 6, "six")));
-    // The snapshot comes again, late.
+    // A late snapshot is ignored.
     CHECK(propagation.onDocument(begin + 800ms, 4, "four").empty());
     CHECK(propagation.version() == 6);
 }
 
-TEST_CASE("the snapshot is asked for at once when the store fails, and again while there is none")
+TEST_CASE("the snapshot is read at once when the store fails, and again until a version is found")
 {
     ConfigPropagation propagation(1);
     propagation.start(begin);
@@ -251,7 +251,7 @@
     CHECK(onlyAction<ReadConfigSnapshot>(propagation.onTick(begin + 1100ms)));
 }
 
-TEST_CASE("a version is never replaced by a lower one, from whatever source")
+TEST_CASE("a version is never replaced by a lower one from any source")
 {
     ConfigPropagation propagation = atVersionThree();
     CHECK(propagation.onNotice(begin, "p", 2).empty());
@@ -261,7 +261,7 @@
     CHECK(propagation.version() == 3);
 }
 
-TEST_CASE("the same version with another document is reported and not taken")
+TEST_CASE("a different document for the version in force is reported and not installed")
 {
     ConfigPropagation propagation = atVersionThree();
     CHECK(propagation.onDocument(begin, 3, "three").empty());
@@ -270,7 +270,7 @@
     CHECK(onlyAction<ReportConfigMismatch>(actions)->version == 3);
 }
 
-TEST_CASE("one document is fetched at a time, from the next source when one fails")
+TEST_CASE("one document is fetched at a time, and the next source is used when one fails")
 {
     ConfigPropagation propagation = atVersionThree();
     CHECK(onlyAction<FetchConfigFromPeer>(propagation.onNotice(begin, "p", 4)));
@@ -281,7 +281,7 @@
     CHECK(onlyAction<FetchConfigFromPeer>(second)->address == "q");
     CHECK(onlyAction<ReadConfigDocument>(propagation.onPeerFailed(begin, "q")));
     CHECK(propagation.onStoreFailed(begin).empty());
-    // The next poll finds it again. By then the snapshot of version 3 is due for a look, too.
+    // The next poll finds it again. By then the check of the snapshot of version 3 is due, too.
     const auto due = propagation.onTick(begin + 6s);
     CHECK(due.size() == 2);
     CHECK(contains<ReadNewestConfigVersion>(due));
@@ -289,7 +289,7 @@
     CHECK(onlyAction<ReadConfigDocument>(propagation.onNewestVersion(begin + 6s, 4)));
 }
 
-TEST_CASE("a peer that gives less than it announced is not asked again for it")
+TEST_CASE("a peer that returns an older version than announced is not asked again")
 {
     ConfigPropagation propagation = atVersionThree();
     REQUIRE(onlyAction<FetchConfigFromPeer>(propagation.onNotice(begin, "p", 9)));
@@ -300,7 +300,7 @@
     CHECK_FALSE(contains<FetchConfigFromPeer>(actions));
 }
 
-TEST_CASE("a still newer version announced during a fetch is fetched after it")
+TEST_CASE("a newer version announced during a fetch is fetched next")
 {
     ConfigPropagation propagation = atVersionThree();
     REQUIRE(onlyAction<FetchConfigFromPeer>(propagation.onNotice(begin, "p", 4)));
@@ -310,7 +310,7 @@
     CHECK(contains<FetchConfigFromPeer>(actions));
 }
 
-TEST_CASE("polls stay within the table service's budget")
+TEST_CASE("the poll period grows with the number of processes to keep to the poll budget")
 {
     ConfigPropagation propagation(1);
     propagation.setProcessCount(16);
@@ -319,7 +319,7 @@
     CHECK(propagation.pollPeriod() == 13s);
 }
 
-TEST_CASE("a poll that has not ended is not repeated")
+TEST_CASE("no poll is sent while another is in flight")
 {
     ConfigPropagation propagation(1);
     propagation.start(begin);
@@ -327,7 +327,7 @@
         CHECK_FALSE(contains<ReadNewestConfigVersion>(propagation.onTick(begin + time)));
 }
 
-TEST_CASE("a few processes look after the snapshot, of whatever size the installation is")
+TEST_CASE("a few processes update the snapshot, whatever the number of processes")
 {
     Installation small({2, 2, 0});
     Installation large({300, 6, 0});
@@ -342,7 +342,7 @@
     CHECK(large.snapshotUpdates <= 10);
 }
 
-TEST_CASE("with every notice lost a version is in force everywhere within three seconds")
+TEST_CASE("polling alone puts a version in force everywhere within three seconds")
 {
     Installation installation({16, 4, 1.0});
     installation.run(5s);
@@ -353,7 +353,7 @@
     }
 }
 
-TEST_CASE("notices bring a version to a large installation within three seconds")
+TEST_CASE("notices put a version in force on 300 processes within three seconds")
 {
     Installation installation({300, 6, 0.1});
     installation.run(10s);
@@ -365,7 +365,7 @@
 }
 
 // Prints the figures of docs/design/configuration.md.
-TEST_CASE("the time until a version is in force, by size and loss", "[.measure]")
+TEST_CASE("time until a version is in force, by number of processes and notice loss", "[.measure]")
 {
     std::cout
         << "processes links loss polls/s in-force median-ms slowest-ms documents-from-store\n";
--- a/tests/decision/cutoffpolicy_test.cpp
+++ b/tests/decision/cutoffpolicy_test.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("Each condition of giving a group away names itself")
+TEST_CASE("Each condition that prevents a hand-over has its own step")
 {
     CutOffPolicy cutOff;
     CutOffView view = cutOffWithSuccessor();
@@ -38,7 +38,7 @@
     CHECK(cutOff.next(start, view) == CutOffStep::Serve);
 }
 
-TEST_CASE("A group is given away again once the pause is over, and not before")
+TEST_CASE("A group is handed over again only after the cooldown")
 {
     CutOffPolicy cutOff;
     const CutOffView view = cutOffWithSuccessor();
@@ -47,7 +47,7 @@
     CHECK(cutOff.next(start + CutOffPolicy::handOverCooldown, view) == CutOffStep::StartHandOver);
 }
 
-TEST_CASE("Two processes that hear no majority pass a group on four times a minute at most")
+TEST_CASE("Two processes without a majority hand a group over at most four times a minute")
 {
     // Each new owner counts as cut off after two seconds.
     constexpr Duration untilCutOff = 2s;
--- a/tests/decision/linkwatch_test.cpp
+++ b/tests/decision/linkwatch_test.cpp
@@ -11,7 +11,7 @@
 constexpr Duration period = 200ms;
 constexpr Duration timeout = 1800ms;
 
-// Two ends of one link that looks at each other by turns.
+// Both ends of one link, checked in turn.
 struct LinkEnds
 {
     LinkWatch local {period, timeout};
@@ -54,8 +54,7 @@
 
 } // namespace
 
-// 164 hosts of a zone had 30 links each: 400 pings and answers a second for nothing.
-TEST_CASE("An idle link is pinged rarely and stays")
+TEST_CASE("An idle link is pinged rarely and stays open")
 {
     LinkEnds link;
     link.sendMessage();
@@ -67,12 +66,12 @@
     CHECK(link.pings >= 10);
 }
 
-TEST_CASE("A link in use is found silent in time")
+TEST_CASE("A silent link in use is closed after the timeout")
 {
     LinkWatch watch(period, timeout);
     watch.onMessage();
     CHECK(timeUntilClosed(watch) == timeout);
-    // One that was idle counts from the message that it should have answered.
+    // The timeout of an idle link restarts with the next message.
     LinkWatch idle(period, timeout);
     for (int i = 0; i < 100; ++i) {
         idle.onReceived();
@@ -84,7 +83,7 @@
     CHECK(timeUntilClosed(idle) == timeout);
 }
 
-TEST_CASE("An idle link that is dead is given up within some seconds")
+TEST_CASE("An idle link to a dead peer is closed within eight seconds")
 {
     LinkWatch watch(period, timeout);
     for (int i = 0; i < 100; ++i) {
@@ -96,7 +95,7 @@
     CHECK(took <= 8s);
 }
 
-TEST_CASE("A short time-out is met by pings that come before it")
+TEST_CASE("Pings are sent before a short timeout ends")
 {
     LinkWatch watch(period, 500ms);
     int pings = 0;
--- a/tests/decision/membership_test.cpp
+++ b/tests/decision/membership_test.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("All processes agree on the wanted owner, whatever they heard first", "[membership]")
+TEST_CASE("All processes compute the same owner, in whatever order links come up", "[membership]")
 {
     Membership forwards = makeMembership(8, 4);
     Membership backwards;
@@ -67,13 +67,13 @@
     }
 }
 
-TEST_CASE("Names hash to the same number in every build", "[membership]")
+TEST_CASE("stableHash returns the start of the SHA-256 digest", "[membership]")
 {
     // First eight bytes of SHA-256, as FIPS 180-4 gives it for "abc".
     CHECK(stableHash("abc") == 0xba7816bf8f01cfeaULL);
 }
 
-TEST_CASE("The owner stands in another zone than the primary, if any does", "[membership]")
+TEST_CASE("The preferred owner is in another zone than the primary if possible", "[membership]")
 {
     Membership membership = makeMembership(6, 3);
     for (int group = 0; group < 30; ++group) {
@@ -87,7 +87,7 @@
     CHECK_FALSE(Membership().preferredOwner("g", "zone0"));
 }
 
-TEST_CASE("Successors of other zones come first, each of another zone while there are any",
+TEST_CASE("The first successors are one process from each zone other than the owner's",
           "[membership]")
 {
     Membership membership = makeMembership(9, 3);
@@ -101,7 +101,7 @@
     }
 }
 
-TEST_CASE("Groups spread evenly, and few move when a process goes", "[membership]")
+TEST_CASE("Groups are spread evenly, and only those of an unreachable process move", "[membership]")
 {
     constexpr int hosts = 8;
     constexpr int groups = 4000;
@@ -124,7 +124,7 @@
     }
 }
 
-TEST_CASE("Leaving and unreachable processes get no groups", "[membership]")
+TEST_CASE("Leaving and unreachable processes are not chosen", "[membership]")
 {
     Membership membership = makeMembership(3, 3);
     membership.onHostList(start, namesOf({0, 2}), namesOf({1}));
@@ -134,7 +134,7 @@
     CHECK(membership.successorChoice("g", processOf(0)).empty());
 }
 
-TEST_CASE("Candidates are the same for all processes, reachable or not, and few", "[membership]")
+TEST_CASE("Candidates do not depend on reachability and are limited by the count", "[membership]")
 {
     Membership all = makeMembership(20, 4);
     Membership few = makeMembership(20, 4);
@@ -148,7 +148,7 @@
     CHECK(all.preferredOwner("offers", "no zone")->address == candidates.front());
 }
 
-TEST_CASE("A newer incarnation proves the older dead; a late link end changes nothing",
+TEST_CASE("A newer incarnation proves the older one dead; late events of the older are ignored",
           "[membership]")
 {
     Membership membership = makeMembership(2, 2);
@@ -161,7 +161,7 @@
     CHECK(membership.members()[1].process == processOf(1, 5));
 }
 
-TEST_CASE("Absence from the list proves death only after its lag", "[membership]")
+TEST_CASE("Absence from the host list proves a process dead only after the timeout", "[membership]")
 {
     Membership membership = makeMembership(3, 3);
     membership.onHostList(start, namesOf({0, 1, 2}), {});
@@ -173,7 +173,7 @@
     CHECK(membership.takeDeadProcesses(start + seconds(34)).empty());
     CHECK(membership.takeDeadProcesses(start + seconds(35))
           == std::vector<ProcessId> {processOf(1)});
-    // One that answers is alive whatever the list says.
+    // A reachable process is alive even if the list omits its host.
     membership.onPeerUp(start + seconds(60), processOf(2));
     CHECK(membership.takeDeadProcesses(start + seconds(90)).empty());
 }
--- a/tests/decision/ownersearch_test.cpp
+++ b/tests/decision/ownersearch_test.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE("Statements wait for as long as a takeover takes")
+TEST_CASE("At first statements wait for as long as a takeover takes")
 {
     OwnerSearch search;
     search.onStatementWaiting(start);
@@ -22,8 +22,8 @@
     CHECK(search.giveUpAt(start + 300ms) <= start + 1s);
 }
 
-// A host without owner and store for six seconds, a statement every 20 ms.
-TEST_CASE("In a long search each waits a moment only, so that its repeat meets other hosts in time")
+// A partitioned host must refuse early enough for the caller to retry through other hosts.
+TEST_CASE("In a long search statements wait only briefly")
 {
     OwnerSearch search;
     for (Duration at {0}; at < 6s; at += 20ms) {
@@ -32,12 +32,12 @@
         if (at < 1s)
             continue;
         CHECK(search.giveUpAt(now) > now);
-        // Three such attempts fit the shortest deadline.
+        // Three attempts fit in a deadline of 1,500 ms.
         CHECK(3 * (search.giveUpAt(now) - now) < 1500ms);
     }
 }
 
-TEST_CASE("An answer ends the search, and the next one has its whole time")
+TEST_CASE("An answer ends the search, and the next search has the whole takeover wait")
 {
     OwnerSearch search;
     search.onStatementWaiting(start);
@@ -47,7 +47,7 @@
     CHECK(search.giveUpAt(start + 1600ms) >= start + 2400ms);
 }
 
-TEST_CASE("What was searched for long ago is searched for anew")
+TEST_CASE("A search without statements for a long time starts again")
 {
     OwnerSearch search;
     search.onStatementWaiting(start);
--- a/tests/decision/storehealth_test.cpp
+++ b/tests/decision/storehealth_test.cpp
@@ -6,7 +6,7 @@
 using namespace kelptally::decision;
 using namespace std::chrono_literals;
 
-TEST_CASE("The state follows the newest sign, and only news are told")
+TEST_CASE("The state follows the latest event, and only changes are reported")
 {
     StoreHealth health;
     const Instant start {};
@@ -16,14 +16,14 @@
     CHECK(health.unavailableSince() == start + 1s);
     CHECK(health.onRefusal(start + 3s));
     CHECK(health.state() == StoreState::Refusing);
-    // Lost since the first sign.
+    // The outage began with the first failure.
     CHECK(health.unavailableSince() == start + 1s);
     CHECK(health.onAnswer(4ms));
     CHECK(!health.onAnswer(4ms));
     CHECK(health.state() == StoreState::Answering);
 }
 
-TEST_CASE("A slow service is given more time, and less again when it recovers")
+TEST_CASE("The call timeout grows with a slow service and shrinks when it recovers")
 {
     StoreHealth health;
     const Duration usual = health.callTimeout();
@@ -41,8 +41,7 @@
     CHECK(health.trialTimeout(Instant() + 1h) == 800ms);
 }
 
-TEST_CASE(
-    "A silent service is looked for often enough to be found within 200 ms, spread over hosts")
+TEST_CASE("A silent service is probed at least every 200 ms at first, with jitter")
 {
     StoreHealth health;
     const Instant start {};
@@ -52,11 +51,11 @@
         CHECK(health.retryDelay(start + age, 1) <= 200ms);
         CHECK(health.retryDelay(start + age, 0) < health.retryDelay(start + age, 1));
     }
-    // An outage of minutes costs little.
+    // Probes are rare in a long outage.
     CHECK(health.retryDelay(start + 10min, 0.5) == 1s);
 }
 
-TEST_CASE("Attempts that are refused become rare, and begin anew with the next loss")
+TEST_CASE("The delay doubles with each refusal, and restarts with the next outage")
 {
     StoreHealth health;
     const Instant start {};
@@ -71,7 +70,7 @@
     CHECK(health.retryDelay(start + 20s, 0.5) == 100ms);
 }
 
-TEST_CASE("After a refusal calls return as answers come, and after a broken connection all at once")
+TEST_CASE("A refusal limits the calls in flight, a lost connection does not")
 {
     StoreHealth health;
     const Instant start {};
@@ -91,7 +90,7 @@
     CHECK(health.maxOpenCalls() == all);
 }
 
-TEST_CASE("Attempts of a host that is refused again and again stay rare, though some are answered")
+TEST_CASE("Repeated refusals keep the backoff, even if calls are answered in between")
 {
     StoreHealth health;
     const Instant start {};
@@ -102,7 +101,7 @@
     health.onRefusal(start + 2s);
     CHECK(health.retryDelay(start + 2s, 0.5) == 800ms);
     health.onAnswer(4ms);
-    // Lost answers are no limit: their next attempt is soon.
+    // A lost connection is no refusal and restarts the backoff.
     health.onConnectionLost(start + 3s);
     CHECK(health.retryDelay(start + 3s, 0.5) == 100ms);
 }
