--- a/src/bench/kelptally.cpp
+++ b/src/bench/kelptally.cpp
@@ -200,8 +200,8 @@
         const ModelServer *primary = model_.primaryOf(group);
         const ZoneName zone = primary != nullptr ? primary->what().zone : ZoneName();
         const auto wanted = process.membership.wantedOwner(group, zone);
-        ownership->setSuccessorChoice(process.membership.successorChoice(group, process.id()));
-        ownership->setWanted(!process.stopping && wanted == process.id());
+        ownership->setSuccessorCandidates(process.membership.successorChoice(group, process.id()));
+        ownership->setPreferredOwner(!process.stopping && wanted == process.id());
     }
 }
 
--- a/src/bench/slopes.cpp
+++ b/src/bench/slopes.cpp
@@ -118,7 +118,7 @@
     row.epoch = 1;
     row.owner = processOf(0);
     row.successors = {processOf(1), processOf(2)};
-    ownership->setSuccessorChoice(row.successors);
+    ownership->setSuccessorCandidates(row.successors);
     ownership->onRow(start, TaggedRow {row, "1"});
     return ownership;
 }
--- a/src/decision/candidate.cpp
+++ b/src/decision/candidate.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-const Candidate *highest(const std::vector<Candidate> &prepared, std::size_t majority,
-                         const ServerName &wished, bool trustedOnly)
+const Candidate *bestCandidate(const std::vector<Candidate> &prepared, std::size_t majority,
+                               const ServerName &preferred, bool trustedOnly)
 {
     const auto preference = [&](const Candidate &c) {
-        return c.server == wished ? 2 : (c.trusted ? 1 : 0);
+        return c.server == preferred ? 2 : (c.trusted ? 1 : 0);
     };
     const Candidate *best = nullptr;
     std::size_t count = 0;
@@ -29,11 +29,11 @@
 } // namespace
 
 const Candidate *chooseCandidate(const std::vector<Candidate> &prepared, std::size_t majority,
-                                 const ServerName &wished)
+                                 const ServerName &preferred)
 {
-    if (const Candidate *trusted = highest(prepared, majority, wished, true))
+    if (const Candidate *trusted = bestCandidate(prepared, majority, preferred, true))
         return trusted;
-    return highest(prepared, majority, wished, false);
+    return bestCandidate(prepared, majority, preferred, false);
 }
 
 } // namespace kelptally::decision
--- a/src/decision/candidate.h
+++ b/src/decision/candidate.h
@@ -19,6 +19,6 @@
 // confirmed record. Trusted ones alone decide if they are a majority by themselves. Of equals, the
 // wished one goes first, then a trusted one. Nothing without a majority.
 const Candidate *chooseCandidate(const std::vector<Candidate> &prepared, std::size_t majority,
-                                 const ServerName &wished);
+                                 const ServerName &preferred);
 
 } // namespace kelptally::decision
--- a/src/decision/claimorder.h
+++ b/src/decision/claimorder.h
@@ -11,9 +11,9 @@
 struct Claimant
 {
     // Between 0 and 1, another for each pair of host and group: mostly one of the hosts writes.
-    double draw = 0;
+    double jitter = 0;
     // In the zone of the group's primary, so that statements cross zones less.
-    bool nearPrimary = false;
+    bool inPrimaryZone = false;
     // Groups that it owns already.
     std::size_t owned = 0;
     // Processor cores that the host may use, as a fraction.
@@ -25,7 +25,7 @@
 // How much longer a host waits that claims one of so many groups before anybody has asked for its
 // owner. With one claim for each group in the same tenth of a second nearly each of 155 hosts read
 // the row of each of 333 groups; spread out, a host mostly hears of an owner first.
-Duration claimAhead(const Claimant &claimant, std::size_t groups);
+Duration proactiveClaimDelay(const Claimant &claimant, std::size_t groups);
 
 // Whether a host with so many processor cores, as a fraction, and so many groups has room for one
 // more.
--- a/src/decision/earlierowners.cpp
+++ b/src/decision/earlierowners.cpp
@@ -12,17 +12,17 @@
 
 } // namespace
 
-void EarlierOwners::begin(Instant now, const std::vector<EarlierOwner> &listed, Duration left,
+void EarlierOwners::begin(Instant now, const std::vector<EarlierOwner> &listed, Duration remaining,
                           const ProcessId &self)
 {
     entries_.clear();
-    if (left <= Duration(0))
+    if (remaining <= Duration(0))
         return;
     for (const EarlierOwner &owner : listed)
         if (owner.process.address != self.address)
-            entries_.push_back({owner, now + left});
+            entries_.push_back({owner, now + remaining});
     if (listed.empty())
-        entries_.push_back({EarlierOwner(), now + left});
+        entries_.push_back({EarlierOwner(), now + remaining});
 }
 
 void EarlierOwners::add(const EarlierOwner &owner, Instant until)
@@ -71,21 +71,22 @@
     });
 }
 
-bool EarlierOwners::onSaidEnded(const std::string &address, OwnerEpoch epoch)
+bool EarlierOwners::onEndConfirmed(const std::string &address, OwnerEpoch epoch)
 {
     return remove([&](const EarlierOwner &owner) {
         return owner.process.address == address && owner.epoch <= epoch;
     });
 }
 
-std::vector<EarlierOwner> EarlierOwners::listWith(std::vector<EarlierOwner> listed, bool isGuarded,
-                                                  const EarlierOwner &before)
+std::vector<EarlierOwner> EarlierOwners::listForNextOwner(std::vector<EarlierOwner> listed,
+                                                          bool isGuarded,
+                                                          const EarlierOwner &predecessor)
 {
     if (!isGuarded)
         listed.clear();
     else if (listed.empty() || listed.size() >= maxListed)
         listed.assign(1, EarlierOwner());
-    listed.push_back(before);
+    listed.push_back(predecessor);
     return listed;
 }
 
--- a/src/decision/earlierowners.h
+++ b/src/decision/earlierowners.h
@@ -27,7 +27,7 @@
 public:
     // A group was acquired. The row listed these, and their leases end after so long; zero: none is
     // left. An empty list with time left names nobody.
-    void begin(Instant now, const std::vector<EarlierOwner> &listed, Duration left,
+    void begin(Instant now, const std::vector<EarlierOwner> &listed, Duration remaining,
                const ProcessId &self);
     // The owner that the row named.
     void add(const EarlierOwner &owner, Instant until);
@@ -40,11 +40,12 @@
     // Another run of a process was heard at its address. True when this is news.
     bool onRestarted(const ProcessId &process);
     // The process says that it has ended what it did under epochs up to this one.
-    bool onSaidEnded(const std::string &address, OwnerEpoch epoch);
+    bool onEndConfirmed(const std::string &address, OwnerEpoch epoch);
 
     // For the row of the next owner: those that were listed before, and the one that it follows.
-    static std::vector<EarlierOwner> listWith(std::vector<EarlierOwner> listed, bool isGuarded,
-                                              const EarlierOwner &before);
+    static std::vector<EarlierOwner> listForNextOwner(std::vector<EarlierOwner> listed,
+                                                      bool isGuarded,
+                                                      const EarlierOwner &predecessor);
 
 private:
     struct Entry
--- a/src/decision/failover.cpp
+++ b/src/decision/failover.cpp
@@ -11,16 +11,16 @@
 
 constexpr Duration probeInterval = milliseconds(100);
 // After a lost connection a probe goes at once, but no more often than this.
-constexpr Duration lostProbePause = milliseconds(20);
+constexpr Duration minProbeInterval = milliseconds(20);
 // While a promotion waits for a majority to hold the new term.
-constexpr Duration quickProbeInterval = milliseconds(20);
+constexpr Duration fastProbeInterval = milliseconds(20);
 // Silence counts only while another server was heard this recently; else it is us who are cut off.
-constexpr Duration othersHeardWithin = milliseconds(250);
+constexpr Duration othersAnswerWindow = milliseconds(250);
 // Ticks further apart than this mean that this process was paused.
-constexpr Duration pauseLimit = milliseconds(150);
+constexpr Duration maxTickInterval = milliseconds(150);
 // Without a majority for this long the group is better off with another owner; longer than the
 // slowest detection and promotion.
-constexpr Duration cutOffLimit = std::chrono::seconds(2);
+constexpr Duration cutOffTimeout = std::chrono::seconds(2);
 
 } // namespace
 
@@ -41,7 +41,7 @@
     newTerm_ = termHint;
     lastTick_ = now;
     watchedSince_ = now;
-    enter(now, Phase::Locating);
+    enterPhase(now, Phase::Locating);
     for (ServerState &server : servers_)
         sendProbe(now, server, actions);
     return actions;
@@ -52,8 +52,8 @@
 void Failover::sendProbe(Instant now, ServerState &server, FailoverActions &actions)
 {
     server.watch.onProbeSent(now, ++sequence_);
-    const bool quick = phase_ == Phase::Establishing || phase_ == Phase::Switching;
-    server.nextProbe = now + (quick ? quickProbeInterval : probeInterval);
+    const bool isFast = phase_ == Phase::Establishing || phase_ == Phase::Switching;
+    server.nextProbe = now + (isFast ? fastProbeInterval : probeInterval);
     actions.push_back(SendProbe {server.name, sequence_});
 }
 
@@ -65,30 +65,30 @@
     }
 }
 
-void Failover::heard(Instant now, ServerState &server)
+void Failover::recordAnswer(Instant now, ServerState &server)
 {
     server.watch.onHeard(now);
     if (server.name == leader_ && phase_ == Phase::Ready)
-        troubleSince_.reset();
+        outageSince_.reset();
 }
 
-bool Failover::othersHeard(Instant now, const ServerState &server) const
+bool Failover::othersAnswer(Instant now, const ServerState &server) const
 {
     return std::any_of(servers_.begin(), servers_.end(), [&](const ServerState &other) {
-        const std::optional<Instant> heard = other.watch.lastHeard();
-        return other.name != server.name && heard && now - *heard < othersHeardWithin;
+        const std::optional<Instant> lastAnswer = other.watch.lastHeard();
+        return other.name != server.name && lastAnswer && now - *lastAnswer < othersAnswerWindow;
     });
 }
 
-bool Failover::isGone(Instant now, const ServerState &server) const
+bool Failover::hasFailed(Instant now, const ServerState &server) const
 {
     if (server.watch.isRefused(now))
         return true;
-    return server.watch.isSilent(now) && othersHeard(now, server);
+    return server.watch.isSilent(now) && othersAnswer(now, server);
 }
 
 // After a pause of this process all servers look silent; that says nothing of them.
-void Failover::forgetSilence(Instant now)
+void Failover::resetWatches(Instant now)
 {
     watchedSince_ = now;
     for (ServerState &server : servers_) {
@@ -104,7 +104,7 @@
     ServerState *state = find(server);
     if (!state)
         return actions;
-    heard(now, *state);
+    recordAnswer(now, *state);
     if (sequence < state->reportSequence)
         return actions;
     state->report = report;
@@ -125,8 +125,8 @@
     state->watch.onRefused(now);
     state->followed = false;
     state->nextProbe = std::min(state->nextProbe, now + ServerWatch::refusalConfirm);
-    if (server == leader_ && !troubleSince_)
-        troubleSince_ = now;
+    if (server == leader_ && !outageSince_)
+        outageSince_ = now;
     step(now, actions);
     return actions;
 }
@@ -134,7 +134,7 @@
 void Failover::onTraffic(Instant now, const ServerName &server)
 {
     if (ServerState *state = find(server))
-        heard(now, *state);
+        recordAnswer(now, *state);
 }
 
 FailoverActions Failover::onConnectionLost(Instant now, const ServerName &server)
@@ -143,11 +143,11 @@
     ServerState *state = find(server);
     if (!state || phase_ == Phase::Idle)
         return actions;
-    if (server == leader_ && !troubleSince_)
-        troubleSince_ = now;
+    if (server == leader_ && !outageSince_)
+        outageSince_ = now;
     state->followed = false;
     // A lost connection alone is no proof: a probe tells whether the server still listens.
-    const Instant soonest = state->watch.lastProbeAt() + lostProbePause;
+    const Instant soonest = state->watch.lastProbeAt() + minProbeInterval;
     state->nextProbe = std::min(state->nextProbe, soonest);
     if (now >= soonest)
         sendProbe(now, *state, actions);
@@ -181,7 +181,7 @@
     const ServerReport &report = *server.report;
     if (isSupersededBy(report)) {
         stopWrites(now, "a newer owner has been at server " + server.name, actions);
-        enter(now, Phase::Superseded);
+        enterPhase(now, Phase::Superseded);
         return;
     }
     if (phase_ == Phase::Preparing || phase_ == Phase::Promoting) {
@@ -203,7 +203,7 @@
 
 // ---- From one phase to the next ----
 
-void Failover::enter(Instant now, Phase phase)
+void Failover::enterPhase(Instant now, Phase phase)
 {
     phase_ = phase;
     phaseSince_ = now;
@@ -222,14 +222,14 @@
     const ServerState *leader = hasLeader ? find(leader_) : nullptr;
     if (hasLeader && !leader) {
         beginPromotion(now, "the primary was taken out of the configuration", actions);
-    } else if (leader && isGone(now, *leader)) {
-        if (!troubleSince_)
-            troubleSince_ = leader->watch.unansweredSince();
-        suspect_ = leader_;
+    } else if (leader && hasFailed(now, *leader)) {
+        if (!outageSince_)
+            outageSince_ = leader->watch.unansweredSince();
+        replacedPrimary_ = leader_;
         const bool refused = leader->watch.isRefused(now);
         beginPromotion(now, refused ? "connections are refused" : "no answer to probes", actions);
     } else if (leader && isStalled(now)) {
-        suspect_ = leader_;
+        replacedPrimary_ = leader_;
         replication_.onGivenUp();
         beginPromotion(now, "its log does not reach the replicas", actions);
     }
@@ -237,19 +237,19 @@
     // 2. What the phase waits for.
     switch (phase_) {
     case Phase::Locating:
-        locate(now, actions);
+        locatePrimary(now, actions);
         break;
     case Phase::Switching:
         continueSwitch(now, actions);
         break;
     case Phase::Preparing:
-        choose(now);
+        choosePrimary(now);
         break;
     case Phase::Establishing:
         finishEstablishing(now, actions);
         break;
     case Phase::Ready:
-        considerLeaving(now, actions);
+        replaceLeavingPrimary(now, actions);
         break;
     case Phase::Idle:
     case Phase::Promoting:
@@ -261,30 +261,30 @@
     sendCommands(now, actions);
 }
 
-void Failover::locate(Instant now, FailoverActions &actions)
+void Failover::locatePrimary(Instant now, FailoverActions &actions)
 {
-    std::size_t heardCount = 0;
+    std::size_t reportCount = 0;
     bool allKnown = true;
     Term newest = 0;
     const ServerState *best = nullptr;
     for (const ServerState &server : servers_) {
         if (!server.report) {
-            allKnown = allKnown && isGone(now, server);
+            allKnown = allKnown && hasFailed(now, server);
             continue;
         }
-        ++heardCount;
+        ++reportCount;
         newest = std::max(newest, server.report->term);
         if (server.report->isPrimary && (!best || server.report->term > best->report->term))
             best = &server;
     }
-    if (heardCount < majority())
+    if (reportCount < majority())
         return;
     // A primary of a higher term would have been prepared at a majority, so one of those heard
     // would know that term.
     if (best && best->report->term == newest) {
         establish(now, best->name, newest, actions);
     } else if (allKnown || best) {
-        troubleSince_ = troubleSince_.value_or(phaseSince_);
+        outageSince_ = outageSince_.value_or(phaseSince_);
         beginPromotion(now, "no primary of the newest term", actions);
     }
 }
@@ -295,31 +295,31 @@
         return;
     actions.push_back(PrimaryGone {*primary_, cause});
     primary_.reset();
-    if (!troubleSince_)
-        troubleSince_ = now;
+    if (!outageSince_)
+        outageSince_ = now;
 }
 
 void Failover::beginPromotion(Instant now, const std::string &cause, FailoverActions &actions)
 {
     stopWrites(now, cause, actions);
-    if (!troubleSince_)
-        troubleSince_ = now;
-    Term above = std::max(term_, newTerm_);
+    if (!outageSince_)
+        outageSince_ = now;
+    Term highestTerm = std::max(term_, newTerm_);
     for (const ServerState &server : servers_) {
         if (server.report)
-            above = std::max(above, server.report->term);
+            highestTerm = std::max(highestTerm, server.report->term);
     }
     do {
-        ++termsMade_;
-    } while (makeTerm(epoch_, termsMade_) <= above);
-    newTerm_ = makeTerm(epoch_, termsMade_);
+        ++termCount_;
+    } while (makeTerm(epoch_, termCount_) <= highestTerm);
+    newTerm_ = makeTerm(epoch_, termCount_);
     for (ServerState &server : servers_) {
         server.prepared = false;
         server.followed = false;
     }
     leader_.clear();
     replication_.reset();
-    enter(now, Phase::Preparing);
+    enterPhase(now, Phase::Preparing);
     sendCommands(now, actions);
 }
 
@@ -351,8 +351,8 @@
     FailoverActions actions;
     if (phase_ == Phase::Idle)
         return actions;
-    if (now - lastTick_ > pauseLimit)
-        forgetSilence(now);
+    if (now - lastTick_ > maxTickInterval)
+        resetWatches(now);
     lastTick_ = now;
     sendProbes(now, actions);
     if (phase_ != Phase::Superseded)
@@ -390,24 +390,24 @@
     return state ? state->report : none;
 }
 
-bool Failover::isHeard(Instant now, const ServerState &server) const
+bool Failover::isResponding(Instant now, const ServerState &server) const
 {
     const std::optional<Instant> last = server.watch.lastHeard();
-    return last && now - *last < cutOffLimit;
+    return last && now - *last < cutOffTimeout;
 }
 
 std::vector<ServerName> Failover::silentServers(Instant now) const
 {
     std::vector<ServerName> silent;
     for (const ServerState &server : servers_)
-        if (!isHeard(now, server))
+        if (!isResponding(now, server))
             silent.push_back(server.name);
     return silent;
 }
 
 bool Failover::isCutOff(Instant now) const
 {
-    if (phase_ == Phase::Idle || now - watchedSince_ < cutOffLimit)
+    if (phase_ == Phase::Idle || now - watchedSince_ < cutOffTimeout)
         return false;
     return servers_.size() - silentServers(now).size() < majority();
 }
--- a/src/decision/failover.h
+++ b/src/decision/failover.h
@@ -185,36 +185,36 @@
         Instant nextCommand;
     };
 
-    bool isHeard(Instant now, const ServerState &server) const;
+    bool isResponding(Instant now, const ServerState &server) const;
     ServerState *find(const ServerName &server);
     const ServerState *find(const ServerName &server) const;
     std::size_t majority() const { return servers_.size() / 2 + 1; }
 
-    void heard(Instant now, ServerState &server);
-    bool isGone(Instant now, const ServerState &server) const;
-    bool othersHeard(Instant now, const ServerState &server) const;
+    void recordAnswer(Instant now, ServerState &server);
+    bool hasFailed(Instant now, const ServerState &server) const;
+    bool othersAnswer(Instant now, const ServerState &server) const;
     void sendProbe(Instant now, ServerState &server, FailoverActions &actions);
     void sendProbes(Instant now, FailoverActions &actions);
-    void forgetSilence(Instant now);
+    void resetWatches(Instant now);
 
     void watchReplication(Instant now, const ServerState &server);
     bool isStalled(Instant now) const;
     bool isSupersededBy(const ServerReport &report) const;
     void checkReport(Instant now, const ServerState &server, FailoverActions &actions);
     void step(Instant now, FailoverActions &actions);
-    void locate(Instant now, FailoverActions &actions);
+    void locatePrimary(Instant now, FailoverActions &actions);
     void stopWrites(Instant now, const std::string &cause, FailoverActions &actions);
     void beginPromotion(Instant now, const std::string &cause, FailoverActions &actions);
     void beginSwitch(Instant now, const ServerName &target, FailoverActions &actions);
     void continueSwitch(Instant now, FailoverActions &actions);
-    void considerLeaving(Instant now, FailoverActions &actions);
-    void choose(Instant now);
+    void replaceLeavingPrimary(Instant now, FailoverActions &actions);
+    void choosePrimary(Instant now);
     void establish(Instant now, const ServerName &leader, Term term, FailoverActions &actions);
     bool holdsTerm(const ServerState &server) const;
     bool needsFollow(const ServerState &server) const;
     void finishEstablishing(Instant now, FailoverActions &actions);
     void sendCommands(Instant now, FailoverActions &actions);
-    void enter(Instant now, Phase phase);
+    void enterPhase(Instant now, Phase phase);
 
     GroupName group_;
     OwnerEpoch epoch_;
@@ -233,15 +233,15 @@
     std::optional<ServerName> primary_;
     Term term_ = 0;
     Term newTerm_ = 0;
-    std::uint64_t termsMade_ = 0;
+    std::uint64_t termCount_ = 0;
     std::vector<TermStart> history_;
     bool fenceRaised_ = false;
     bool historyRead_ = false;
     ReplicationWatch replication_;
 
     // Given up last; chosen again only if nothing else is safe.
-    ServerName suspect_;
-    std::optional<Instant> troubleSince_;
+    ServerName replacedPrimary_;
+    std::optional<Instant> outageSince_;
     // An operator's or a planned choice.
     ServerName target_;
     bool acceptLoss_ = false;
--- a/src/decision/lease.cpp
+++ b/src/decision/lease.cpp
@@ -18,40 +18,41 @@
     rounds_.clear();
 }
 
-void Lease::add(const ProcessId &process, std::optional<Instant> since)
+void Lease::add(const ProcessId &process, std::optional<Instant> startsAt)
 {
-    if (!knows(process))
-        promises_.push_back({process, since, std::nullopt, false});
+    if (!contains(process))
+        promises_.push_back({process, startsAt, std::nullopt, false});
 }
 
-void Lease::forget(const ProcessId &process)
+void Lease::remove(const ProcessId &process)
 {
-    const auto named = [&](const Promise &promise) { return promise.who == process; };
-    promises_.erase(std::remove_if(promises_.begin(), promises_.end(), named), promises_.end());
+    const auto isOfProcess = [&](const Promise &promise) { return promise.process == process; };
+    promises_.erase(std::remove_if(promises_.begin(), promises_.end(), isOfProcess),
+                    promises_.end());
 }
 
 void Lease::keepOnly(const std::vector<ProcessId> &processes)
 {
     for (const ProcessId &known : this->processes()) {
         if (std::find(processes.begin(), processes.end(), known) == processes.end())
-            forget(known);
+            remove(known);
     }
 }
 
-std::vector<ProcessId> Lease::ask(Instant now, std::uint64_t sequence)
+std::vector<ProcessId> Lease::beginRound(Instant now, std::uint64_t sequence)
 {
-    std::vector<ProcessId> asked;
+    std::vector<ProcessId> recipients;
     for (Promise &promise : promises_) {
-        if (promise.dead)
+        if (promise.diedDuringPromise)
             continue;
         if (!promise.unansweredSince)
             promise.unansweredSince = now;
-        asked.push_back(promise.who);
+        recipients.push_back(promise.process);
     }
     if (rounds_.size() == maxRounds)
         rounds_.erase(rounds_.begin());
     rounds_.push_back({sequence, now});
-    return asked;
+    return recipients;
 }
 
 void Lease::onPromise(const ProcessId &from, std::uint64_t sequence)
@@ -61,28 +62,28 @@
                                     [&](const Round &r) { return r.sequence == sequence; });
     if (!promise || round == rounds_.end())
         return;
-    if (promise->since && *promise->since >= round->at)
+    if (promise->startsAt && *promise->startsAt >= round->sentAt)
         return;
-    promise->since = round->at;
+    promise->startsAt = round->sentAt;
     promise->unansweredSince.reset();
     const auto next = std::next(round);
     if (next != rounds_.end())
-        promise->unansweredSince = next->at;
+        promise->unansweredSince = next->sentAt;
 }
 
-void Lease::onDeaths(Instant now, const std::function<bool(const ProcessId &)> &isDead)
+void Lease::markDead(Instant now, const std::function<bool(const ProcessId &)> &isDead)
 {
     for (Promise &promise : promises_) {
-        if (isDead(promise.who) && end(promise) > now)
-            promise.dead = true;
+        if (isDead(promise.process) && end(promise) > now)
+            promise.diedDuringPromise = true;
     }
 }
 
 Instant Lease::end(const Promise &promise) const
 {
-    if (promise.dead)
+    if (promise.diedDuringPromise)
         return Instant::max();
-    return promise.since ? *promise.since + period - driftMargin : Instant::min();
+    return promise.startsAt ? *promise.startsAt + promiseDuration - driftMargin : Instant::min();
 }
 
 Instant Lease::end(const ProcessId &process) const
@@ -102,7 +103,7 @@
 bool Lease::isSilent(Instant now, const ProcessId &process, Duration limit) const
 {
     const Promise *promise = find(process);
-    if (!promise || promise->dead)
+    if (!promise || promise->diedDuringPromise)
         return true;
     return promise->unansweredSince && now >= *promise->unansweredSince + limit;
 }
@@ -112,14 +113,14 @@
     std::vector<ProcessId> result;
     result.reserve(promises_.size());
     for (const Promise &promise : promises_)
-        result.push_back(promise.who);
+        result.push_back(promise.process);
     return result;
 }
 
 const Lease::Promise *Lease::find(const ProcessId &process) const
 {
     const auto found = std::find_if(promises_.begin(), promises_.end(), [&](const Promise &p) {
-        return byIncarnation_ ? p.who == process : p.who.address == process.address;
+        return byIncarnation_ ? p.process == process : p.process.address == process.address;
     });
     return found == promises_.end() ? nullptr : &*found;
 }
--- a/src/decision/lease.h
+++ b/src/decision/lease.h
@@ -17,7 +17,7 @@
 {
 public:
     // How long a promise holds, counted by the one that makes it from the receipt of the request.
-    static constexpr Duration period = std::chrono::milliseconds(1500);
+    static constexpr Duration promiseDuration = std::chrono::milliseconds(1500);
     // Taken off the owner's side for clocks that run at different speeds (3%; chosen).
     static constexpr Duration driftMargin = std::chrono::milliseconds(50);
 
@@ -26,19 +26,19 @@
 
     void clear();
     // Begins to count on a process: nothing is promised yet, or since the given time.
-    void add(const ProcessId &process, std::optional<Instant> since);
+    void add(const ProcessId &process, std::optional<Instant> startsAt);
     // Forgets all others.
     void keepOnly(const std::vector<ProcessId> &processes);
-    void forget(const ProcessId &process);
-    bool knows(const ProcessId &process) const { return find(process) != nullptr; }
+    void remove(const ProcessId &process);
+    bool contains(const ProcessId &process) const { return find(process) != nullptr; }
 
     // Begins a round of requests; those returned are to be asked under this sequence.
-    std::vector<ProcessId> ask(Instant now, std::uint64_t sequence);
+    std::vector<ProcessId> beginRound(Instant now, std::uint64_t sequence);
     void onPromise(const ProcessId &from, std::uint64_t sequence);
 
     // Runs for which the test holds are dead. One that dies while its promise holds has never
     // claimed and never will.
-    void onDeaths(Instant now, const std::function<bool(const ProcessId &)> &isDead);
+    void markDead(Instant now, const std::function<bool(const ProcessId &)> &isDead);
 
     // Until when the process cannot claim: the far past without a promise, the far future when it
     // never will.
@@ -54,18 +54,18 @@
 private:
     struct Promise
     {
-        ProcessId who;
+        ProcessId process;
         // Send time of the newest request it answered, or of the claim that listed it.
-        std::optional<Instant> since;
+        std::optional<Instant> startsAt;
         // Send time of the oldest request that it has not answered since.
         std::optional<Instant> unansweredSince;
-        bool dead = false;
+        bool diedDuringPromise = false;
     };
 
     struct Round
     {
         std::uint64_t sequence = 0;
-        Instant at;
+        Instant sentAt;
     };
 
     const Promise *find(const ProcessId &process) const;
--- a/src/decision/logholders.cpp
+++ b/src/decision/logholders.cpp
@@ -8,7 +8,7 @@
 
 // An owner tells the row of servers within a second or so of hearing of them. One that vanished
 // longer ago than this, and that the row does not name, was seen not to be needed.
-constexpr Duration untilTold = std::chrono::seconds(15);
+constexpr Duration maxRowDelay = std::chrono::seconds(15);
 
 bool contains(const std::vector<LogHolder> &holders, const ServerName &server)
 {
@@ -25,24 +25,24 @@
 
 void LogHolders::begin(const std::vector<LogHolder> &named, Instant now)
 {
-    if (now - vanishedAt_ > untilTold)
-        vanished_.clear();
+    if (now - unlistedAt_ > maxRowDelay)
+        unlisted_.clear();
     for (const LogHolder &holder : named)
-        if (!contains(vanished_, holder.server))
-            vanished_.push_back(holder);
+        if (!contains(unlisted_, holder.server))
+            unlisted_.push_back(holder);
     dropListed();
-    heldSince_.reset();
-    vanishedAt_ = now;
+    requiredPosition_.reset();
+    unlistedAt_ = now;
 }
 
 void LogHolders::onListed(const std::vector<LogHolder> &listed, Instant now)
 {
     for (const LogHolder &holder : listed_) {
-        if (contains(listed, holder.server) || contains(vanished_, holder.server))
+        if (contains(listed, holder.server) || contains(unlisted_, holder.server))
             continue;
-        vanished_.push_back(holder);
-        vanishedAt_ = now;
-        heldSince_.reset();
+        unlisted_.push_back(holder);
+        unlistedAt_ = now;
+        requiredPosition_.reset();
     }
     listed_ = listed;
     dropListed();
@@ -53,32 +53,32 @@
     const auto isListed = [this](const LogHolder &holder) {
         return contains(listed_, holder.server);
     };
-    vanished_.erase(std::remove_if(vanished_.begin(), vanished_.end(), isListed), vanished_.end());
+    unlisted_.erase(std::remove_if(unlisted_.begin(), unlisted_.end(), isListed), unlisted_.end());
 }
 
-void LogHolders::onPrimaryHeld(Position position, Instant asked)
+void LogHolders::onPrimaryPosition(Position position, Instant requestedAt)
 {
-    if (!vanished_.empty() && !heldSince_ && asked >= vanishedAt_)
-        heldSince_ = position;
+    if (!unlisted_.empty() && !requiredPosition_ && requestedAt >= unlistedAt_)
+        requiredPosition_ = position;
 }
 
-void LogHolders::onReplicaHeld(Position position)
+void LogHolders::onReplicaPosition(Position position)
 {
-    if (!heldSince_ || position < *heldSince_)
+    if (!requiredPosition_ || position < *requiredPosition_)
         return;
-    vanished_.clear();
-    heldSince_.reset();
+    unlisted_.clear();
+    requiredPosition_.reset();
 }
 
 void LogHolders::onPrimary()
 {
-    heldSince_.reset();
+    requiredPosition_.reset();
 }
 
 std::vector<LogHolder> LogHolders::all() const
 {
     std::vector<LogHolder> holders = listed_;
-    holders.insert(holders.end(), vanished_.begin(), vanished_.end());
+    holders.insert(holders.end(), unlisted_.begin(), unlisted_.end());
     std::sort(holders.begin(), holders.end(),
               [](const LogHolder &a, const LogHolder &b) { return a.server < b.server; });
     return holders;
--- a/src/decision/logholders.h
+++ b/src/decision/logholders.h
@@ -36,14 +36,14 @@
     void onListed(const std::vector<LogHolder> &listed, Instant now);
 
     // The primary was asked then, and held this.
-    void onPrimaryHeld(Position position, Instant asked);
+    void onPrimaryPosition(Position position, Instant requestedAt);
     // A listed replica of the same term holds all up to this.
-    void onReplicaHeld(Position position);
+    void onReplicaPosition(Position position);
     // Another primary leads: what replicas have to hold is learnt anew.
     void onPrimary();
 
     // Those that the list does not name.
-    const std::vector<LogHolder> &vanished() const { return vanished_; }
+    const std::vector<LogHolder> &unlisted() const { return unlisted_; }
     // All, in a fixed order, as the row names them.
     std::vector<LogHolder> all() const;
 
@@ -51,10 +51,10 @@
     void dropListed();
 
     std::vector<LogHolder> listed_;
-    std::vector<LogHolder> vanished_;
+    std::vector<LogHolder> unlisted_;
     // When the last of them left, and what the primary held after that.
-    Instant vanishedAt_ {};
-    std::optional<Position> heldSince_;
+    Instant unlistedAt_ {};
+    std::optional<Position> requiredPosition_;
 };
 
 } // namespace kelptally::decision
--- a/src/decision/ownerduty.cpp
+++ b/src/decision/ownerrole.cpp
@@ -12,11 +12,11 @@
 
 // A successor is given up when a request stays unanswered for this long: two heartbeats, which
 // leaves 700 ms of the lease for the write that drops it.
-constexpr Duration silentAfter = milliseconds(450);
+constexpr Duration silenceTimeout = milliseconds(450);
 // A process that did not answer is not listed again for this long.
 constexpr Duration banPeriod = std::chrono::seconds(3);
 // A candidate is listed only while this much of its promise is left.
-constexpr Duration listingReserve = milliseconds(500);
+constexpr Duration minRemainingPromise = milliseconds(500);
 
 } // namespace
 
@@ -33,18 +33,18 @@
     sendHeartbeats(now, actions);
 }
 
-void Ownership::stopServing(std::string why, OwnershipActions &actions)
+void Ownership::stopServing(std::string reason, OwnershipActions &actions)
 {
     owner_ = false;
     handOverWanted_ = false;
     lease_.clear();
-    actions.push_back(StopServing {std::move(why)});
+    actions.push_back(StopServing {std::move(reason)});
 }
 
 OwnershipActions Ownership::onLeaseAnswer(Instant now, const LeaseAnswer &answer)
 {
     OwnershipActions actions;
-    noteDeath(now, answer.from.address, answer.from.incarnation);
+    recordDeath(now, answer.from.address, answer.from.incarnation);
     if (!owner_)
         return actions;
     if (answer.knownEpoch > epoch())
@@ -58,7 +58,7 @@
 {
     nextHeartbeat_ = now + heartbeatPeriod;
     const std::uint64_t sequence = ++lastSequence_;
-    for (const ProcessId &process : lease_.ask(now, sequence))
+    for (const ProcessId &process : lease_.beginRound(now, sequence))
         actions.push_back(SendLeaseRequest {process, {epoch(), self_, sequence}});
 }
 
@@ -80,7 +80,7 @@
 
 bool Ownership::isSilent(Instant now, const ProcessId &process) const
 {
-    return isDead(process) || lease_.isSilent(now, process, silentAfter);
+    return isDead(process) || lease_.isSilent(now, process, silenceTimeout);
 }
 
 // Candidates that do not answer make room for the next.
@@ -88,13 +88,13 @@
 {
     for (const ProcessId &process : lease_.processes()) {
         const bool listed = contains(row_->row.successors, process);
-        if (listed || (!isSilent(now, process) && isFit(process)))
+        if (listed || (!isSilent(now, process) && isEligible(process)))
             continue;
-        lease_.forget(process);
+        lease_.remove(process);
         banned_.push_back({process, now + banPeriod});
     }
-    const auto over = [now](const Banned &banned) { return now >= banned.until; };
-    banned_.erase(std::remove_if(banned_.begin(), banned_.end(), over), banned_.end());
+    const auto isExpired = [now](const BannedProcess &banned) { return now >= banned.until; };
+    banned_.erase(std::remove_if(banned_.begin(), banned_.end(), isExpired), banned_.end());
 }
 
 // Asks those best placed for a promise, and returns those that have made one: a process is listed
@@ -103,7 +103,7 @@
 {
     std::vector<ProcessId> ready;
     std::size_t asked = 0;
-    for (const ProcessId &process : choice_) {
+    for (const ProcessId &process : successorCandidates_) {
         if (asked == maxSuccessors - kept.size())
             break;
         if (process.address == self_.address || contains(kept, process) || isDead(process)
@@ -111,13 +111,13 @@
             continue;
         ++asked;
         lease_.add(process, std::nullopt);
-        if (now + listingReserve < lease_.end(process))
+        if (now + minRemainingPromise < lease_.end(process))
             ready.push_back(process);
     }
     return ready;
 }
 
-void Ownership::considerSuccessors(Instant now, OwnershipActions &actions)
+void Ownership::updateSuccessors(Instant now, OwnershipActions &actions)
 {
     if (change_ || now < nextChange_)
         return;
@@ -132,11 +132,11 @@
         else if (!isBanned(now, listed))
             banned_.push_back({listed, now + banPeriod});
     }
-    const auto unfit =
-        std::find_if(next.begin(), next.end(), [this](const ProcessId &p) { return !isFit(p); });
+    const auto ineligible = std::find_if(next.begin(), next.end(),
+                                         [this](const ProcessId &p) { return !isEligible(p); });
     std::vector<ProcessId> kept = next;
-    if (unfit != next.end())
-        kept.erase(kept.begin() + (unfit - next.begin()));
+    if (ineligible != next.end())
+        kept.erase(kept.begin() + (ineligible - next.begin()));
 
     // 2. Free places go to candidates that have promised.
     const std::vector<ProcessId> ready = readyCandidates(now, kept);
@@ -166,7 +166,7 @@
         return "none";
     case HandOverWait::ChangeUnderWay:
         return "change_under_way";
-    case HandOverWait::NobodyFit:
+    case HandOverWait::NoEligibleSuccessor:
         return "nobody_fit";
     }
     return "none";
@@ -179,17 +179,17 @@
         return HandOverWait::None;
     if (change_ || now < nextChange_)
         return HandOverWait::ChangeUnderWay;
-    return handOverCandidates(now).empty() ? HandOverWait::NobodyFit : HandOverWait::None;
+    return handOverCandidates(now).empty() ? HandOverWait::NoEligibleSuccessor : HandOverWait::None;
 }
 
 std::vector<ProcessId> Ownership::handOverCandidates(Instant now) const
 {
     std::vector<ProcessId> alive;
     for (const ProcessId &listed : row_->row.successors) {
-        if (!isSilent(now, listed) && isFit(listed))
+        if (!isSilent(now, listed) && isEligible(listed))
             alive.push_back(listed);
     }
-    for (const ProcessId &process : choice_) {
+    for (const ProcessId &process : successorCandidates_) {
         if (process.address != self_.address && !contains(alive, process) && !isDead(process)
             && !contains(row_->row.successors, process))
             alive.push_back(process);
--- a/src/decision/ownership.cpp
+++ b/src/decision/ownership.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 // Pause after a read or write of the row that failed.
-constexpr Duration storeRetry = milliseconds(250);
+constexpr Duration storeRetryDelay = milliseconds(250);
 // A process that should own the group but does not looks at the row this often.
 constexpr Duration pollPeriod = std::chrono::seconds(5);
 // A group without a row is claimed by a process that has been wanted for so long: at a start of
 // many the first would else take all groups before it has heard the others.
-constexpr Duration wantedPeriod = milliseconds(500);
+constexpr Duration preferredOwnerDelay = milliseconds(500);
 // Listed successors go before a process that is not listed.
-constexpr Duration unlistedDelay = milliseconds(600);
+constexpr Duration unlistedClaimDelay = milliseconds(600);
 
 } // namespace
 
@@ -25,7 +25,7 @@
     : group_(std::move(group)), self_(std::move(self)), checks_(checks), random_(seed),
       lease_(checks.incarnation)
 {
-    deadBelow_[self_.address] = self_.incarnation;
+    minLiveIncarnation_[self_.address] = self_.incarnation;
 }
 
 // ---- The row ----
@@ -40,7 +40,7 @@
     needRead_ = false;
     if (now >= mayClaimFrom_)
         promised_ = false;
-    takeRow(now, row, actions);
+    processRow(now, row, actions);
     if (std::exchange(readAgain_, false))
         requestRead(now, actions);
     return actions;
@@ -50,7 +50,7 @@
 {
     reading_ = false;
     staleRead_ = false;
-    nextRead_ = now + storeRetry;
+    nextRead_ = now + storeRetryDelay;
     return {};
 }
 
@@ -62,18 +62,19 @@
         return;
     }
     reading_ = true;
-    nextRead_ = now + storeRetry;
+    nextRead_ = now + storeRetryDelay;
     actions.push_back(ReadRow {});
 }
 
-void Ownership::takeRow(Instant now, const std::optional<TaggedRow> &row, OwnershipActions &actions)
+void Ownership::processRow(Instant now, const std::optional<TaggedRow> &row,
+                           OwnershipActions &actions)
 {
     // 1. The outcome of a write of our own.
-    if (change_ && settleChange(now, row, actions))
+    if (change_ && resolveChange(now, row, actions))
         return;
 
     // 2. A row that was taken away, or an answer older than what is known.
-    const OwnerEpoch served = epoch();
+    const OwnerEpoch previousEpoch = epoch();
     rowAbsent_ = !row;
     if (!row) {
         row_.reset();
@@ -86,24 +87,24 @@
     }
 
     // 3. Who owns the group now.
-    const bool named = row_ && same(row_->row.owner, self_);
+    const bool named = row_ && isSameProcess(row_->row.owner, self_);
     if (owner_ && !named)
         stopServing("another owner is in the row", actions);
     // Somebody owned it in between and gave it back, unseen here. Leases, terms and the fence of
     // the old epoch count for nothing any more.
-    else if (owner_ && epoch() != served)
+    else if (owner_ && epoch() != previousEpoch)
         stopServing("it was lost and is back", actions);
     if (!owner_ && named)
         becomeOwner(now, std::nullopt, actions);
 
     // 4. Whether to claim it.
-    if (!owner_ && !change_ && claimDue(now))
+    if (!owner_ && !change_ && shouldClaim(now))
         claim(now, actions);
 }
 
 // True when the row read says no more than that our write has not landed yet, or that it has.
-bool Ownership::settleChange(Instant now, const std::optional<TaggedRow> &row,
-                             OwnershipActions &actions)
+bool Ownership::resolveChange(Instant now, const std::optional<TaggedRow> &row,
+                              OwnershipActions &actions)
 {
     if (row && row->row.changeId == change_->row.changeId) {
         finishChange(now, row->etag, actions);
@@ -113,7 +114,7 @@
         row ? change_->expectedEtag == row->etag : !change_->expectedEtag.has_value();
     if (unchanged) {
         // It may still land: only the same write again can tell.
-        if (!change_->inFlight && now >= change_->lastSent + storeRetry)
+        if (!change_->inFlight && now >= change_->lastSent + storeRetryDelay)
             sendChange(now, actions);
         return true;
     }
@@ -127,7 +128,7 @@
     // A new epoch was not there when its claim was sent, so counting from here is on the safe side
     // of the new owner's lease, which counts from the claim.
     if (!row_ || row.row.epoch > row_->row.epoch)
-        mayClaimFrom_ = std::max(mayClaimFrom_, now + Lease::period);
+        mayClaimFrom_ = std::max(mayClaimFrom_, now + Lease::promiseDuration);
     const bool newOwner = !row_ || row_->row.owner != row.row.owner;
     row_ = row;
     rowAbsent_ = false;
@@ -137,7 +138,7 @@
     if (isDead(row.row.owner) && !ownerDeadSince_)
         ownerDeadSince_ = now;
     if (owner_)
-        keepOnlyListed();
+        trackListedSuccessors();
 }
 
 void Ownership::startChange(Instant now, ChangeKind kind, OwnershipRow row,
@@ -177,9 +178,9 @@
     case WriteOutcome::NotSent:
         if (!change_->maybeSent) {
             change_.reset();
-            nextChange_ = now + storeRetry;
+            nextChange_ = now + storeRetryDelay;
         }
-        nextRead_ = now + storeRetry;
+        nextRead_ = now + storeRetryDelay;
         break;
     case WriteOutcome::Conflict:
     case WriteOutcome::Unknown:
@@ -224,31 +225,31 @@
 
     LeaseAnswer answer {self_, request.epoch, request.sequence, false, known};
     const bool wrongOwner =
-        row_ && request.epoch == epoch() && !same(request.owner, row_->row.owner);
+        row_ && request.epoch == epoch() && !isSameProcess(request.owner, row_->row.owner);
     if (request.epoch < known || wrongOwner || isDead(request.owner))
         return answer;
 
-    mayClaimFrom_ = std::max(mayClaimFrom_, now + Lease::period);
+    mayClaimFrom_ = std::max(mayClaimFrom_, now + Lease::promiseDuration);
     promisedEpoch_ = request.epoch;
     promised_ = true;
     answer.promised = true;
     return answer;
 }
 
-bool Ownership::claimDue(Instant now) const
+bool Ownership::shouldClaim(Instant now) const
 {
     if (!row_)
-        return rowAbsent_ && wantedSince_ && now >= *wantedSince_ + wantedPeriod;
+        return rowAbsent_ && preferredSince_ && now >= *preferredSince_ + preferredOwnerDelay;
     if (!isDead(row_->row.owner))
         return isListed() && now >= mayClaimFrom_;
     if (isListed() || row_->row.owner.address == self_.address)
         return true;
-    if (!wanted_)
+    if (!isPreferredOwner_)
         return false;
     const auto &listed = row_->row.successors;
-    const bool othersFirst =
-        std::any_of(listed.begin(), listed.end(), [this](const ProcessId &p) { return isFit(p); });
-    return !othersFirst || now >= ownerDeadSince_.value_or(now) + unlistedDelay;
+    const bool othersFirst = std::any_of(listed.begin(), listed.end(),
+                                         [this](const ProcessId &p) { return isEligible(p); });
+    return !othersFirst || now >= ownerDeadSince_.value_or(now) + unlistedClaimDelay;
 }
 
 void Ownership::claim(Instant now, OwnershipActions &actions)
@@ -262,20 +263,20 @@
     next.successors.clear();
     const auto add = [&](const ProcessId &process) {
         if (next.successors.size() < maxSuccessors && process.address != self_.address
-            && process != oldOwner && isFit(process) && !contains(next.successors, process))
+            && process != oldOwner && isEligible(process) && !contains(next.successors, process))
             next.successors.push_back(process);
     };
     if (row_)
         std::for_each(row_->row.successors.begin(), row_->row.successors.end(), add);
-    std::for_each(choice_.begin(), choice_.end(), add);
+    std::for_each(successorCandidates_.begin(), successorCandidates_.end(), add);
     startChange(now, ChangeKind::Claim, std::move(next), actions);
 }
 
 OwnershipActions Ownership::onIncarnation(Instant now, const ProcessId &heard)
 {
     OwnershipActions actions;
-    noteDeath(now, heard.address, heard.incarnation);
-    if (!owner_ && !change_ && row_ && claimDue(now) && !reading_)
+    recordDeath(now, heard.address, heard.incarnation);
+    if (!owner_ && !change_ && row_ && shouldClaim(now) && !reading_)
         requestRead(now, actions);
     return actions;
 }
@@ -285,15 +286,15 @@
     return onIncarnation(now, {process.address, process.incarnation + 1});
 }
 
-void Ownership::noteDeath(Instant now, const std::string &address, Incarnation below)
+void Ownership::recordDeath(Instant now, const std::string &address, Incarnation below)
 {
-    Incarnation &bound = deadBelow_[address];
+    Incarnation &bound = minLiveIncarnation_[address];
     if (below <= bound)
         return;
     bound = below;
     if (row_ && isDead(row_->row.owner) && !ownerDeadSince_)
         ownerDeadSince_ = now;
-    lease_.onDeaths(now, [this](const ProcessId &process) { return isDead(process); });
+    lease_.markDead(now, [this](const ProcessId &process) { return isDead(process); });
 }
 
 OwnershipActions Ownership::refresh(Instant now)
@@ -316,10 +317,10 @@
 OwnershipActions Ownership::onTick(Instant now)
 {
     OwnershipActions actions;
-    if (!wanted_)
-        wantedSince_.reset();
-    else if (!wantedSince_)
-        wantedSince_ = now;
+    if (!isPreferredOwner_)
+        preferredSince_.reset();
+    else if (!preferredSince_)
+        preferredSince_ = now;
     const bool mayRead = !reading_ && now >= nextRead_;
     if (needRead_ && mayRead) {
         requestRead(now, actions);
@@ -327,30 +328,30 @@
         if (!change_->inFlight && mayRead)
             requestRead(now, actions);
     } else if (!owner_) {
-        const bool poll = wanted_ && now >= nextPoll_;
+        const bool poll = isPreferredOwner_ && now >= nextPoll_;
         const bool ended = promised_ && now >= mayClaimFrom_;
-        if (mayRead && (poll || ended || claimDue(now)))
+        if (mayRead && (poll || ended || shouldClaim(now)))
             requestRead(now, actions);
     }
     if (owner_) {
         tryHandOver(now, actions);
-        considerSuccessors(now, actions);
+        updateSuccessors(now, actions);
         if (now >= nextHeartbeat_)
             sendHeartbeats(now, actions);
     }
     return actions;
 }
 
-void Ownership::setSuccessorChoice(SuccessorChoice choice)
+void Ownership::setSuccessorCandidates(SuccessorCandidates candidates)
 {
-    choice_ = std::move(choice);
+    successorCandidates_ = std::move(candidates);
 }
 
-void Ownership::setWanted(bool wanted)
+void Ownership::setPreferredOwner(bool isPreferred)
 {
-    if (wanted && !wanted_)
+    if (isPreferred && !isPreferredOwner_)
         nextPoll_ = Instant {};
-    wanted_ = wanted;
+    isPreferredOwner_ = isPreferred;
 }
 
 void Ownership::setPrimary(Term term, const ServerName &primary)
@@ -363,7 +364,7 @@
 {
     if (owner_)
         return OwnershipRole::Owner;
-    return isListed() ? OwnershipRole::Successor : OwnershipRole::Bystander;
+    return isListed() ? OwnershipRole::Successor : OwnershipRole::Unlisted;
 }
 
 OwnerEpoch Ownership::epoch() const
@@ -373,7 +374,7 @@
 
 // ---- Helpers ----
 
-bool Ownership::same(const ProcessId &a, const ProcessId &b) const
+bool Ownership::isSameProcess(const ProcessId &a, const ProcessId &b) const
 {
     return checks_.incarnation ? a == b : a.address == b.address;
 }
@@ -381,13 +382,13 @@
 bool Ownership::contains(const std::vector<ProcessId> &list, const ProcessId &process) const
 {
     return std::any_of(list.begin(), list.end(),
-                       [&](const ProcessId &p) { return same(p, process); });
+                       [&](const ProcessId &p) { return isSameProcess(p, process); });
 }
 
 bool Ownership::isDead(const ProcessId &process) const
 {
-    const auto bound = deadBelow_.find(process.address);
-    return bound != deadBelow_.end() && process.incarnation < bound->second;
+    const auto bound = minLiveIncarnation_.find(process.address);
+    return bound != minLiveIncarnation_.end() && process.incarnation < bound->second;
 }
 
 bool Ownership::isListed() const
@@ -395,19 +396,21 @@
     return row_ && contains(row_->row.successors, self_);
 }
 
-bool Ownership::isFit(const ProcessId &process) const
+bool Ownership::isEligible(const ProcessId &process) const
 {
-    return !isDead(process) && std::find(choice_.begin(), choice_.end(), process) != choice_.end();
+    return !isDead(process)
+        && std::find(successorCandidates_.begin(), successorCandidates_.end(), process)
+        != successorCandidates_.end();
 }
 
 bool Ownership::isBanned(Instant now, const ProcessId &process) const
 {
-    return std::any_of(banned_.begin(), banned_.end(), [&](const Banned &banned) {
-        return banned.who == process && now < banned.until;
+    return std::any_of(banned_.begin(), banned_.end(), [&](const BannedProcess &banned) {
+        return banned.process == process && now < banned.until;
     });
 }
 
-void Ownership::keepOnlyListed()
+void Ownership::trackListedSuccessors()
 {
     lease_.keepOnly(row_->row.successors);
     for (const ProcessId &listed : row_->row.successors)
--- a/src/decision/ownership.h
+++ b/src/decision/ownership.h
@@ -86,7 +86,7 @@
 };
 struct StopServing
 {
-    std::string why;
+    std::string reason;
 };
 // Tells a successor that it is the owner now.
 struct SendHandOver
@@ -113,7 +113,7 @@
     // Another write of the row is under way, or was a moment ago.
     ChangeUnderWay,
     // No process that could take the group is known to live.
-    NobodyFit,
+    NoEligibleSuccessor,
 };
 
 // For logs.
@@ -121,7 +121,7 @@
 
 enum class OwnershipRole {
     // Not named in the row as far as known.
-    Bystander,
+    Unlisted,
     Successor,
     Owner,
 };
@@ -132,7 +132,7 @@
 {
 public:
     // Processes fit to be successors, best first (see Membership); asked when a place is free.
-    using SuccessorChoice = std::vector<ProcessId>;
+    using SuccessorCandidates = std::vector<ProcessId>;
 
     Ownership(GroupName group, ProcessId self, std::uint64_t seed, OwnershipChecks checks = {});
 
@@ -156,9 +156,9 @@
     OwnershipActions onProcessGone(Instant now, const ProcessId &process);
 
     // Who could be successor; given again at each change.
-    void setSuccessorChoice(SuccessorChoice choice);
+    void setSuccessorCandidates(SuccessorCandidates candidates);
     // Whether this process should own the group if nobody does (see Membership).
-    void setWanted(bool wanted);
+    void setPreferredOwner(bool isPreferred);
     // The servers' newest term and primary, kept in the row at the next change.
     void setPrimary(Term term, const ServerName &primary);
 
@@ -204,39 +204,39 @@
         bool maybeSent = false;
     };
 
-    struct Banned
+    struct BannedProcess
     {
-        ProcessId who;
+        ProcessId process;
         Instant until;
     };
 
-    bool same(const ProcessId &a, const ProcessId &b) const;
+    bool isSameProcess(const ProcessId &a, const ProcessId &b) const;
     bool contains(const std::vector<ProcessId> &list, const ProcessId &process) const;
     bool isDead(const ProcessId &process) const;
     bool isListed() const;
-    bool isFit(const ProcessId &process) const;
+    bool isEligible(const ProcessId &process) const;
 
     void requestRead(Instant now, OwnershipActions &actions);
-    void takeRow(Instant now, const std::optional<TaggedRow> &row, OwnershipActions &actions);
-    bool settleChange(Instant now, const std::optional<TaggedRow> &row, OwnershipActions &actions);
+    void processRow(Instant now, const std::optional<TaggedRow> &row, OwnershipActions &actions);
+    bool resolveChange(Instant now, const std::optional<TaggedRow> &row, OwnershipActions &actions);
     void adoptRow(Instant now, const TaggedRow &row);
     void startChange(Instant now, ChangeKind kind, OwnershipRow row, OwnershipActions &actions);
     void sendChange(Instant now, OwnershipActions &actions);
     void finishChange(Instant now, const std::string &etag, OwnershipActions &actions);
 
-    bool claimDue(Instant now) const;
+    bool shouldClaim(Instant now) const;
     void claim(Instant now, OwnershipActions &actions);
     void becomeOwner(Instant now, std::optional<Instant> claimSent, OwnershipActions &actions);
-    void stopServing(std::string why, OwnershipActions &actions);
+    void stopServing(std::string reason, OwnershipActions &actions);
 
     bool isSilent(Instant now, const ProcessId &process) const;
-    void noteDeath(Instant now, const std::string &address, Incarnation below);
-    void keepOnlyListed();
+    void recordDeath(Instant now, const std::string &address, Incarnation below);
+    void trackListedSuccessors();
     bool isBanned(Instant now, const ProcessId &process) const;
     void sendHeartbeats(Instant now, OwnershipActions &actions);
     void dropStaleCandidates(Instant now);
     std::vector<ProcessId> readyCandidates(Instant now, const std::vector<ProcessId> &kept);
-    void considerSuccessors(Instant now, OwnershipActions &actions);
+    void updateSuccessors(Instant now, OwnershipActions &actions);
     // Who could take the group, best first.
     std::vector<ProcessId> handOverCandidates(Instant now) const;
     void tryHandOver(Instant now, OwnershipActions &actions);
@@ -267,12 +267,12 @@
     bool promised_ = false;
     OwnerEpoch promisedEpoch_ = 0;
     OwnerEpoch highestEpoch_ = 0;
-    bool wanted_ = false;
+    bool isPreferredOwner_ = false;
     // When this process was first seen as wanted, by the clock of the ticks.
-    std::optional<Instant> wantedSince_;
+    std::optional<Instant> preferredSince_;
     std::optional<Instant> ownerDeadSince_;
     // All processes at an address with an incarnation below this are dead.
-    std::map<std::string, Incarnation> deadBelow_;
+    std::map<std::string, Incarnation> minLiveIncarnation_;
 
     // As owner.
     bool owner_ = false;
@@ -280,8 +280,8 @@
     Lease lease_;
     std::uint64_t lastSequence_ = 0;
     Instant nextHeartbeat_;
-    SuccessorChoice choice_;
-    std::vector<Banned> banned_;
+    SuccessorCandidates successorCandidates_;
+    std::vector<BannedProcess> banned_;
     Term term_ = 0;
     ServerName primary_;
 };
--- a/src/decision/promotion.cpp
+++ b/src/decision/promotion.cpp
@@ -12,14 +12,14 @@
 
 // A command without an answer is sent again, at once after a failure.
 constexpr Duration commandTimeout = milliseconds(250);
-constexpr Duration commandRetry = milliseconds(40);
+constexpr Duration commandRetryDelay = milliseconds(40);
 // A planned switch begins once the next primary is this close, and waits this long at most.
-constexpr LogOffset switchLag = 64;
-constexpr Duration switchLimit = milliseconds(300);
+constexpr LogOffset maxSwitchLag = 64;
+constexpr Duration switchTimeout = milliseconds(300);
 // A forced promotion waits this long for servers other than its target.
-constexpr Duration forcedWait = milliseconds(300);
+constexpr Duration forcedPromotionWait = milliseconds(300);
 // Waits this long for a better candidate than one that is leaving or was just given up.
-constexpr Duration trustWait = milliseconds(100);
+constexpr Duration trustedCandidateWait = milliseconds(100);
 
 } // namespace
 
@@ -30,7 +30,7 @@
     ServerState *state = find(server);
     if (!state)
         return actions;
-    heard(now, *state);
+    recordAnswer(now, *state);
     if (phase_ != Phase::Preparing || term != newTerm_)
         return actions;
     state->prepared = true;
@@ -40,38 +40,38 @@
     return actions;
 }
 
-void Failover::choose(Instant now)
+void Failover::choosePrimary(Instant now)
 {
     std::vector<Candidate> prepared;
     for (const ServerState &server : servers_) {
-        const bool trusted = !server.leaving && server.name != suspect_;
+        const bool trusted = !server.leaving && server.name != replacedPrimary_;
         if (server.prepared)
             prepared.push_back({server.name, server.report->received, trusted});
     }
     const bool all = prepared.size() == servers_.size();
-    const bool waited = all || now - phaseSince_ >= trustWait;
+    const bool waited = all || now - phaseSince_ >= trustedCandidateWait;
 
     // 1. Without loss: the highest of a majority, after a short wait for a better one.
     const Candidate *chosen = chooseCandidate(prepared, majority(), target_);
     if (!acceptLoss_) {
-        const ServerState *wished = find(target_);
-        const bool better = chosen && chosen->trusted && (!wished || wished->prepared);
+        const ServerState *preferred = find(target_);
+        const bool better = chosen && chosen->trusted && (!preferred || preferred->prepared);
         if (!chosen || (!better && !waited))
             return;
         leader_ = chosen->server;
-        enter(now, Phase::Promoting);
+        enterPhase(now, Phase::Promoting);
         return;
     }
 
     // 2. The operator's choice, once the others have had time to be prepared too.
     const ServerState *target = find(target_);
-    if (!target || !target->prepared || (!all && now - phaseSince_ < forcedWait))
+    if (!target || !target->prepared || (!all && now - phaseSince_ < forcedPromotionWait))
         return;
     lostAfter_.reset();
     if (!chosen || target->report->received < chosen->received)
         lostAfter_ = target->report->received;
     leader_ = target_;
-    enter(now, Phase::Promoting);
+    enterPhase(now, Phase::Promoting);
 }
 
 FailoverActions Failover::onPromoted(Instant now, const ServerName &server, Term term)
@@ -80,7 +80,7 @@
     ServerState *state = find(server);
     if (!state)
         return actions;
-    heard(now, *state);
+    recordAnswer(now, *state);
     if (phase_ != Phase::Promoting || server != leader_ || term != newTerm_)
         return actions;
     establish(now, server, term, actions);
@@ -96,7 +96,7 @@
     newTerm_ = std::max(newTerm_, term);
     fenceRaised_ = !checks_.fence;
     historyRead_ = false;
-    enter(now, Phase::Establishing);
+    enterPhase(now, Phase::Establishing);
     sendCommands(now, actions);
 }
 
@@ -106,7 +106,7 @@
     ServerState *state = find(server);
     if (!state)
         return actions;
-    heard(now, *state);
+    recordAnswer(now, *state);
     if (term == term_ && (phase_ == Phase::Establishing || phase_ == Phase::Ready)) {
         state->followed = true;
         if (phase_ == Phase::Establishing)
@@ -164,11 +164,11 @@
     if (holders < majority() && !acceptLoss_)
         return;
     primary_ = leader_;
-    enter(now, Phase::Ready);
-    const Duration gap = troubleSince_ ? now - *troubleSince_ : Duration {0};
+    enterPhase(now, Phase::Ready);
+    const Duration gap = outageSince_ ? now - *outageSince_ : Duration {0};
     actions.push_back(PrimaryReady {leader_, term_, gap, lostAfter_});
-    troubleSince_.reset();
-    suspect_.clear();
+    outageSince_.reset();
+    replacedPrimary_.clear();
     target_.clear();
     acceptLoss_ = false;
     lostAfter_.reset();
@@ -181,7 +181,7 @@
     ServerState *state = find(server);
     if (!state)
         return actions;
-    state->nextCommand = now + commandRetry;
+    state->nextCommand = now + commandRetryDelay;
     if (failure == CommandFailure::Unknown)
         return actions;
     // Only an answer means that the server was heard. Were a command without a connection one, a
@@ -189,7 +189,7 @@
     // majority would neither replace nor give away anything.
     if (failure == CommandFailure::Refused) {
         // The server's report tells by whom it was superseded.
-        heard(now, *state);
+        recordAnswer(now, *state);
         sendProbe(now, *state, actions);
     }
     // A candidate that was not told is asked anew under a higher term, or another is chosen.
@@ -246,7 +246,7 @@
 {
     target_ = target;
     stopWrites(now, "planned switch to " + target, actions);
-    enter(now, Phase::Switching);
+    enterPhase(now, Phase::Switching);
     leaderSequence_ = sequence_;
     sendProbes(now, actions);
 }
@@ -255,29 +255,29 @@
 {
     const ServerState *from = find(leader_);
     const ServerState *to = find(target_);
-    const bool fresh = from && to && from->report && to->report
+    const bool isFresh = from && to && from->report && to->report
         && from->reportSequence > leaderSequence_ && to->reportSequence > leaderSequence_;
-    const bool caughtUp = fresh && from->report->received <= to->report->received;
-    if (!caughtUp && now - phaseSince_ < switchLimit)
+    const bool caughtUp = isFresh && from->report->received <= to->report->received;
+    if (!caughtUp && now - phaseSince_ < switchTimeout)
         return;
-    suspect_ = leader_;
+    replacedPrimary_ = leader_;
     beginPromotion(now, "planned switch", actions);
 }
 
 // A primary that leaves hands over to the replica that is closest, once it is close enough.
-void Failover::considerLeaving(Instant now, FailoverActions &actions)
+void Failover::replaceLeavingPrimary(Instant now, FailoverActions &actions)
 {
     const ServerState *leader = find(leader_);
     if (!leader || !leader->leaving || !leader->report)
         return;
     const ServerState *best = nullptr;
     for (const ServerState &server : servers_) {
-        if (server.leaving || !holdsTerm(server) || isGone(now, server))
+        if (server.leaving || !holdsTerm(server) || hasFailed(now, server))
             continue;
         if (!best || best->report->received < server.report->received)
             best = &server;
     }
-    if (best && leader->report->received.offset <= best->report->received.offset + switchLag)
+    if (best && leader->report->received.offset <= best->report->received.offset + maxSwitchLag)
         beginSwitch(now, best->name, actions);
 }
 
--- a/src/group/ownership.cpp
+++ b/src/group/ownership.cpp
@@ -259,7 +259,7 @@
                                  const std::vector<decision::EarlierOwner> &open,
                                  const decision::EarlierOwner &before, Duration lastRenewal)
 {
-    record.earlier = decision::EarlierOwners::listWith(open, !open.empty(), before);
+    record.earlier = decision::EarlierOwners::listForNextOwner(open, !open.empty(), before);
     record.guardedUntil = lastRenewal + lease + clockMargin;
 }
 
--- a/src/group/ownershipclaims.cpp
+++ b/src/group/ownershipclaims.cpp
@@ -42,7 +42,7 @@
     if (!owner(group))
         planClaim(group, ahead,
                   coldStartDelay + 2 * claimDelay(group)
-                      + decision::claimAhead(claimant(group), groups));
+                      + decision::proactiveClaimDelay(claimant(group), groups));
 }
 
 void OwnershipTable::suspectOwner(const GroupName &group, const session::OwnerRef &suspect,
@@ -68,8 +68,8 @@
     constexpr std::size_t steps = 64;
     const std::size_t hash = std::hash<std::string>()(group + "/" + parts_.self.address);
     decision::Claimant claimant;
-    claimant.draw = static_cast<double>(hash % steps) / static_cast<double>(steps);
-    claimant.nearPrimary = parts_.primaryZone(group) == parts_.zone;
+    claimant.jitter = static_cast<double>(hash % steps) / static_cast<double>(steps);
+    claimant.inPrimaryZone = parts_.primaryZone(group) == parts_.zone;
     claimant.owned = owned().size();
     claimant.processors = parts_.processors;
     return claimant;
--- a/src/group/ownershipleases.cpp
+++ b/src/group/ownershipleases.cpp
@@ -295,7 +295,7 @@
 void OwnershipTable::onEnded(const std::string &address, const inner::OwnershipEnded &ended)
 {
     const auto found = entries_.find(ended.group);
-    if (found != entries_.end() && found->second.earlier.onSaidEnded(address, ended.epoch))
+    if (found != entries_.end() && found->second.earlier.onEndConfirmed(address, ended.epoch))
         onEarlierEnded(ended.group, address, "said_so");
 }
 
--- a/src/group/primaryholders.cpp
+++ b/src/group/primaryholders.cpp
@@ -58,7 +58,7 @@
         return;
     holdersWatchedAt_ = now;
     const bool mayKnowAll = !knowsAll_ && aloneSince_ != Instant();
-    if (mayKnowAll || !holders_.vanished().empty())
+    if (mayKnowAll || !holders_.unlisted().empty())
         askWhatIsHeld(now);
     if (now - rowWrittenAt_ >= rowPause)
         recordHolders(now);
@@ -67,7 +67,7 @@
 // The primary, and while some have vanished the others, too: whether they hold what those may hold.
 void PrimaryKeeper::askWhatIsHeld(Instant now)
 {
-    const bool replicasToo = !holders_.vanished().empty();
+    const bool replicasToo = !holders_.unlisted().empty();
     for (const auto &[id, server] : servers_)
         if (id == primary_ || (replicasToo && !server->isUnreachable()))
             ask(*server, CommandKind::Report, 0, reportTimeout,
@@ -79,10 +79,10 @@
     if (step_ != Step::Leading || report.term != term_)
         return;
     if (server != primary_ && !report.primary)
-        return holders_.onReplicaHeld(report.received);
+        return holders_.onReplicaPosition(report.received);
     if (server != primary_ || !report.primary)
         return;
-    holders_.onPrimaryHeld(report.received, asked);
+    holders_.onPrimaryPosition(report.received, asked);
     // Asked after the owners before this one had ended: all that they acknowledged is in it. An
     // answer that was already on its way then shows less.
     if (aloneSince_ == Instant() || asked < aloneSince_)
@@ -215,7 +215,7 @@
                                                : "listed";
         text += (text.empty() ? "" : " ") + id + "=" + state;
     }
-    for (const decision::LogHolder &holder : holders_.vanished())
+    for (const decision::LogHolder &holder : holders_.unlisted())
         text += (text.empty() ? "" : " ") + holder.server + "=vanished";
     return text;
 }
--- a/src/owner/groupdirectory.cpp
+++ b/src/owner/groupdirectory.cpp
@@ -83,7 +83,7 @@
     for (const auto &[name, candidates] : ownGroups_)
         wanted.insert(candidates.begin(), candidates.end());
     for (const auto &[name, runtime] : runtimes_) {
-        if (runtime->ownership().role() == decision::OwnershipRole::Bystander)
+        if (runtime->ownership().role() == decision::OwnershipRole::Unlisted)
             continue;
         for (std::string &address : membership_.candidates(name, candidateCount))
             wanted.insert(std::move(address));
@@ -161,8 +161,8 @@
     GroupRuntime *known = wanted ? runtime(group.name) : findRuntime(group.name);
     if (!known)
         return;
-    known->ownership().setWanted(wanted);
-    known->ownership().setSuccessorChoice(membership_.successorChoice(group.name, ports_.self));
+    known->ownership().setPreferredOwner(wanted);
+    known->ownership().setSuccessorCandidates(membership_.successorChoice(group.name, ports_.self));
 }
 
 GroupRuntime *GroupDirectory::findRuntime(const GroupName &group)
@@ -183,7 +183,7 @@
         std::make_unique<GroupRuntime>(*settings, configuration_, ports_, heartbeats_, responder_);
     GroupRuntime *result = made.get();
     runtimes_.emplace(group, std::move(made));
-    result->ownership().setSuccessorChoice(membership_.successorChoice(group, ports_.self));
+    result->ownership().setSuccessorCandidates(membership_.successorChoice(group, ports_.self));
     result->refreshOwner();
     return result;
 }
--- a/src/owner/ownershipdriver.cpp
+++ b/src/owner/ownershipdriver.cpp
@@ -70,14 +70,14 @@
     carryOut(ownership_.onProcessGone(now(), process));
 }
 
-void OwnershipDriver::setSuccessorChoice(std::vector<ProcessId> choice)
+void OwnershipDriver::setSuccessorCandidates(std::vector<ProcessId> choice)
 {
-    ownership_.setSuccessorChoice(std::move(choice));
+    ownership_.setSuccessorCandidates(std::move(choice));
 }
 
-void OwnershipDriver::setWanted(bool wanted)
+void OwnershipDriver::setPreferredOwner(bool wanted)
 {
-    ownership_.setWanted(wanted);
+    ownership_.setPreferredOwner(wanted);
 }
 
 void OwnershipDriver::setPrimary(Term term, const ServerName &primary)
@@ -158,8 +158,8 @@
 
 void OwnershipDriver::carryOut(const decision::StopServing &action)
 {
-    LOG(INFO) << "event=stop_serving group=" << group_ << " cause=" << logValue(action.why);
-    listener_.onStopServing(action.why);
+    LOG(INFO) << "event=stop_serving group=" << group_ << " cause=" << logValue(action.reason);
+    listener_.onStopServing(action.reason);
     listener_.onRowChanged();
 }
 
--- a/src/owner/ownershipdriver.h
+++ b/src/owner/ownershipdriver.h
@@ -15,7 +15,7 @@
     virtual ~OwnershipListener() = default;
 
     virtual void onStartServing(const decision::StartServing &start) = 0;
-    virtual void onStopServing(const std::string &why) = 0;
+    virtual void onStopServing(const std::string &reason) = 0;
     // The row as known has changed: new owner, successors or role.
     virtual void onRowChanged() = 0;
 };
@@ -35,8 +35,8 @@
     void onHeartbeatAnswer(const ProcessId &from, const inner::GroupHeartbeatAnswer &answer);
     void onIncarnation(const ProcessId &heard);
     void onProcessGone(const ProcessId &process);
-    void setSuccessorChoice(std::vector<ProcessId> choice);
-    void setWanted(bool wanted);
+    void setSuccessorCandidates(std::vector<ProcessId> choice);
+    void setPreferredOwner(bool wanted);
     void setPrimary(Term term, const ServerName &primary);
     void beginHandOver();
     // Why the row of a hand-over that was begun is not written yet.
--- a/tests/decision/actions.h
+++ b/tests/decision/actions.h
@@ -27,7 +27,7 @@
 
 // All actions of a type.
 template <typename T, typename Action>
-std::vector<T> all(const std::vector<Action> &actions)
+std::vector<T> findAll(const std::vector<Action> &actions)
 {
     std::vector<T> result;
     for (const Action &action : actions) {
@@ -39,7 +39,7 @@
 
 // The action of a type that must be there.
 template <typename T, typename Action>
-T need(const std::vector<Action> &actions)
+T requireAction(const std::vector<Action> &actions)
 {
     const std::optional<T> found = find<T>(actions);
     REQUIRE(found);
--- a/tests/decision/claimorder_test.cpp
+++ b/tests/decision/claimorder_test.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-Claimant host(double processors, bool near, std::size_t owned, double draw = 0.5)
+Claimant host(double processors, bool near, std::size_t owned, double jitter = 0.5)
 {
     Claimant claimant;
-    claimant.draw = draw;
-    claimant.nearPrimary = near;
+    claimant.jitter = jitter;
+    claimant.inPrimaryZone = near;
     claimant.owned = owned;
     claimant.processors = processors;
     return claimant;
@@ -61,17 +61,17 @@
 TEST_CASE("Claims ahead of need are spread by the number of groups, hosts with room first")
 {
     Claimant first;
-    first.draw = 0;
+    first.jitter = 0;
     Claimant last;
-    last.draw = 1;
+    last.jitter = 1;
     Claimant small;
     small.processors = 0.12;
     // Where there are few groups hardly anything changes.
-    CHECK(claimAhead(first, 3) == 0ms);
-    CHECK(claimAhead(last, 3) <= 20ms);
-    CHECK(claimAhead(small, 3) <= 20ms);
+    CHECK(proactiveClaimDelay(first, 3) == 0ms);
+    CHECK(proactiveClaimDelay(last, 3) <= 20ms);
+    CHECK(proactiveClaimDelay(small, 3) <= 20ms);
     // 155 hosts near 333 of 1,000 groups: the spread is longer than the news of a claim take.
-    CHECK(claimAhead(last, 1000) >= 1s);
-    CHECK(claimAhead(small, 1000) >= claimAhead(last, 1000));
-    CHECK(claimAhead(small, 2000) == claimAhead(small, 1000));
+    CHECK(proactiveClaimDelay(last, 1000) >= 1s);
+    CHECK(proactiveClaimDelay(small, 1000) >= proactiveClaimDelay(last, 1000));
+    CHECK(proactiveClaimDelay(small, 2000) == proactiveClaimDelay(small, 1000));
 }
--- a/tests/decision/earlierowners_test.cpp
+++ b/tests/decision/earlierowners_test.cpp
@@ -33,11 +33,11 @@
 TEST_CASE("Each earlier owner counts until it has ended or its time is over")
 {
     EarlierOwners owners = both();
-    CHECK(owners.onSaidEnded(second.process.address, second.epoch));
+    CHECK(owners.onEndConfirmed(second.process.address, second.epoch));
     CHECK(owners.mayAct(start));
     CHECK_FALSE(owners.mayAct(second, start));
     CHECK(owners.mayAct(first, start));
-    CHECK(owners.onSaidEnded(first.process.address, first.epoch));
+    CHECK(owners.onEndConfirmed(first.process.address, first.epoch));
     CHECK_FALSE(owners.mayAct(start));
     CHECK(both().mayAct(start + 11s));
     CHECK_FALSE(both().mayAct(start + 12s));
@@ -47,10 +47,10 @@
 TEST_CASE("Only proof about the same run and epoch counts")
 {
     EarlierOwners owners = both();
-    CHECK_FALSE(owners.onSaidEnded(first.process.address, first.epoch - 1));
+    CHECK_FALSE(owners.onEndConfirmed(first.process.address, first.epoch - 1));
     CHECK_FALSE(owners.onRestarted(first.process));
     CHECK(owners.onRestarted({first.process.address, first.process.incarnation + 1}));
-    CHECK(owners.onSaidEnded(second.process.address, second.epoch));
+    CHECK(owners.onEndConfirmed(second.process.address, second.epoch));
     CHECK_FALSE(owners.mayAct(start));
 }
 
@@ -58,7 +58,7 @@
 {
     EarlierOwners owners;
     owners.begin(start, {}, 10s, self);
-    CHECK_FALSE(owners.onSaidEnded("", 100));
+    CHECK_FALSE(owners.onEndConfirmed("", 100));
     CHECK(owners.mayAct(start + 9s));
     CHECK_FALSE(owners.mayAct(start + 10s));
 }
@@ -72,14 +72,14 @@
 
 TEST_CASE("The next owner's row lists everyone whose end is not proven")
 {
-    CHECK(EarlierOwners::listWith({first}, false, second).size() == 1);
-    CHECK(EarlierOwners::listWith({first}, true, second).size() == 2);
+    CHECK(EarlierOwners::listForNextOwner({first}, false, second).size() == 1);
+    CHECK(EarlierOwners::listForNextOwner({first}, true, second).size() == 2);
     // Guarded and nobody named: somebody is there all the same.
-    const auto unnamed = EarlierOwners::listWith({}, true, second);
+    const auto unnamed = EarlierOwners::listForNextOwner({}, true, second);
     REQUIRE(unnamed.size() == 2);
     CHECK_FALSE(unnamed.front().isNamed());
     // Too many to name.
-    const auto many = EarlierOwners::listWith(
+    const auto many = EarlierOwners::listForNextOwner(
         {first, first, first, first, first, first, first, first}, true, second);
     REQUIRE(many.size() == 2);
     CHECK_FALSE(many.front().isNamed());
--- a/tests/decision/failover_test.cpp
+++ b/tests/decision/failover_test.cpp
@@ -174,7 +174,7 @@
     CHECK(group.ready[0].term == 1);
     CHECK(group.ready[0].gap == Duration {0});
     CHECK(group.server("s0").fence() == 3);
-    CHECK(all<SendPrepare>(group.log).empty());
+    CHECK(findAll<SendPrepare>(group.log).empty());
 }
 
 TEST_CASE("A refused connection needs one confirmation", "[failover]")
@@ -189,7 +189,7 @@
         group.dead.clear();
         group.run(seconds(2));
         CHECK(group.ready.size() == 1);
-        CHECK(all<PrimaryGone>(group.log).empty());
+        CHECK(findAll<PrimaryGone>(group.log).empty());
     }
     SECTION("a dead primary is replaced at once")
     {
@@ -215,7 +215,7 @@
         group.run(milliseconds(300));
         group.silent.clear();
         group.run(seconds(1));
-        CHECK(all<PrimaryGone>(group.log).empty());
+        CHECK(findAll<PrimaryGone>(group.log).empty());
     }
     SECTION("traffic counts as an answer")
     {
@@ -223,7 +223,7 @@
             group.run(milliseconds(100));
             group.failover.onTraffic(group.now, "s0");
         }
-        CHECK(all<PrimaryGone>(group.log).empty());
+        CHECK(findAll<PrimaryGone>(group.log).empty());
     }
     SECTION("a hung primary is replaced")
     {
@@ -235,14 +235,14 @@
     {
         group.silent = {"s0", "s1", "s2"};
         group.run(seconds(5));
-        CHECK(all<PrimaryGone>(group.log).empty());
+        CHECK(findAll<PrimaryGone>(group.log).empty());
     }
     SECTION("a pause of this process is no silence of the servers")
     {
         group.silent.clear();
         group.now += seconds(3);
         group.run(seconds(1));
-        CHECK(all<PrimaryGone>(group.log).empty());
+        CHECK(findAll<PrimaryGone>(group.log).empty());
     }
 }
 
@@ -388,9 +388,9 @@
     }
     group.run(milliseconds(200));
     CHECK_FALSE(group.failover.primary());
-    const std::size_t before = all<SendPrepare>(group.log).size();
+    const std::size_t before = findAll<SendPrepare>(group.log).size();
     group.run(seconds(2));
-    CHECK(all<SendPrepare>(group.log).size() == before);
+    CHECK(findAll<SendPrepare>(group.log).size() == before);
 }
 
 TEST_CASE("A replica prepared by an older owner that was paused leads to a new term", "[failover]")
--- a/tests/decision/logholders_test.cpp
+++ b/tests/decision/logholders_test.cpp
@@ -27,7 +27,7 @@
 TEST_CASE("A server that leaves the list may hold commits that no other has")
 {
     const LogHolders holders = withoutC();
-    CHECK(holders.vanished() == std::vector<LogHolder> {c});
+    CHECK(holders.unlisted() == std::vector<LogHolder> {c});
     CHECK(holders.all() == std::vector<LogHolder> {a, b, c});
 }
 
@@ -35,21 +35,21 @@
 {
     LogHolders holders = withoutC();
     // Asked before it left: more may have been acknowledged with its help.
-    holders.onPrimaryHeld({1, 100}, start + 900ms);
-    holders.onReplicaHeld({1, 200});
-    CHECK(holders.vanished().size() == 1);
-    holders.onPrimaryHeld({1, 120}, start + 1100ms);
-    holders.onReplicaHeld({1, 119});
-    CHECK(holders.vanished().size() == 1);
-    holders.onReplicaHeld({1, 120});
-    CHECK(holders.vanished().empty());
+    holders.onPrimaryPosition({1, 100}, start + 900ms);
+    holders.onReplicaPosition({1, 200});
+    CHECK(holders.unlisted().size() == 1);
+    holders.onPrimaryPosition({1, 120}, start + 1100ms);
+    holders.onReplicaPosition({1, 119});
+    CHECK(holders.unlisted().size() == 1);
+    holders.onReplicaPosition({1, 120});
+    CHECK(holders.unlisted().empty());
     CHECK(holders.all() == std::vector<LogHolder> {a, b});
 }
 
 TEST_CASE("What replicas must hold is learnt anew when another one leaves or another primary leads")
 {
     LogHolders holders = withoutC();
-    holders.onPrimaryHeld({1, 120}, start + 1100ms);
+    holders.onPrimaryPosition({1, 120}, start + 1100ms);
     SECTION("another leaves")
     {
         holders.onListed({a}, start + 2s);
@@ -58,22 +58,22 @@
     {
         holders.onPrimary();
     }
-    holders.onReplicaHeld({1, 120});
-    CHECK_FALSE(holders.vanished().empty());
+    holders.onReplicaPosition({1, 120});
+    CHECK_FALSE(holders.unlisted().empty());
 }
 
 TEST_CASE("A server that is listed again is no vanished one")
 {
     LogHolders holders = withoutC();
     holders.onListed({a, b, c}, start + 2s);
-    CHECK(holders.vanished().empty());
+    CHECK(holders.unlisted().empty());
 }
 
 TEST_CASE("Another server at its address does not end what it may hold")
 {
     LogHolders holders = withoutC();
     holders.onListed({a, b, atC}, start + 2s);
-    CHECK(holders.vanished() == std::vector<LogHolder> {c});
+    CHECK(holders.unlisted() == std::vector<LogHolder> {c});
 }
 
 TEST_CASE("What vanished here a moment ago counts beside the row, and not for ever")
@@ -82,12 +82,12 @@
     SECTION("a moment ago")
     {
         holders.begin({a, b}, start + 10s);
-        CHECK(holders.vanished() == std::vector<LogHolder> {c});
+        CHECK(holders.unlisted() == std::vector<LogHolder> {c});
     }
     SECTION("long ago")
     {
         holders.begin({a, b}, start + 20s);
-        CHECK(holders.vanished().empty());
+        CHECK(holders.unlisted().empty());
     }
 }
 
@@ -96,8 +96,8 @@
     LogHolders holders;
     holders.onListed({b}, start);
     holders.begin({a, b, c}, start + 1s);
-    CHECK(holders.vanished() == std::vector<LogHolder> {a, c});
+    CHECK(holders.unlisted() == std::vector<LogHolder> {a, c});
     holders.onListed({b, c}, start + 2s);
-    CHECK(holders.vanished() == std::vector<LogHolder> {a});
+    CHECK(holders.unlisted() == std::vector<LogHolder> {a});
     CHECK(holders.all() == std::vector<LogHolder> {a, b, c});
 }
--- a/tests/decision/modelprocess.cpp
+++ b/tests/decision/modelprocess.cpp
@@ -66,7 +66,7 @@
 
 void ModelProcess::perform(const StopServing &action)
 {
-    world_.note(self_, "stops: " + action.why);
+    world_.note(self_, "stops: " + action.reason);
     ++service_;
     failover_.reset();
     abandonAll();
@@ -80,8 +80,8 @@
         if (member.reachable && lost && member.process != self_)
             membership_.onPeerDown(now(), member.process);
     }
-    ownership_.setWanted(membership_.wantedOwner(group, "") == self_);
-    ownership_.setSuccessorChoice(membership_.successorChoice(group, self_));
+    ownership_.setPreferredOwner(membership_.wantedOwner(group, "") == self_);
+    ownership_.setSuccessorCandidates(membership_.successorChoice(group, self_));
     carryOut(ownership_.onTick(now()));
 }
 
--- a/tests/decision/ownership_test.cpp
+++ b/tests/decision/ownership_test.cpp
@@ -35,18 +35,18 @@
 
     OwnerFixture()
     {
-        owner.setSuccessorChoice({b1, c1, d1});
-        owner.setWanted(true);
+        owner.setSuccessorCandidates({b1, c1, d1});
+        owner.setPreferredOwner(true);
         owner.onTick(now);
         TaggedRow row = rowOf(4, a2, {});
         row.row.owner.incarnation = 1;
         const OwnershipActions actions = owner.onRow(now, row);
-        const WriteRow write = need<WriteRow>(actions);
+        const WriteRow write = requireAction<WriteRow>(actions);
         REQUIRE(write.row.successors == std::vector<ProcessId> {b1, c1});
         const OwnershipActions done =
             owner.onWriteOutcome(now, write.row.changeId, WriteOutcome::Done, "etag-5");
-        REQUIRE(need<StartServing>(done).epoch == 5);
-        lastRequests = all<SendLeaseRequest>(done);
+        REQUIRE(requireAction<StartServing>(done).epoch == 5);
+        lastRequests = findAll<SendLeaseRequest>(done);
     }
 
     void answer(const ProcessId &from)
@@ -67,14 +67,14 @@
         while (now < end) {
             now += Ownership::tickPeriod;
             const OwnershipActions actions = owner.onTick(now);
-            const auto requests = all<SendLeaseRequest>(actions);
+            const auto requests = findAll<SendLeaseRequest>(actions);
             if (!requests.empty())
                 lastRequests = requests;
             for (const ProcessId &process : answering) {
                 if (!requests.empty())
                     answer(process);
             }
-            for (const WriteRow &write : all<WriteRow>(actions))
+            for (const WriteRow &write : findAll<WriteRow>(actions))
                 writes.push_back(write);
         }
         return writes;
@@ -96,8 +96,8 @@
     f.answer(b1);
     f.answer(c1);
     const OwnershipActions actions = f.owner.onRow(f.now, rowOf(7, a1, {b1}));
-    REQUIRE(all<StopServing>(actions).size() == 1);
-    REQUIRE(need<StartServing>(actions).epoch == 7);
+    REQUIRE(findAll<StopServing>(actions).size() == 1);
+    REQUIRE(requireAction<StartServing>(actions).epoch == 7);
     // Promises for the old epoch count no more.
     REQUIRE_FALSE(f.owner.holdsLease(f.now));
     REQUIRE(f.owner.role() == OwnershipRole::Owner);
@@ -106,19 +106,20 @@
 TEST_CASE("The first wanted process creates the row and serves at once", "[ownership]")
 {
     Ownership process("offers", a1, 1);
-    process.setWanted(true);
+    process.setPreferredOwner(true);
     REQUIRE(find<ReadRow>(process.onTick(start)));
     // It waits a little: better placed processes may not have been heard yet.
     CHECK(process.onRow(start, std::nullopt).empty());
     CHECK(process.onTick(start + milliseconds(450)).empty());
     REQUIRE(find<ReadRow>(process.onTick(start + milliseconds(500))));
-    const WriteRow write = need<WriteRow>(process.onRow(start + milliseconds(500), std::nullopt));
+    const WriteRow write =
+        requireAction<WriteRow>(process.onRow(start + milliseconds(500), std::nullopt));
     CHECK_FALSE(write.expectedEtag);
     CHECK(write.row.epoch == 1);
     CHECK_FALSE(process.holdsLease(start));
     const OwnershipActions done =
         process.onWriteOutcome(start, write.row.changeId, WriteOutcome::Done, "e1");
-    CHECK(need<StartServing>(done).epoch == 1);
+    CHECK(requireAction<StartServing>(done).epoch == 1);
     // Nobody else may claim: the lease has no end.
     CHECK(process.holdsLease(start + std::chrono::hours(1000)));
 }
@@ -126,13 +127,13 @@
 TEST_CASE("A process that is no longer wanted leaves an unowned group to another", "[ownership]")
 {
     Ownership process("offers", a1, 1);
-    process.setWanted(true);
+    process.setPreferredOwner(true);
     process.onTick(start);
     process.onRow(start, std::nullopt);
-    process.setWanted(false);
+    process.setPreferredOwner(false);
     process.onTick(start + milliseconds(300));
-    process.setWanted(true);
-    CHECK(all<WriteRow>(process.onTick(start + milliseconds(600))).empty());
+    process.setPreferredOwner(true);
+    CHECK(findAll<WriteRow>(process.onTick(start + milliseconds(600))).empty());
     CHECK(process.onRow(start + milliseconds(600), std::nullopt).empty());
 }
 
@@ -147,7 +148,7 @@
           "[ownership]")
 {
     OwnerFixture f;
-    const Duration length = Lease::period - Lease::driftMargin;
+    const Duration length = Lease::promiseDuration - Lease::driftMargin;
     CHECK(f.owner.leaseEnd() == start + length);
     // Answers to the first requests, late: they count from the send time.
     f.now += milliseconds(400);
@@ -188,8 +189,8 @@
     }
     SECTION("heard too late")
     {
-        f.owner.onIncarnation(f.now + Lease::period, b2);
-        CHECK_FALSE(f.owner.holdsLease(f.now + Lease::period));
+        f.owner.onIncarnation(f.now + Lease::promiseDuration, b2);
+        CHECK_FALSE(f.owner.holdsLease(f.now + Lease::promiseDuration));
     }
 }
 
@@ -203,7 +204,7 @@
     CHECK(f.owner.holdsLease(f.now));
 
     // 1. The old set counts until the outcome is known.
-    const Instant oldEnd = start + Lease::period - Lease::driftMargin;
+    const Instant oldEnd = start + Lease::promiseDuration - Lease::driftMargin;
     CHECK(f.owner.leaseEnd() == oldEnd);
     f.owner.onWriteOutcome(f.now, writes[0].row.changeId, WriteOutcome::Unknown, "");
     CHECK(f.owner.leaseEnd() == oldEnd);
@@ -229,7 +230,7 @@
     TaggedRow old = rowOf(5, a1, {b1, c1});
     old.etag = "etag-5";
     f.now += seconds(1);
-    const WriteRow again = need<WriteRow>(f.owner.onRow(f.now, old));
+    const WriteRow again = requireAction<WriteRow>(f.owner.onRow(f.now, old));
     CHECK(again.row.changeId == writes[0].row.changeId);
     CHECK(again.expectedEtag == writes[0].expectedEtag);
     CHECK_FALSE(f.owner.holdsLease(f.now));
@@ -242,13 +243,13 @@
     REQUIRE(writes.size() == 1);
     f.owner.onWriteOutcome(f.now, writes[0].row.changeId, WriteOutcome::NotSent, "");
     f.run(milliseconds(250), {b1, c1});
-    CHECK(f.owner.leaseEnd() > start + Lease::period);
+    CHECK(f.owner.leaseEnd() > start + Lease::promiseDuration);
 }
 
 TEST_CASE("A successor promises from receipt and claims only after that", "[ownership]")
 {
     Ownership successor("offers", b1, 2);
-    successor.setSuccessorChoice({c1, d1});
+    successor.setSuccessorCandidates({c1, d1});
     OwnershipActions actions;
     const auto answer = successor.onLeaseRequest(start, {5, a1, 1}, actions);
     REQUIRE(answer);
@@ -260,12 +261,12 @@
     // 1. A later promise moves the end.
     const Instant second = start + seconds(1);
     successor.onLeaseRequest(second, {5, a1, 2}, actions);
-    CHECK(successor.onTick(second + Lease::period - milliseconds(1)).empty());
+    CHECK(successor.onTick(second + Lease::promiseDuration - milliseconds(1)).empty());
 
     // 2. Then it reads the row and claims on that condition.
-    const Instant due = second + Lease::period;
+    const Instant due = second + Lease::promiseDuration;
     REQUIRE(find<ReadRow>(successor.onTick(due)));
-    const WriteRow claim = need<WriteRow>(successor.onRow(due, rowOf(5, a1, {b1, c1})));
+    const WriteRow claim = requireAction<WriteRow>(successor.onRow(due, rowOf(5, a1, {b1, c1})));
     CHECK(claim.row.epoch == 6);
     CHECK(claim.row.owner == b1);
     CHECK(claim.row.successors == std::vector<ProcessId> {c1, d1});
@@ -279,7 +280,7 @@
 
     // 4. The lost answer is found by reading back.
     const OwnershipActions done = successor.onRow(due, TaggedRow {claim.row, "etag-6"});
-    CHECK(need<StartServing>(done).epoch == 6);
+    CHECK(requireAction<StartServing>(done).epoch == 6);
     CHECK(successor.holdsLease(due));
 }
 
@@ -292,11 +293,11 @@
     late.onRow(start, rowOf(5, a1, {b1, c1}));
     late.onLeaseRequest(start + milliseconds(300), {5, a1, 2}, actions);
     // Listed now; the owner dies.
-    const Instant due = start + milliseconds(300) + Lease::period;
+    const Instant due = start + milliseconds(300) + Lease::promiseDuration;
     REQUIRE(find<ReadRow>(late.onTick(due)));
     TaggedRow row = rowOf(5, a1, {b1, d1});
     row.etag = "etag-5b";
-    CHECK(need<WriteRow>(late.onRow(due, row)).expectedEtag == "etag-5b");
+    CHECK(requireAction<WriteRow>(late.onRow(due, row)).expectedEtag == "etag-5b");
 }
 
 TEST_CASE("A read that a hand-over asked for is made again when it fails", "[ownership]")
@@ -314,17 +315,17 @@
     OwnershipActions actions;
     successor.onLeaseRequest(start, {5, a1, 1}, actions);
     successor.onRow(start, rowOf(5, a1, {b1, c1}));
-    const Instant due = start + Lease::period;
+    const Instant due = start + Lease::promiseDuration;
     successor.onTick(due);
-    const WriteRow claim = need<WriteRow>(successor.onRow(due, rowOf(5, a1, {b1, c1})));
+    const WriteRow claim = requireAction<WriteRow>(successor.onRow(due, rowOf(5, a1, {b1, c1})));
     const OwnershipActions lost =
         successor.onWriteOutcome(due, claim.row.changeId, WriteOutcome::Conflict, "");
     REQUIRE(find<ReadRow>(lost));
     CHECK(successor.onRow(due, rowOf(6, c1, {b1})).empty());
     CHECK(successor.role() == OwnershipRole::Successor);
     // It does not claim epoch 6 before a whole period has passed.
-    CHECK(successor.onTick(due + Lease::period - milliseconds(1)).empty());
-    CHECK(find<ReadRow>(successor.onTick(due + Lease::period)));
+    CHECK(successor.onTick(due + Lease::promiseDuration - milliseconds(1)).empty());
+    CHECK(find<ReadRow>(successor.onTick(due + Lease::promiseDuration)));
 }
 
 TEST_CASE("A proven death of the owner ends every promise to it", "[ownership]")
@@ -336,14 +337,14 @@
     REQUIRE(find<ReadRow>(successor.onIncarnation(start + milliseconds(10), a2)));
     const OwnershipActions claim =
         successor.onRow(start + milliseconds(12), rowOf(5, a1, {b1, c1}));
-    CHECK(need<WriteRow>(claim).row.epoch == 6);
+    CHECK(requireAction<WriteRow>(claim).row.epoch == 6);
 }
 
 TEST_CASE("An unlisted process claims only on proof, after fit successors", "[ownership]")
 {
     Ownership process("offers", d1, 3);
-    process.setSuccessorChoice({b1, c1});
-    process.setWanted(true);
+    process.setSuccessorCandidates({b1, c1});
+    process.setPreferredOwner(true);
     process.onTick(start);
     CHECK(process.onRow(start, rowOf(5, a1, {b1, c1})).empty());
     const Instant later = start + seconds(3600);
@@ -353,7 +354,7 @@
     CHECK(process.onTick(later + milliseconds(300)).empty());
     REQUIRE(find<ReadRow>(process.onTick(later + milliseconds(700))));
     const OwnershipActions claim = process.onRow(later + milliseconds(700), rowOf(5, a1, {b1, c1}));
-    CHECK(need<WriteRow>(claim).row.owner == d1);
+    CHECK(requireAction<WriteRow>(claim).row.owner == d1);
 }
 
 TEST_CASE("A restarted process is not the owner or successor that the row names", "[ownership]")
@@ -364,20 +365,20 @@
     {
         restarted.onLeaseRequest(start, {5, a1, 1}, actions);
         restarted.onRow(start, rowOf(5, a1, {b1, c1}));
-        CHECK(restarted.role() == OwnershipRole::Bystander);
+        CHECK(restarted.role() == OwnershipRole::Unlisted);
         // It looks once whether it was listed meanwhile, and claims nothing.
         const Instant later = start + seconds(10);
-        CHECK(all<WriteRow>(restarted.onTick(later)).empty());
+        CHECK(findAll<WriteRow>(restarted.onTick(later)).empty());
         CHECK(restarted.onRow(later, rowOf(5, a1, {b1, c1})).empty());
         CHECK(restarted.onTick(later + seconds(10)).empty());
     }
     SECTION("as owner it claims its old group at once")
     {
-        restarted.setWanted(true);
+        restarted.setPreferredOwner(true);
         restarted.onTick(start);
         const OwnershipActions claim = restarted.onRow(start, rowOf(5, b1, {c1}));
         CHECK_FALSE(restarted.holdsLease(start));
-        CHECK(need<WriteRow>(claim).row.epoch == 6);
+        CHECK(requireAction<WriteRow>(claim).row.epoch == 6);
     }
 }
 
@@ -388,14 +389,14 @@
     REQUIRE(find<ReadRow>(actions));
     REQUIRE(find<StopServing>(f.owner.onRow(f.now, rowOf(6, b1, {c1}))));
     CHECK_FALSE(f.owner.holdsLease(f.now));
-    CHECK(f.owner.role() == OwnershipRole::Bystander);
+    CHECK(f.owner.role() == OwnershipRole::Unlisted);
 }
 
 TEST_CASE("A hand-over stops service before the write and needs no lease wait", "[ownership]")
 {
     OwnerFixture f;
     f.run(milliseconds(300), {b1, c1});
-    const WriteRow write = need<WriteRow>(f.owner.beginHandOver(f.now));
+    const WriteRow write = requireAction<WriteRow>(f.owner.beginHandOver(f.now));
     CHECK(write.row.owner == b1);
     CHECK(write.row.epoch == 6);
     CHECK(write.row.successors == std::vector<ProcessId> {c1, d1});
@@ -405,16 +406,16 @@
     {
         const OwnershipActions done =
             f.owner.onWriteOutcome(f.now, write.row.changeId, WriteOutcome::Done, "etag-6");
-        CHECK(need<SendHandOver>(done).to == b1);
+        CHECK(requireAction<SendHandOver>(done).to == b1);
         CHECK(find<StopServing>(done));
 
         // The new owner serves once its successors have promised.
         Ownership next("offers", b1, 9);
         REQUIRE(find<ReadRow>(next.onHandOver(f.now, 6)));
         const OwnershipActions began = next.onRow(f.now, TaggedRow {write.row, "etag-6"});
-        CHECK(need<StartServing>(began).epoch == 6);
+        CHECK(requireAction<StartServing>(began).epoch == 6);
         CHECK_FALSE(next.holdsLease(f.now));
-        for (const SendLeaseRequest &request : all<SendLeaseRequest>(began))
+        for (const SendLeaseRequest &request : findAll<SendLeaseRequest>(began))
             next.onLeaseAnswer(f.now, {request.to, 6, request.request.sequence, true, 6});
         CHECK(next.holdsLease(f.now));
     }
@@ -428,7 +429,7 @@
         f.owner.onWriteOutcome(f.now, write.row.changeId, WriteOutcome::Unknown, "");
         CHECK_FALSE(f.owner.holdsLease(f.now));
         f.owner.onRow(f.now, TaggedRow {write.row, "etag-6"});
-        CHECK(f.owner.role() == OwnershipRole::Bystander);
+        CHECK(f.owner.role() == OwnershipRole::Unlisted);
     }
 }
 
--- a/tests/host/review_test.cpp
+++ b/tests/host/review_test.cpp
@@ -174,8 +174,8 @@
     {
         holders.begin({a, b}, Instant(102s));
     }
-    REQUIRE(holders.vanished().size() == 1);
-    CHECK(holders.vanished()[0].server == "c");
+    REQUIRE(holders.unlisted().size() == 1);
+    CHECK(holders.unlisted()[0].server == "c");
 }
 
 // What c was seen to hold is long past when it is lost; an empty server at its address that has
@@ -186,10 +186,10 @@
     holders.onListed({a, b, c}, Instant(100s));
     // Up to 1.100 only c confirms.
     holders.onListed({a, b, {"c2", c.endpoint}}, Instant(200s));
-    holders.onPrimaryHeld({1, 100}, Instant(201s));
-    holders.onReplicaHeld({1, 30});
-    REQUIRE(holders.vanished().size() == 1);
-    CHECK(holders.vanished()[0].server == "c");
+    holders.onPrimaryPosition({1, 100}, Instant(201s));
+    holders.onReplicaPosition({1, 30});
+    REQUIRE(holders.unlisted().size() == 1);
+    CHECK(holders.unlisted()[0].server == "c");
 }
 
 // The same in a world. The primary is down for a while only, and has everything.
