--- a/src/decision/candidate.h
+++ b/src/decision/candidate.h
@@ -6,18 +6,18 @@
 
 namespace kelptally::decision {
 
-// A server that was prepared for a new term, with the newest record it holds.
+// A server that was prepared for a new term, with the position of its newest record.
 struct Candidate
 {
     ServerName server;
     Position received;
-    // Neither leaving nor the primary just given up.
+    // False for a server that is leaving and for the primary being replaced.
     bool trusted = true;
 };
 
-// The server to promote: the highest position among a majority of the group, which holds every
-// confirmed record. Trusted ones alone decide if they are a majority by themselves. Of equals, the
-// wished one goes first, then a trusted one. Nothing without a majority.
+// Returns the server to promote, or nullptr if fewer than a majority are prepared. The highest
+// position among a majority holds every confirmed record. Untrusted servers are considered only if
+// the trusted ones are no majority. Ties go to the preferred server, then to a trusted one.
 const Candidate *chooseCandidate(const std::vector<Candidate> &prepared, std::size_t majority,
                                  const ServerName &preferred);
 
--- a/src/decision/claimorder.cpp
+++ b/src/decision/claimorder.cpp
@@ -6,21 +6,18 @@
 
 namespace {
 
-// Claims of several hosts are spread over this time.
+// Claims of equal hosts are spread over this time.
 constexpr Duration maxJitter = std::chrono::milliseconds(60);
 constexpr Duration otherZoneDelay = std::chrono::milliseconds(80);
-// Owners of a group with 240 statements a second used 0.07 of a core on average, and twice that in
-// a burst; with 0.12 they held statements until their callers gave up (0.18 to 0.32 of all that was
-// asked for on one day with 77 hosts, eight of which had half a core).
+// Processor cores that the owner of one group needs under bursts.
 constexpr double coresPerGroup = 0.25;
-// Long enough for those with room, that are few: with 100 ms the first of 277 hosts without room
-// was mostly before the first of 18 with it.
+// Lets hosts with spare capacity claim first, also where they are few.
 constexpr Duration noRoomDelay = std::chrono::milliseconds(150);
-// For each group that a host owns already, so that the loss of one host stalls few groups: three of
-// three stood still for 3 s where one host had them all. Less where there is more room.
+// Added for each owned group, less on hosts with more capacity. Spreads the groups over the hosts,
+// so that the loss of one host stalls few groups.
 constexpr Duration delayPerOwnedGroup = std::chrono::milliseconds(50);
 constexpr double maxOwnedDelays = 4;
-// Claims ahead of need are this far apart, in all no longer than what follows.
+// Proactive claims are spread over this time per group, up to the maximum.
 constexpr Duration proactiveClaimStep = std::chrono::milliseconds(6);
 constexpr Duration maxProactiveClaimDelay = std::chrono::seconds(2);
 
@@ -44,7 +41,7 @@
     return delay;
 }
 
-// Hosts without room come after all that have some.
+// Hosts without spare capacity claim after all hosts that have some.
 Duration proactiveClaimDelay(const Claimant &claimant, std::size_t groups)
 {
     const Duration maxJitter =
--- a/src/decision/claimorder.h
+++ b/src/decision/claimorder.h
@@ -6,29 +6,29 @@
 
 namespace kelptally::decision {
 
-// What decides how soon a host claims a group whose owner is gone: of several that want to, the one
-// that claims first has it.
+// What determines how soon a host claims a group without an owner. The first host to claim gets it.
 struct Claimant
 {
-    // Between 0 and 1, another for each pair of host and group: mostly one of the hosts writes.
+    // Between 0 and 1, different for each pair of host and group, so that hosts rarely claim at the
+    // same time.
     double jitter = 0;
-    // In the zone of the group's primary, so that statements cross zones less.
+    // Whether the host is in the availability zone of the group's primary.
     bool inPrimaryZone = false;
-    // Groups that it owns already.
+    // Number of groups that the host owns.
     std::size_t owned = 0;
     // Processor cores that the host may use, as a fraction.
     double processors = 1;
 };
 
+// Returns how long a host waits before it claims a group.
 Duration claimDelay(const Claimant &claimant);
 
-// How much longer a host waits that claims one of so many groups before anybody has asked for its
-// owner. With one claim for each group in the same tenth of a second nearly each of 155 hosts read
-// the row of each of 333 groups; spread out, a host mostly hears of an owner first.
+// Returns the additional delay for claiming a group that no request has arrived for yet. Grows with
+// the number of groups and spreads the claims, so that most hosts learn of an owner before they
+// read the group's row.
 Duration proactiveClaimDelay(const Claimant &claimant, std::size_t groups);
 
-// Whether a host with so many processor cores, as a fraction, and so many groups has room for one
-// more.
+// Whether a host with this number of processor cores and owned groups has capacity for one more.
 bool hasRoom(double processors, std::size_t owned);
 
 } // namespace kelptally::decision
--- a/src/decision/earlierowners.cpp
+++ b/src/decision/earlierowners.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// So many names stand in a row. Chosen, not measured: more changes than these within one lease have
-// not been seen, and only cost the time that they would have saved.
+// Limits the size of a row. A longer list is replaced by one unnamed owner, which is only dropped
+// when its lease expires.
 constexpr std::size_t maxListed = 8;
 
 } // namespace
--- a/src/decision/earlierowners.h
+++ b/src/decision/earlierowners.h
@@ -8,8 +8,8 @@
 
 namespace kelptally::decision {
 
-// An owner before the present one, as the group's row names it. Without a name nothing but time can
-// prove its end.
+// A previous owner of a group, as listed in the group's row. An unnamed one can only be assumed to
+// have stopped when its lease has expired.
 struct EarlierOwner
 {
     ProcessId process;
@@ -18,31 +18,33 @@
     bool isNamed() const { return !process.address.empty(); }
 };
 
-// Owners before this one that may still act: until their leases have run out, or until each is
-// proven to have ended. When hosts were cut in halves and meet again a group changes hands several
-// times within a second; with only the last of them asked for its end, the primary could not be
-// changed for 12 s, though all of them had said so.
+// Previous owners of a group that may still act on it. Each is dropped when its lease has expired
+// or when it is proven to have stopped. All of them are tracked, as a group may change owners
+// several times within one lease after a network partition heals.
 class EarlierOwners
 {
 public:
-    // A group was acquired. The row listed these, and their leases end after so long; zero: none is
-    // left. An empty list with time left names nobody.
+    // Starts with the owners listed in the row of a group just acquired. Their leases end after the
+    // remaining time; zero means that none is left. An empty list with time remaining stands for
+    // one unnamed owner.
     void begin(Instant now, const std::vector<EarlierOwner> &listed, Duration remaining,
                const ProcessId &self);
-    // The owner that the row named.
+    // Adds the owner that the row named.
     void add(const EarlierOwner &owner, Instant until);
 
     bool mayAct(Instant now) const;
     bool mayAct(const EarlierOwner &owner, Instant now) const;
-    // Those that may; the nameless ones, too.
+    // Returns the owners that may still act, including unnamed ones.
     std::vector<EarlierOwner> open(Instant now) const;
 
-    // Another run of a process was heard at its address. True when this is news.
+    // A process was seen at its address: other incarnations there have stopped. Returns whether an
+    // owner was dropped.
     bool onRestarted(const ProcessId &process);
-    // The process says that it has ended what it did under epochs up to this one.
+    // The process confirms that it has stopped acting under epochs up to this one. Returns whether
+    // an owner was dropped.
     bool onEndConfirmed(const std::string &address, OwnerEpoch epoch);
 
-    // For the row of the next owner: those that were listed before, and the one that it follows.
+    // Returns the list for the row of the next owner: the owners listed so far and its predecessor.
     static std::vector<EarlierOwner> listForNextOwner(std::vector<EarlierOwner> listed,
                                                       bool isGuarded,
                                                       const EarlierOwner &predecessor);
--- a/src/decision/failover.cpp
+++ b/src/decision/failover.cpp
@@ -10,16 +10,17 @@
 namespace {
 
 constexpr Duration probeInterval = milliseconds(100);
-// After a lost connection a probe goes at once, but no more often than this.
+// Minimum interval between probes that are sent at once after a lost connection.
 constexpr Duration minProbeInterval = milliseconds(20);
-// While a promotion waits for a majority to hold the new term.
+// Used while a promotion waits for a majority to hold the new term.
 constexpr Duration fastProbeInterval = milliseconds(20);
-// Silence counts only while another server was heard this recently; else it is us who are cut off.
+// A silent server counts as failed only if another server has answered within this time. Otherwise
+// this process may be cut off.
 constexpr Duration othersAnswerWindow = milliseconds(250);
-// Ticks further apart than this mean that this process was paused.
+// A longer interval between ticks means that this process was paused.
 constexpr Duration maxTickInterval = milliseconds(150);
-// Without a majority for this long the group is better off with another owner; longer than the
-// slowest detection and promotion.
+// Without a majority for this long another owner should take over. Longer than the slowest failure
+// detection and promotion.
 constexpr Duration cutOffTimeout = std::chrono::seconds(2);
 
 } // namespace
@@ -87,7 +88,7 @@
     return server.watch.isSilent(now) && othersAnswer(now, server);
 }
 
-// After a pause of this process all servers look silent; that says nothing of them.
+// After a pause of this process all servers appear silent, so the observation starts again.
 void Failover::resetWatches(Instant now)
 {
     watchedSince_ = now;
@@ -146,7 +147,7 @@
     if (server == leader_ && !outageSince_)
         outageSince_ = now;
     state->followed = false;
-    // A lost connection alone is no proof: a probe tells whether the server still listens.
+    // A lost connection alone does not prove a failure, so the server is probed.
     const Instant soonest = state->watch.lastProbeAt() + minProbeInterval;
     state->nextProbe = std::min(state->nextProbe, soonest);
     if (now >= soonest)
@@ -162,7 +163,8 @@
         replication_.onPrimary(now, server.report->received);
 }
 
-// The primary answers, but what it writes can't be confirmed, and the others can do without it.
+// Whether the primary answers but its log does not reach the replicas, while a majority exists
+// without it.
 bool Failover::isStalled(Instant now) const
 {
     return (phase_ == Phase::Ready || phase_ == Phase::Establishing) && !acceptLoss_
@@ -180,7 +182,7 @@
         return;
     const ServerReport &report = *server.report;
     if (isSupersededBy(report)) {
-        stopWrites(now, "a newer owner has been at server " + server.name, actions);
+        stopWrites(now, "a newer owner has taken over server " + server.name, actions);
         enterPhase(now, Phase::Superseded);
         return;
     }
@@ -192,8 +194,8 @@
     if (phase_ != Phase::Establishing && phase_ != Phase::Ready)
         return;
     if (report.term > term_) {
-        // Someone has prepared it for a later term, as an older owner that was paused: it takes
-        // no more of this term's log.
+        // Another owner, such as an older one that was paused, has prepared the server for a later
+        // term. The server rejects the log of this term.
         beginPromotion(now, "server " + server.name + " knows a higher term", actions);
     } else if (server.name == leader_ && server.reportSequence > leaderSequence_
                && !report.isPrimary) {
@@ -201,7 +203,7 @@
     }
 }
 
-// ---- From one phase to the next ----
+// ---- Phases ----
 
 void Failover::enterPhase(Instant now, Phase phase)
 {
@@ -216,12 +218,12 @@
 
 void Failover::step(Instant now, FailoverActions &actions)
 {
-    // 1. A leader that is gone.
+    // 1. Replace a failed leader.
     const bool hasLeader = phase_ == Phase::Ready || phase_ == Phase::Establishing
         || phase_ == Phase::Promoting || phase_ == Phase::Switching;
     const ServerState *leader = hasLeader ? find(leader_) : nullptr;
     if (hasLeader && !leader) {
-        beginPromotion(now, "the primary was taken out of the configuration", actions);
+        beginPromotion(now, "the primary was removed from the configuration", actions);
     } else if (leader && hasFailed(now, *leader)) {
         if (!outageSince_)
             outageSince_ = leader->watch.unansweredSince();
@@ -231,10 +233,10 @@
     } else if (leader && isStalled(now)) {
         replacedPrimary_ = leader_;
         replication_.onGivenUp();
-        beginPromotion(now, "its log does not reach the replicas", actions);
+        beginPromotion(now, "the primary's log does not reach the replicas", actions);
     }
 
-    // 2. What the phase waits for.
+    // 2. Continue the current phase.
     switch (phase_) {
     case Phase::Locating:
         locatePrimary(now, actions);
@@ -257,7 +259,7 @@
         break;
     }
 
-    // 3. Commands that are due, for the first time or again.
+    // 3. Send or repeat commands that are due.
     sendCommands(now, actions);
 }
 
@@ -279,13 +281,13 @@
     }
     if (reportCount < majority())
         return;
-    // A primary of a higher term would have been prepared at a majority, so one of those heard
-    // would know that term.
+    // For a primary of a higher term a majority was prepared, so at least one of the reports would
+    // show that term.
     if (best && best->report->term == newest) {
         establish(now, best->name, newest, actions);
     } else if (allKnown || best) {
         outageSince_ = outageSince_.value_or(phaseSince_);
-        beginPromotion(now, "no primary of the newest term", actions);
+        beginPromotion(now, "no server is primary of the newest term", actions);
     }
 }
 
@@ -323,7 +325,7 @@
     sendCommands(now, actions);
 }
 
-// ---- Configuration and time ----
+// ---- Configuration and ticks ----
 
 FailoverActions Failover::setServers(Instant now, std::vector<ServerName> servers,
                                      std::vector<ServerName> leaving)
@@ -360,7 +362,7 @@
     return actions;
 }
 
-// ---- What is known ----
+// ---- State ----
 
 const std::optional<ServerName> &Failover::primary() const
 {
--- a/src/decision/failover.h
+++ b/src/decision/failover.h
@@ -10,30 +10,30 @@
 #include <variant>
 #include <vector>
 
-// When a primary is given up and which server follows it. Runs at the owner of the group only.
+// Failure detection and promotion for a group. Runs on the group's owner only.
 namespace kelptally::decision {
 
-// What a server says of itself.
+// State of a server as the server reports it.
 struct ServerReport
 {
-    // Newest term that it was prepared for or followed: it takes no log of a lower one.
+    // Newest term that the server was prepared for or follows. It rejects logs of lower terms.
     Term term = 0;
     bool isPrimary = false;
-    // Newest record it holds, with the term that record was written in, and newest that its readers
-    // see.
+    // Newest record in its log and newest record visible to its readers, each with the term in
+    // which it was written.
     Position received;
     Position applied;
     OwnerEpoch fence = 0;
 };
 
-// One term of a group's history: the offset at which it began.
+// Start of a term in the log of a group.
 struct TermStart
 {
     Term term = 0;
     LogOffset start = 0;
 };
 
-// Actions.
+// Actions for the caller to carry out.
 struct SendProbe
 {
     ServerName server;
@@ -65,21 +65,22 @@
 {
     ServerName server;
 };
-// Writes stop: the connections to this primary are closed, and what waits for confirmation there
-// becomes unknown.
+// Writes stop: the connections to this primary are closed, and the outcome of writes that wait for
+// confirmation becomes unknown.
 struct PrimaryGone
 {
     ServerName server;
     std::string cause;
 };
-// Writes go on at this primary.
+// Writes continue on this primary.
 struct PrimaryReady
 {
     ServerName server;
     Term term = 0;
-    // From the first sign of trouble to now; zero at the first start.
+    // Time since the first sign of a failure or the stop of writes; zero at the first start.
     Duration gap {0};
-    // Loss that an operator accepted: records after this position of the old term may be gone.
+    // Set if an operator accepted data loss: records of the old term after this position may be
+    // lost.
     std::optional<Position> lostAfter;
 };
 
@@ -89,30 +90,32 @@
 
 // Why a command to a server was not carried out.
 enum class CommandFailure {
-    // The server answered that it will not.
+    // The server rejected the command.
     Refused,
-    // Nothing was sent, as when there is no connection: no word of the server.
+    // Nothing was sent, for example for lack of a connection.
     NotSent,
-    // Sent, and the answer was lost.
+    // The command was sent and the answer was lost.
     Unknown,
 };
 
+// Safety checks, always enabled in production (see OwnershipChecks).
 struct FailoverChecks
 {
     bool fence = true;
 };
 
-// Detection and promotion for one group.
+// State machine for failure detection and promotion in one group. It has no I/O and no clock:
+// callers pass the current time and carry out the returned actions.
 class Failover
 {
 public:
     Failover(GroupName group, OwnerEpoch epoch, std::vector<ServerName> servers,
              FailoverChecks checks = {});
 
-    // The owner begins to serve: finds the primary, raises the fence.
+    // Starts serving as owner: locates the primary and raises the fence.
     FailoverActions start(Instant now, Term termHint, const ServerName &primaryHint);
 
-    // Answers; sequence as in SendProbe. A failed probe or a refused connection is evidence too.
+    // Handle the answers to actions. The sequence is that of the SendProbe.
     FailoverActions onReport(Instant now, const ServerName &server, std::uint64_t sequence,
                              const ServerReport &report);
     FailoverActions onProbeFailed(Instant now, const ServerName &server, std::uint64_t sequence,
@@ -125,31 +128,32 @@
     FailoverActions onHistory(Instant now, const ServerName &server,
                               const std::vector<TermStart> &history);
     FailoverActions onCommandFailed(Instant now, const ServerName &server, CommandFailure failure);
-    // A statement of ordinary traffic was answered, or its connection was lost.
+    // A statement was answered, or its connection was lost.
     void onTraffic(Instant now, const ServerName &server);
     FailoverActions onConnectionLost(Instant now, const ServerName &server);
 
-    // Operator's wish. Without acceptLoss it needs a majority like any other promotion.
+    // Promotes the server at an operator's request. Without acceptLoss this needs a majority like
+    // any other promotion.
     FailoverActions promote(Instant now, const ServerName &server, bool acceptLoss);
 
-    // Servers as the configuration has them now.
+    // Sets the configured servers and those of them that are leaving.
     FailoverActions setServers(Instant now, std::vector<ServerName> servers,
                                std::vector<ServerName> leaving);
 
     FailoverActions onTick(Instant now);
 
-    // The primary that takes writes now; nothing while there is none.
+    // Returns the primary that accepts writes, if there is one.
     const std::optional<ServerName> &primary() const;
     Term term() const;
     const std::vector<TermStart> &history() const;
-    // Whether a session's position is known not to be part of the history. False while the history
-    // of a new term has not been read yet.
+    // Whether a session's position is known not to be part of the history. False until the history
+    // of the current term has been read.
     bool isLost(Position position) const;
     const std::optional<ServerReport> &report(const ServerName &server) const;
-    // Servers that have not been heard for two seconds, or never.
+    // Returns the servers that have not answered for two seconds, or never.
     std::vector<ServerName> silentServers(Instant now) const;
-    // Whether too few servers for a majority have been heard for two seconds. Either they are gone
-    // or this process is cut off from them, and another one may hear them.
+    // Whether fewer than a majority of the servers have answered within two seconds. Another
+    // process may still reach them.
     bool isCutOff(Instant now) const;
 
     static constexpr Duration tickPeriod = std::chrono::milliseconds(20);
@@ -157,16 +161,16 @@
 private:
     enum class Phase {
         Idle,
-        // Looks for the primary with the highest term among a majority.
+        // Searches for the primary with the highest term among a majority.
         Locating,
-        // Writes have stopped for a planned switch; the next primary catches up.
+        // Writes have stopped for a planned switch while the next primary catches up.
         Switching,
         Preparing,
         Promoting,
-        // A primary is there; fence, history and a majority that holds its term are awaited.
+        // Waits for the primary's fence and history and for a majority that holds its term.
         Establishing,
         Ready,
-        // A newer owner has been here.
+        // A newer owner has taken over the group.
         Superseded,
     };
 
@@ -179,7 +183,7 @@
         std::uint64_t reportSequence = 0;
         ServerWatch watch;
         Instant nextProbe;
-        // In the term that is being made or served.
+        // In the term being established or served.
         bool prepared = false;
         bool followed = false;
         Instant nextCommand;
@@ -223,11 +227,11 @@
     Phase phase_ = Phase::Idle;
     Instant phaseSince_;
     Instant lastTick_;
-    // Silence is counted from here: the start, or the end of a pause of this process.
+    // Start of the observation of the servers: the start, or the end of a pause of this process.
     Instant watchedSince_;
     std::uint64_t sequence_ = 0;
 
-    // The server that is, or is about to be, primary.
+    // The current or next primary.
     ServerName leader_;
     std::uint64_t leaderSequence_ = 0;
     std::optional<ServerName> primary_;
@@ -239,17 +243,17 @@
     bool historyRead_ = false;
     ReplicationWatch replication_;
 
-    // Given up last; chosen again only if nothing else is safe.
+    // The primary being replaced. Chosen again only if no other server is safe.
     ServerName replacedPrimary_;
     std::optional<Instant> outageSince_;
-    // An operator's or a planned choice.
+    // The server that an operator or a planned switch selected.
     ServerName target_;
     bool acceptLoss_ = false;
     std::optional<Position> lostAfter_;
 };
 
-// Whether a position of any term is part of the history that leads to the current term: its term
-// is the current one, or its offset lies before the start of the next term.
+// Whether the position is part of the history that leads to the current term: its term is the
+// current one, or its offset precedes the start of the next term.
 bool isInHistory(Position position, Term currentTerm, const std::vector<TermStart> &history);
 
 } // namespace kelptally::decision
--- a/src/decision/lease.cpp
+++ b/src/decision/lease.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Rounds whose late answers still count: with a heartbeat each 300 ms, older ones promise nothing
-// that has not run out.
+// Rounds kept to match late answers. At one heartbeat each 300 ms, promises of older rounds have
+// expired.
 constexpr std::size_t maxRounds = 8;
 
 } // namespace
--- a/src/decision/lease.h
+++ b/src/decision/lease.h
@@ -10,54 +10,57 @@
 
 namespace kelptally::decision {
 
-// The lease of one owner, made of other processes' promises not to claim the group. A promise
-// counts from the send time of the request that it answers, so the owner's end comes before the
-// other's whatever the way took.
+// The lease of a group's owner, built from successors' promises not to claim the group.
+//
+// The owner counts a promise from the send time of the request and the successor from its receipt,
+// so the owner's lease ends first whatever the network delay.
 class Lease
 {
 public:
-    // How long a promise holds, counted by the one that makes it from the receipt of the request.
+    // How long a successor keeps a promise, from the receipt of the request.
     static constexpr Duration promiseDuration = std::chrono::milliseconds(1500);
-    // Taken off the owner's side for clocks that run at different speeds (3%; chosen).
+    // Subtracted on the owner's side to allow for clock drift between the two processes.
     static constexpr Duration driftMargin = std::chrono::milliseconds(50);
 
-    // With byIncarnation, a promise counts for the very run of a process that made it.
+    // With byIncarnation, a promise counts only for the incarnation of the process that made it.
     explicit Lease(bool byIncarnation) : byIncarnation_(byIncarnation) { }
 
     void clear();
-    // Begins to count on a process: nothing is promised yet, or since the given time.
+    // Adds a process, without a promise or with one that counts from startsAt.
     void add(const ProcessId &process, std::optional<Instant> startsAt);
-    // Forgets all others.
+    // Removes all other processes.
     void keepOnly(const std::vector<ProcessId> &processes);
     void remove(const ProcessId &process);
     bool contains(const ProcessId &process) const { return find(process) != nullptr; }
 
-    // Begins a round of requests; those returned are to be asked under this sequence.
+    // Starts a round of requests and returns the processes to send them to with this sequence.
     std::vector<ProcessId> beginRound(Instant now, std::uint64_t sequence);
     void onPromise(const ProcessId &from, std::uint64_t sequence);
 
-    // Runs for which the test holds are dead. One that dies while its promise holds has never
-    // claimed and never will.
+    // Marks the processes for which isDead returns true. A process that died while its promise held
+    // has never claimed the group and never will.
     void markDead(Instant now, const std::function<bool(const ProcessId &)> &isDead);
 
-    // Until when the process cannot claim: the far past without a promise, the far future when it
-    // never will.
+    // Returns the time until which the process cannot claim the group: Instant::min() without a
+    // promise, Instant::max() if it died while its promise held. For several processes, returns the
+    // earliest such time.
     Instant end(const ProcessId &process) const;
     Instant end(const std::vector<ProcessId> &processes) const;
 
-    // A request has been unanswered for this long, or the process is known dead.
+    // Whether a request to the process has gone unanswered for at least the limit, or the process
+    // is unknown or dead.
     bool isSilent(Instant now, const ProcessId &process, Duration limit) const;
 
-    // Those asked, in the order in which they were added.
+    // Returns the processes in the order in which they were added.
     std::vector<ProcessId> processes() const;
 
 private:
     struct Promise
     {
         ProcessId process;
-        // Send time of the newest request it answered, or of the claim that listed it.
+        // Send time of the latest answered request, or of the claim that listed the process.
         std::optional<Instant> startsAt;
-        // Send time of the oldest request that it has not answered since.
+        // Send time of the oldest unanswered request after that.
         std::optional<Instant> unansweredSince;
         bool diedDuringPromise = false;
     };
--- a/src/decision/logholders.cpp
+++ b/src/decision/logholders.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// An owner tells the row of servers within a second or so of hearing of them. One that vanished
-// longer ago than this, and that the row does not name, was seen not to be needed.
+// An owner updates the row well within this time. A server that left the list earlier and that the
+// row does not name is no longer a holder.
 constexpr Duration maxRowDelay = std::chrono::seconds(15);
 
 bool contains(const std::vector<LogHolder> &holders, const ServerName &server)
--- a/src/decision/logholders.h
+++ b/src/decision/logholders.h
@@ -13,38 +13,37 @@
 struct LogHolder
 {
     ServerName server;
-    // "ip:port". A server that crashed comes back there with its log, also under another id.
+    // "ip:port". A crashed server returns here with its log, possibly under another id.
     std::string endpoint;
 };
 
 bool operator==(const LogHolder &a, const LogHolder &b);
 
-// Which servers may hold commits that were acknowledged in a group, whatever the list of servers
-// says at the moment.
+// Tracks which servers of a group may hold acknowledged commits, including servers that are not on
+// the current list of servers.
 //
-// A commit is acknowledged once a second server has received it, and that one may leave the list
-// right afterwards: it has crashed, its entry has lapsed, or this process has just started and has
-// not heard of it. A choice among the listed ones alone then promotes a server that lacks the
-// commit. So a server that has left the list stays a holder until another one is seen to hold all
-// that the primary had after it had left.
+// A commit is acknowledged once a second server has received it, and that server may leave the list
+// at once: it crashed, its entry expired, or this process has just started. Choosing among listed
+// servers alone could then promote a server that lacks the commit. A server that has left the list
+// therefore stays a holder until another replica holds all that the primary held after that time.
 class LogHolders
 {
 public:
-    // Begins with those that the group's row names, and those that vanished here a moment ago: the
-    // row may not have heard of them yet.
+    // Starts with the holders named in the group's row and those that left the list recently, which
+    // the row may not name yet.
     void begin(const std::vector<LogHolder> &named, Instant now);
     void onListed(const std::vector<LogHolder> &listed, Instant now);
 
-    // The primary was asked then, and held this.
+    // The primary answered a request sent at requestedAt, with the position of its newest record.
     void onPrimaryPosition(Position position, Instant requestedAt);
-    // A listed replica of the same term holds all up to this.
+    // A listed replica of the same term holds all records up to the position.
     void onReplicaPosition(Position position);
-    // Another primary leads: what replicas have to hold is learnt anew.
+    // The primary changed: resets the position that a replica has to reach.
     void onPrimary();
 
-    // Those that the list does not name.
+    // Returns the holders that are not on the list of servers.
     const std::vector<LogHolder> &unlisted() const { return unlisted_; }
-    // All, in a fixed order, as the row names them.
+    // Returns all holders, sorted by server, as the row names them.
     std::vector<LogHolder> all() const;
 
 private:
@@ -52,7 +51,7 @@
 
     std::vector<LogHolder> listed_;
     std::vector<LogHolder> unlisted_;
-    // When the last of them left, and what the primary held after that.
+    // When the last of them left the list, and the position of the primary after that.
     Instant unlistedAt_ {};
     std::optional<Position> requiredPosition_;
 };
--- a/src/decision/ownerrole.cpp
+++ b/src/decision/ownerrole.cpp
@@ -3,19 +3,19 @@
 #include <algorithm>
 #include <utility>
 
-// The owner's part: its lease, its successors, the hand-over.
+// The owner's side of Ownership: lease, successors and hand-over.
 namespace kelptally::decision {
 
 using std::chrono::milliseconds;
 
 namespace {
 
-// A successor is given up when a request stays unanswered for this long: two heartbeats, which
-// leaves 700 ms of the lease for the write that drops it.
+// A successor that leaves a request unanswered for this long is replaced. The rest of the lease is
+// left for the write that removes it from the row.
 constexpr Duration silenceTimeout = milliseconds(450);
-// A process that did not answer is not listed again for this long.
+// How long a process that did not answer is not considered as a successor.
 constexpr Duration banPeriod = std::chrono::seconds(3);
-// A candidate is listed only while this much of its promise is left.
+// A candidate is listed only if at least this much of its promise remains.
 constexpr Duration minRemainingPromise = milliseconds(500);
 
 } // namespace
@@ -67,7 +67,7 @@
     if (!owner_ || (change_ && change_->kind == ChangeKind::HandOver))
         return Instant::min();
     const Instant end = lease_.end(row_->row.successors);
-    // While the outcome of a change is open, the promises of both sets count.
+    // While a write is pending, either list of successors may be in effect.
     return change_ ? std::min(end, lease_.end(change_->row.successors)) : end;
 }
 
@@ -83,7 +83,7 @@
     return isDead(process) || lease_.isSilent(now, process, silenceTimeout);
 }
 
-// Candidates that do not answer make room for the next.
+// Removes candidates that do not answer or are not eligible any more.
 void Ownership::dropStaleCandidates(Instant now)
 {
     for (const ProcessId &process : lease_.processes()) {
@@ -97,8 +97,8 @@
     banned_.erase(std::remove_if(banned_.begin(), banned_.end(), isExpired), banned_.end());
 }
 
-// Asks those best placed for a promise, and returns those that have made one: a process is listed
-// only under a promise that holds.
+// Adds the best candidates for the free places to the lease, so that heartbeats request their
+// promise, and returns those that have given it. A process is listed only with a valid promise.
 std::vector<ProcessId> Ownership::readyCandidates(Instant now, const std::vector<ProcessId> &kept)
 {
     std::vector<ProcessId> ready;
@@ -123,8 +123,8 @@
         return;
     dropStaleCandidates(now);
 
-    // 1. Those that answer stay; of those that the choice no longer holds, as when their host
-    // leaves, one makes room at a time.
+    // 1. Keep successors that answer. Of those no longer eligible, for example as their host
+    // leaves, replace one at a time.
     std::vector<ProcessId> next;
     for (const ProcessId &listed : row_->row.successors) {
         if (!isSilent(now, listed))
@@ -138,7 +138,7 @@
     if (ineligible != next.end())
         kept.erase(kept.begin() + (ineligible - next.begin()));
 
-    // 2. Free places go to candidates that have promised.
+    // 2. Fill free places with candidates that have given their promise.
     const std::vector<ProcessId> ready = readyCandidates(now, kept);
     if (!ready.empty()) {
         next = kept;
--- a/src/decision/ownership.cpp
+++ b/src/decision/ownership.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// Pause after a read or write of the row that failed.
+// Delay before a failed read or write of the row is retried.
 constexpr Duration storeRetryDelay = milliseconds(250);
-// A process that should own the group but does not looks at the row this often.
+// How often the preferred owner reads the row while it does not own the group.
 constexpr Duration pollPeriod = std::chrono::seconds(5);
-// A group without a row is claimed by a process that has been wanted for so long: at a start of
-// many the first would else take all groups before it has heard the others.
+// How long a process must have been the preferred owner before it creates the row. Prevents the
+// first of many starting processes from claiming all groups before it knows the others.
 constexpr Duration preferredOwnerDelay = milliseconds(500);
-// Listed successors go before a process that is not listed.
+// Delays the claim of an unlisted process, so that listed successors claim first.
 constexpr Duration unlistedClaimDelay = milliseconds(600);
 
 } // namespace
@@ -28,7 +28,7 @@
     minLiveIncarnation_[self_.address] = self_.incarnation;
 }
 
-// ---- The row ----
+// ---- Row ----
 
 OwnershipActions Ownership::onRow(Instant now, const std::optional<TaggedRow> &row)
 {
@@ -69,40 +69,41 @@
 void Ownership::processRow(Instant now, const std::optional<TaggedRow> &row,
                            OwnershipActions &actions)
 {
-    // 1. The outcome of a write of our own.
+    // 1. Outcome of the pending write.
     if (change_ && resolveChange(now, row, actions))
         return;
 
-    // 2. A row that was taken away, or an answer older than what is known.
+    // 2. A deleted row, or an answer older than the known row.
     const OwnerEpoch previousEpoch = epoch();
     rowAbsent_ = !row;
     if (!row) {
         row_.reset();
         if (owner_)
-            stopServing("the row is gone", actions);
+            stopServing("the ownership row does not exist", actions);
     } else if (row_ && row->row.epoch < row_->row.epoch) {
         return;
     } else {
         adoptRow(now, *row);
     }
 
-    // 3. Who owns the group now.
+    // 3. Start or stop serving.
     const bool named = row_ && isSameProcess(row_->row.owner, self_);
     if (owner_ && !named)
-        stopServing("another owner is in the row", actions);
-    // Somebody owned it in between and gave it back, unseen here. Leases, terms and the fence of
-    // the old epoch count for nothing any more.
+        stopServing("the ownership row names another owner", actions);
+    // Another process owned the group in between and handed it back. Lease, term and fence of the
+    // old epoch are void.
     else if (owner_ && epoch() != previousEpoch)
-        stopServing("it was lost and is back", actions);
+        stopServing("ownership was lost and regained", actions);
     if (!owner_ && named)
         becomeOwner(now, std::nullopt, actions);
 
-    // 4. Whether to claim it.
+    // 4. Claim.
     if (!owner_ && !change_ && shouldClaim(now))
         claim(now, actions);
 }
 
-// True when the row read says no more than that our write has not landed yet, or that it has.
+// Compares the row read with the pending write. Returns false if another process has changed the
+// row, which means that the write has failed for good.
 bool Ownership::resolveChange(Instant now, const std::optional<TaggedRow> &row,
                               OwnershipActions &actions)
 {
@@ -113,7 +114,7 @@
     const bool unchanged =
         row ? change_->expectedEtag == row->etag : !change_->expectedEtag.has_value();
     if (unchanged) {
-        // It may still land: only the same write again can tell.
+        // An earlier attempt may still take effect, so the same write is repeated.
         if (!change_->inFlight && now >= change_->lastSent + storeRetryDelay)
             sendChange(now, actions);
         return true;
@@ -125,8 +126,7 @@
 
 void Ownership::adoptRow(Instant now, const TaggedRow &row)
 {
-    // A new epoch was not there when its claim was sent, so counting from here is on the safe side
-    // of the new owner's lease, which counts from the claim.
+    // The new owner's lease counts from the time when it sent its claim, which is before this read.
     if (!row_ || row.row.epoch > row_->row.epoch)
         mayClaimFrom_ = std::max(mayClaimFrom_, now + Lease::promiseDuration);
     const bool newOwner = !row_ || row_->row.owner != row.row.owner;
@@ -219,7 +219,7 @@
     const OwnerEpoch known = std::max(epoch(), promisedEpoch_);
     if (request.epoch > epoch())
         requestRead(now, actions);
-    // A claim or a hand-over whose outcome is open could make a promise a lie.
+    // A pending claim or hand-over may still succeed and would break the promise.
     if (change_ || (owner_ && request.epoch >= epoch()))
         return std::nullopt;
 
@@ -312,7 +312,7 @@
     return actions;
 }
 
-// ---- Time and settings ----
+// ---- Ticks and settings ----
 
 OwnershipActions Ownership::onTick(Instant now)
 {
--- a/src/decision/ownership.h
+++ b/src/decision/ownership.h
@@ -11,32 +11,33 @@
 #include <variant>
 #include <vector>
 
-// Who owns a database group, decided without a coordination service: one row in the table service,
-// changed only by conditional write, and leases made of successors' promises.
+// Ownership of a database group without a coordination service. The owner is named in one row of
+// the table service, which is changed by conditional writes only, and holds a lease that its
+// successors grant.
 namespace kelptally::decision {
 
-// The row of one group in the table service.
+// The row of a group in the table service.
 struct OwnershipRow
 {
     OwnerEpoch epoch = 0;
     ProcessId owner;
-    // Processes that may claim the group once their promise has ended; at most two.
+    // Processes that may claim the group once their promise has expired; at most maxSuccessors.
     std::vector<ProcessId> successors;
-    // Newest term and primary, as a hint for the next owner; the servers themselves decide.
+    // Newest term and primary, as a hint for the next owner. The servers' reports decide.
     Term term = 0;
     ServerName primary;
-    // Drawn anew for each write, so that a lost answer is recognised by reading back.
+    // Unique for each write. Identifies the write when the row is read back after a lost answer.
     std::string changeId;
 };
 
-// A row as read, with the tag for the next conditional write.
+// A row and its ETag, the condition of the next write.
 struct TaggedRow
 {
     OwnershipRow row;
     std::string etag;
 };
 
-// What one successor is asked to promise, and what it answers.
+// Asks a successor for the promise not to claim the group.
 struct LeaseRequest
 {
     OwnerEpoch epoch = 0;
@@ -50,26 +51,27 @@
     OwnerEpoch epoch = 0;
     std::uint64_t sequence = 0;
     bool promised = false;
+    // Highest epoch that the answering process knows.
     OwnerEpoch knownEpoch = 0;
 };
 
 enum class WriteOutcome {
     Done,
-    // The condition did not hold; nothing was written.
+    // The condition did not hold and nothing was written.
     Conflict,
     // Nothing was sent.
     NotSent,
-    // The answer was lost; only reading back tells.
+    // The answer was lost. The row has to be read to learn the outcome.
     Unknown,
 };
 
-// Actions that the process carries out.
+// Actions for the caller to carry out.
 struct ReadRow
 { };
 struct WriteRow
 {
     OwnershipRow row;
-    // Nothing: the row must not exist yet.
+    // Without a value the row must not exist.
     std::optional<std::string> expectedEtag;
 };
 struct SendLeaseRequest
@@ -77,7 +79,7 @@
     ProcessId to;
     LeaseRequest request;
 };
-// Start to serve the group at this epoch; reads and writes still need holdsLease().
+// Starts serving the group at this epoch. Statements still require holdsLease().
 struct StartServing
 {
     OwnerEpoch epoch = 0;
@@ -88,7 +90,7 @@
 {
     std::string reason;
 };
-// Tells a successor that it is the owner now.
+// Notifies a successor that it is the owner now.
 struct SendHandOver
 {
     ProcessId to;
@@ -99,85 +101,87 @@
     std::variant<ReadRow, WriteRow, SendLeaseRequest, StartServing, StopServing, SendHandOver>;
 using OwnershipActions = std::vector<OwnershipAction>;
 
-// Which checks are in force. All of them, always: tests of the checker switch one off to show that
-// a schedule then breaks a promise.
+// Safety checks, always enabled in production. The model checker's tests disable one to verify that
+// the checker finds the violation.
 struct OwnershipChecks
 {
     bool lease = true;
     bool incarnation = true;
 };
 
-// What keeps an owner from writing the row of a hand-over.
+// Why an owner cannot write the row of a hand-over yet.
 enum class HandOverWait {
     None,
-    // Another write of the row is under way, or was a moment ago.
+    // Another write of the row is pending or has just failed.
     ChangeUnderWay,
-    // No process that could take the group is known to live.
+    // No live process is eligible to take the group.
     NoEligibleSuccessor,
 };
 
-// For logs.
+// Returns the name used in logs.
 const char *handOverWaitName(HandOverWait wait);
 
 enum class OwnershipRole {
-    // Not named in the row as far as known.
+    // Not named in the row, as far as this process knows.
     Unlisted,
     Successor,
     Owner,
 };
 
-// The part of one process in the ownership of one group. No I/O and no clock: each call says when
-// it happens and returns what to do.
+// State machine of one process for the ownership of one group. It has no I/O and no clock: callers
+// pass the current time and carry out the returned actions.
 class Ownership
 {
 public:
-    // Processes fit to be successors, best first (see Membership); asked when a place is free.
+    // Processes eligible as successors, best first (see Membership).
     using SuccessorCandidates = std::vector<ProcessId>;
 
     Ownership(GroupName group, ProcessId self, std::uint64_t seed, OwnershipChecks checks = {});
 
-    // The answer of a ReadRow; nothing when there is no row.
+    // Handles the answer to a ReadRow. Without a value the row does not exist.
     OwnershipActions onRow(Instant now, const std::optional<TaggedRow> &row);
     OwnershipActions onRowReadFailed(Instant now);
-    // The answer of a WriteRow. The new tag comes with Done.
+    // Handles the answer to a WriteRow. The new ETag is valid with Done only.
     OwnershipActions onWriteOutcome(Instant now, const std::string &changeId, WriteOutcome outcome,
                                     const std::string &etag);
 
-    // As successor: answers an owner's request. Nothing means no answer at all, as while the
-    // outcome of its own claim is not known.
+    // As successor: answers an owner's request. Returns no value if it must not answer, for
+    // example while the outcome of this process's own claim is unknown.
     std::optional<LeaseAnswer> onLeaseRequest(Instant now, const LeaseRequest &request,
                                               OwnershipActions &actions);
-    // As owner.
+    // As owner: handles a successor's answer.
     OwnershipActions onLeaseAnswer(Instant now, const LeaseAnswer &answer);
 
-    // Another process at the address was heard with this incarnation: all older ones are dead.
+    // A process was seen at its address with this incarnation: all older ones there are dead.
     OwnershipActions onIncarnation(Instant now, const ProcessId &heard);
-    // The platform's list no longer has the host of this process (for longer than its lag).
+    // The host of the process has left the platform's list for longer than the list's delay.
     OwnershipActions onProcessGone(Instant now, const ProcessId &process);
 
-    // Who could be successor; given again at each change.
+    // Sets the eligible successors. The caller repeats this at each change of the membership.
     void setSuccessorCandidates(SuccessorCandidates candidates);
-    // Whether this process should own the group if nobody does (see Membership).
+    // Sets whether this process should own the group if no other process does (see Membership).
     void setPreferredOwner(bool isPreferred);
-    // The servers' newest term and primary, kept in the row at the next change.
+    // Sets the newest term and primary, which the next write of the row includes.
     void setPrimary(Term term, const ServerName &primary);
 
-    // Begins a planned hand-over to a successor. StopServing and SendHandOver follow once the row
-    // says so; the caller stops giving out new work by its own means first.
+    // Starts a planned hand-over to a successor. The caller must have stopped sending new work.
+    // StopServing and SendHandOver follow when the row has been written.
     OwnershipActions beginHandOver(Instant now);
     HandOverWait handOverWait(Instant now) const;
-    // Reads the row, as when a caller expects another owner than the one it names.
+    // Requests a read of the row, for example when another owner is expected.
     OwnershipActions refresh(Instant now);
-    // As new owner, told by the old one.
+    // As new owner: handles the previous owner's notification.
     OwnershipActions onHandOver(Instant now, OwnerEpoch newEpoch);
 
-    // Called at least each tickPeriod: heartbeats, claims, replacement of successors, retries.
+    // Must be called at least once each tickPeriod. Drives heartbeats, claims, replacement of
+    // successors and retries.
     OwnershipActions onTick(Instant now);
 
-    // Whether this process is owner and its lease holds at this instant. Checked when a statement
-    // is sent and again when its answer is acknowledged.
+    // Whether this process is owner and its lease is valid. The caller checks this before it sends
+    // a statement and again before it acknowledges the answer.
     bool holdsLease(Instant now) const;
-    // End of the lease as owner; the far future when nobody could claim.
+    // Returns the end of the owner's lease: Instant::max() if no other process can claim the group,
+    // Instant::min() if this process is not the owner or is handing over.
     Instant leaseEnd() const;
     OwnershipRole role() const;
     OwnerEpoch epoch() const;
@@ -190,8 +194,8 @@
 private:
     enum class ChangeKind { Claim, Successors, HandOver };
 
-    // The one write of the row that is under way. It stays until its outcome is certain, and is
-    // only ever repeated as it was: an attempt that seemed lost may still land.
+    // The pending write of the row. It is kept until its outcome is certain and retried unchanged,
+    // as an earlier attempt may still take effect.
     struct Change
     {
         ChangeKind kind = ChangeKind::Claim;
@@ -200,7 +204,7 @@
         Instant firstSent;
         Instant lastSent;
         bool inFlight = true;
-        // Some attempt may have reached the store.
+        // An attempt may have reached the store.
         bool maybeSent = false;
     };
 
@@ -237,7 +241,7 @@
     void dropStaleCandidates(Instant now);
     std::vector<ProcessId> readyCandidates(Instant now, const std::vector<ProcessId> &kept);
     void updateSuccessors(Instant now, OwnershipActions &actions);
-    // Who could take the group, best first.
+    // Returns the processes that could take over the group, best first.
     std::vector<ProcessId> handOverCandidates(Instant now) const;
     void tryHandOver(Instant now, OwnershipActions &actions);
 
@@ -247,12 +251,12 @@
     std::mt19937_64 random_;
     std::optional<TaggedRow> row_;
 
-    // Reading of the row.
+    // Reads of the row.
     bool reading_ = false;
-    // The read under way began before a write that is known to be done.
+    // The pending read was sent before a write that has succeeded since, so its result is ignored.
     bool staleRead_ = false;
     bool readAgain_ = false;
-    // A read was asked for and none has succeeded since.
+    // A read was requested and none has succeeded since.
     bool needRead_ = false;
     bool rowAbsent_ = false;
     Instant nextRead_;
@@ -262,16 +266,16 @@
 
     // As successor.
     Instant mayClaimFrom_;
-    // A promise was made that may have listed us without our knowledge: once it has ended, the row
-    // tells.
+    // A promise was made since the row was last read. The owner may have listed this process since
+    // then, so the row is read when the promise has expired.
     bool promised_ = false;
     OwnerEpoch promisedEpoch_ = 0;
     OwnerEpoch highestEpoch_ = 0;
     bool isPreferredOwner_ = false;
-    // When this process was first seen as wanted, by the clock of the ticks.
+    // Time of the first tick at which this process was the preferred owner.
     std::optional<Instant> preferredSince_;
     std::optional<Instant> ownerDeadSince_;
-    // All processes at an address with an incarnation below this are dead.
+    // By address: processes with a lower incarnation are dead.
     std::map<std::string, Incarnation> minLiveIncarnation_;
 
     // As owner.
--- a/src/decision/promotion.cpp
+++ b/src/decision/promotion.cpp
@@ -3,22 +3,23 @@
 
 #include <algorithm>
 
-// Failover's way from a new term to a primary that takes writes.
+// Promotion in Failover: from a new term to a primary that accepts writes.
 namespace kelptally::decision {
 
 using std::chrono::milliseconds;
 
 namespace {
 
-// A command without an answer is sent again, at once after a failure.
+// A command is repeated after the timeout, or sooner if it failed.
 constexpr Duration commandTimeout = milliseconds(250);
 constexpr Duration commandRetryDelay = milliseconds(40);
-// A planned switch begins once the next primary is this close, and waits this long at most.
+// A planned switch starts when the next primary is at most this far behind, and waits at most this
+// long for it to catch up.
 constexpr LogOffset maxSwitchLag = 64;
 constexpr Duration switchTimeout = milliseconds(300);
-// A forced promotion waits this long for servers other than its target.
+// How long a forced promotion waits for the other servers to be prepared.
 constexpr Duration forcedPromotionWait = milliseconds(300);
-// Waits this long for a better candidate than one that is leaving or was just given up.
+// How long to wait for a better candidate than a leaving server or the primary being replaced.
 constexpr Duration trustedCandidateWait = milliseconds(100);
 
 } // namespace
@@ -51,7 +52,7 @@
     const bool all = prepared.size() == servers_.size();
     const bool waited = all || now - phaseSince_ >= trustedCandidateWait;
 
-    // 1. Without loss: the highest of a majority, after a short wait for a better one.
+    // 1. Without loss: the best candidate of a majority, after a short wait for a trusted one.
     const Candidate *chosen = chooseCandidate(prepared, majority(), target_);
     if (!acceptLoss_) {
         const ServerState *preferred = find(target_);
@@ -63,7 +64,8 @@
         return;
     }
 
-    // 2. The operator's choice, once the others have had time to be prepared too.
+    // 2. With accepted loss: the operator's target, once the other servers have had time to be
+    // prepared.
     const ServerState *target = find(target_);
     if (!target || !target->prepared || (!all && now - phaseSince_ < forcedPromotionWait))
         return;
@@ -137,8 +139,8 @@
     return actions;
 }
 
-// Whether a server holds a record of the current term, and so all that came before it: then no log
-// of an older term can win over it. Each term begins with a record of its own.
+// Whether the server holds a record of the current term and thus all earlier ones. No log of an
+// older term can be preferred to it then. Each term starts with a record of its own.
 bool Failover::holdsTerm(const ServerState &server) const
 {
     return server.report && server.report->term == term_ && server.report->received.term == term_;
@@ -184,19 +186,18 @@
     state->nextCommand = now + commandRetryDelay;
     if (failure == CommandFailure::Unknown)
         return actions;
-    // Only an answer means that the server was heard. Were a command without a connection one, a
-    // server that is gone and to be told something would be heard for ever, and an owner without a
-    // majority would neither replace nor give away anything.
+    // Only a refusal is an answer of the server. Counting commands that were not sent would make a
+    // failed server look alive, and isCutOff() would not detect the loss of a majority.
     if (failure == CommandFailure::Refused) {
-        // The server's report tells by whom it was superseded.
+        // The report shows whether a newer owner or term has superseded this one.
         recordAnswer(now, *state);
         sendProbe(now, *state, actions);
     }
-    // A candidate that was not told is asked anew under a higher term, or another is chosen.
+    // The candidate was not promoted: start again with a higher term.
     if (phase_ == Phase::Promoting && server == leader_)
         beginPromotion(now,
-                       failure == CommandFailure::Refused ? "the candidate refused"
-                                                          : "the candidate can't be reached",
+                       failure == CommandFailure::Refused ? "the candidate refused the promotion"
+                                                          : "the candidate cannot be reached",
                        actions);
     return actions;
 }
@@ -238,7 +239,7 @@
         return actions;
     }
     target_ = server;
-    beginPromotion(now, "an operator's wish", actions);
+    beginPromotion(now, "requested by an operator", actions);
     return actions;
 }
 
@@ -264,7 +265,7 @@
     beginPromotion(now, "planned switch", actions);
 }
 
-// A primary that leaves hands over to the replica that is closest, once it is close enough.
+// Switches from a leaving primary to the most advanced replica, once its lag is small enough.
 void Failover::replaceLeavingPrimary(Instant now, FailoverActions &actions)
 {
     const ServerState *leader = find(leader_);
--- a/tests/decision/actions.h
+++ b/tests/decision/actions.h
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The only action of a type among those returned, or nothing.
+// Returns the first action of the type, if there is one.
 template <typename T, typename Action>
 std::optional<T> find(const std::vector<Action> &actions)
 {
@@ -25,7 +25,7 @@
     return std::nullopt;
 }
 
-// All actions of a type.
+// Returns all actions of the type.
 template <typename T, typename Action>
 std::vector<T> findAll(const std::vector<Action> &actions)
 {
@@ -37,7 +37,7 @@
     return result;
 }
 
-// The action of a type that must be there.
+// Returns the first action of the type and fails the test if there is none.
 template <typename T, typename Action>
 T requireAction(const std::vector<Action> &actions)
 {
--- a/tests/decision/claimorder_test.cpp
+++ b/tests/decision/claimorder_test.cpp
@@ -20,23 +20,22 @@
 
 } // namespace
 
-TEST_CASE("Equal hosts differ by their draw, and the one near the primary comes first")
+TEST_CASE("Equal hosts differ by their jitter and hosts in the primary's zone claim first")
 {
     CHECK(claimDelay(host(0.25, true, 0, 0.0)) == Duration(0));
     CHECK(claimDelay(host(0.25, true, 0, 0.1)) < claimDelay(host(0.25, true, 0, 0.9)));
     CHECK(claimDelay(host(0.25, true, 0, 1.0)) < claimDelay(host(0.25, false, 0, 0.0)));
 }
 
-TEST_CASE("A host with groups claims after one without")
+TEST_CASE("A host that owns groups claims after a host without groups")
 {
     CHECK(claimDelay(host(0.25, true, 2, 0.0)) > claimDelay(host(0.25, true, 0, 1.0)));
-    // Also one of another zone, after three.
+    // Also after a host of another zone.
     CHECK(claimDelay(host(0.25, true, 3, 0.5)) > claimDelay(host(0.25, false, 0, 0.5)));
     CHECK(claimDelay(host(0.25, true, 1000)) == claimDelay(host(0.25, true, 4)));
 }
 
-// 77 hosts, eight with half a core, two of them in each zone; eight groups.
-TEST_CASE("Hosts with room come before small ones, and share the groups")
+TEST_CASE("Hosts with spare capacity claim before small hosts and share the groups")
 {
     CHECK(claimDelay(host(0.5, true, 0, 1.0)) < claimDelay(host(0.12, true, 0, 0.0)));
     CHECK(claimDelay(host(0.5, false, 0, 0.1)) < claimDelay(host(0.12, true, 0, 0.0)));
@@ -44,12 +43,12 @@
     CHECK(claimDelay(host(0.5, true, 2, 0.5)) < claimDelay(host(0.25, true, 2, 0.5)));
 }
 
-TEST_CASE("No claim waits for long")
+TEST_CASE("The delay of a claim is bounded")
 {
     CHECK(claimDelay(host(0.01, false, 1000, 1.0)) < 500ms);
 }
 
-TEST_CASE("Room follows processor time and the groups that a host has")
+TEST_CASE("Spare capacity depends on processor cores and owned groups")
 {
     CHECK(!hasRoom(0.12, 0));
     CHECK(hasRoom(0.25, 0));
@@ -58,7 +57,7 @@
     CHECK(!hasRoom(0.5, 2));
 }
 
-TEST_CASE("Claims ahead of need are spread by the number of groups, hosts with room first")
+TEST_CASE("Proactive claims are spread by the number of groups, hosts with spare capacity first")
 {
     Claimant first;
     first.jitter = 0;
@@ -66,11 +65,11 @@
     last.jitter = 1;
     Claimant small;
     small.processors = 0.12;
-    // Where there are few groups hardly anything changes.
+    // With few groups the delay is negligible.
     CHECK(proactiveClaimDelay(first, 3) == 0ms);
     CHECK(proactiveClaimDelay(last, 3) <= 20ms);
     CHECK(proactiveClaimDelay(small, 3) <= 20ms);
-    // 155 hosts near 333 of 1,000 groups: the spread is longer than the news of a claim take.
+    // With many groups the claims are spread over longer than it takes to announce an owner.
     CHECK(proactiveClaimDelay(last, 1000) >= 1s);
     CHECK(proactiveClaimDelay(small, 1000) >= proactiveClaimDelay(last, 1000));
     CHECK(proactiveClaimDelay(small, 2000) == proactiveClaimDelay(small, 1000));
--- a/tests/decision/earlierowners_test.cpp
+++ b/tests/decision/earlierowners_test.cpp
@@ -23,14 +23,14 @@
 
 } // namespace
 
-TEST_CASE("Nobody may act before an owner whose row guards nothing")
+TEST_CASE("No earlier owner may act when the row has no time remaining")
 {
     EarlierOwners owners;
     owners.begin(start, {}, Duration(0), self);
     CHECK_FALSE(owners.mayAct(start));
 }
 
-TEST_CASE("Each earlier owner counts until it has ended or its time is over")
+TEST_CASE("Each earlier owner may act until it has ended or its lease has expired")
 {
     EarlierOwners owners = both();
     CHECK(owners.onEndConfirmed(second.process.address, second.epoch));
@@ -44,7 +44,7 @@
     CHECK(both().open(start + 11s).size() == 1);
 }
 
-TEST_CASE("Only proof about the same run and epoch counts")
+TEST_CASE("Only a proof for the same incarnation and epoch drops an earlier owner")
 {
     EarlierOwners owners = both();
     CHECK_FALSE(owners.onEndConfirmed(first.process.address, first.epoch - 1));
@@ -54,7 +54,7 @@
     CHECK_FALSE(owners.mayAct(start));
 }
 
-TEST_CASE("Owners without a name end by time alone")
+TEST_CASE("Unnamed earlier owners are dropped only by time")
 {
     EarlierOwners owners;
     owners.begin(start, {}, 10s, self);
@@ -70,15 +70,15 @@
     CHECK_FALSE(owners.mayAct(start));
 }
 
-TEST_CASE("The next owner's row lists everyone whose end is not proven")
+TEST_CASE("The row for the next owner lists all owners that may still act")
 {
     CHECK(EarlierOwners::listForNextOwner({first}, false, second).size() == 1);
     CHECK(EarlierOwners::listForNextOwner({first}, true, second).size() == 2);
-    // Guarded and nobody named: somebody is there all the same.
+    // Guarded without a listed owner: an unnamed owner may still act.
     const auto unnamed = EarlierOwners::listForNextOwner({}, true, second);
     REQUIRE(unnamed.size() == 2);
     CHECK_FALSE(unnamed.front().isNamed());
-    // Too many to name.
+    // Too many owners are replaced by one unnamed owner.
     const auto many = EarlierOwners::listForNextOwner(
         {first, first, first, first, first, first, first, first}, true, second);
     REQUIRE(many.size() == 2);
--- a/tests/decision/failover_test.cpp
+++ b/tests/decision/failover_test.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// A failover decision at epoch 3 with three model servers; answers come at once, but for those of
-// servers that are dead (refuse) or silent.
+// A Failover at epoch 3 with three model servers. They answer at once, except for dead servers,
+// which refuse connections, and silent ones.
 struct Group
 {
     explicit Group(OwnerEpoch epoch = 3) : failover("offers", epoch, {"s0", "s1", "s2"})
@@ -59,7 +59,8 @@
             std::visit([this](const auto &known) { perform(known); }, action);
     }
 
-    // Runs a command; false: no answer has come, and the decision was told so if it can know.
+    // Runs a command and reports a failure that Failover can notice. Returns whether it was
+    // answered.
     template <typename Work>
     bool command(const ServerName &name, Work work)
     {
@@ -146,7 +147,7 @@
 
 } // namespace
 
-TEST_CASE("The candidate is the highest position of a majority", "[failover]")
+TEST_CASE("The candidate is the server with the highest position of a majority", "[failover]")
 {
     const auto choice = [](const std::vector<Candidate> &prepared, const ServerName &wished = "") {
         const Candidate *chosen = chooseCandidate(prepared, 2, wished);
@@ -154,9 +155,9 @@
     };
     CHECK(choice({candidate("a", 2, 9)}) == "none");
     CHECK(choice({candidate("a", 2, 9), candidate("b", 2, 10)}) == "b");
-    // The log of a replaced primary is longer, but of a lower term.
+    // A longer log of a lower term loses.
     CHECK(choice({candidate("a", 1, 50), candidate("b", 2, 10)}) == "b");
-    // The one just given up is passed over only if the others are a majority without it.
+    // An untrusted server is passed over only if the others are a majority.
     CHECK(choice({candidate("a", 2, 12, false), candidate("b", 2, 10)}) == "a");
     CHECK(choice({candidate("a", 2, 12, false), candidate("b", 2, 10), candidate("c", 2, 11)})
           == "c");
@@ -164,7 +165,7 @@
     CHECK(choice({candidate("a", 2, 11), candidate("b", 2, 10)}, "b") == "a");
 }
 
-TEST_CASE("A new owner takes a healthy primary as it is, after raising the fence", "[failover]")
+TEST_CASE("A new owner keeps a healthy primary after raising the fence", "[failover]")
 {
     Group group;
     group.start();
@@ -182,7 +183,7 @@
     Group group;
     group.start();
     group.run(milliseconds(200));
-    SECTION("a single one changes nothing")
+    SECTION("a single refusal changes nothing")
     {
         group.dead = {"s0"};
         group.carryOut(group.failover.onConnectionLost(group.now, "s0"));
@@ -204,13 +205,14 @@
     }
 }
 
-TEST_CASE("Silence is declared only after time, probes and another server's answer", "[failover]")
+TEST_CASE("A silent primary is replaced only after a timeout and an answer of another server",
+          "[failover]")
 {
     Group group;
     group.start();
     group.run(milliseconds(200));
     group.silent = {"s0"};
-    SECTION("a few lost answers are not a failure")
+    SECTION("a few lost answers are no failure")
     {
         group.run(milliseconds(300));
         group.silent.clear();
@@ -231,13 +233,13 @@
         CHECK_FALSE(group.isReady("s0"));
         CHECK(group.ready.size() == 2);
     }
-    SECTION("when all are silent it is this process that is cut off")
+    SECTION("when all servers are silent this process is cut off")
     {
         group.silent = {"s0", "s1", "s2"};
         group.run(seconds(5));
         CHECK(findAll<PrimaryGone>(group.log).empty());
     }
-    SECTION("a pause of this process is no silence of the servers")
+    SECTION("a pause of this process does not count as silence")
     {
         group.silent.clear();
         group.now += seconds(3);
@@ -246,7 +248,7 @@
     }
 }
 
-TEST_CASE("A lost answer to a promotion is made good by repeating it", "[failover]")
+TEST_CASE("A promotion whose answer was lost is repeated", "[failover]")
 {
     Group group;
     group.start();
@@ -264,7 +266,8 @@
     CHECK(history.back().term == group.ready[1].term);
 }
 
-TEST_CASE("A candidate that dies half way is followed by another in a new term", "[failover]")
+TEST_CASE("If the candidate dies during promotion another one is promoted in a new term",
+          "[failover]")
 {
     Group group;
     group.start();
@@ -282,7 +285,7 @@
     CHECK(group.ready[1].term >= makeTerm(3, 2));
 }
 
-TEST_CASE("Two failures at once stop writes until a majority is back", "[failover]")
+TEST_CASE("Loss of the majority stops writes until a majority is available again", "[failover]")
 {
     Group group;
     group.start();
@@ -291,14 +294,14 @@
     group.run(seconds(10));
     CHECK(group.ready.size() == 1);
     CHECK_FALSE(group.failover.primary());
-    SECTION("a majority comes back")
+    SECTION("a majority is available again")
     {
         group.dead = {"s0"};
         group.run(milliseconds(700));
         REQUIRE(group.ready.size() == 2);
         CHECK_FALSE(group.ready[1].lostAfter);
     }
-    SECTION("an operator accepts loss, which is named")
+    SECTION("an operator accepts data loss, which is reported")
     {
         group.carryOut(group.failover.promote(group.now, "s2", false));
         group.run(seconds(2));
@@ -325,18 +328,19 @@
     group.run(milliseconds(400));
     CHECK(group.failover.isCutOff(group.now));
 
-    // One more server makes a majority.
+    // One more server is a majority.
     group.silent = {"s2"};
     group.run(milliseconds(300));
     CHECK_FALSE(group.failover.isCutOff(group.now));
 
-    // A pause of this process says nothing of the servers.
+    // A pause of this process does not count.
     group.now += std::chrono::seconds(10);
     group.run(milliseconds(20));
     CHECK_FALSE(group.failover.isCutOff(group.now));
 }
 
-TEST_CASE("An old primary that returns follows, and what only it holds is dropped", "[failover]")
+TEST_CASE("An old primary that returns becomes a replica and drops unconfirmed records",
+          "[failover]")
 {
     Group group;
     group.start();
@@ -373,7 +377,7 @@
     CHECK(group.failover.primary());
 }
 
-TEST_CASE("A newer owner's term or fence ends the service of an older one", "[failover]")
+TEST_CASE("A newer owner's term or fence stops the older owner", "[failover]")
 {
     Group group;
     group.start();
@@ -393,7 +397,8 @@
     CHECK(findAll<SendPrepare>(group.log).size() == before);
 }
 
-TEST_CASE("A replica prepared by an older owner that was paused leads to a new term", "[failover]")
+TEST_CASE("A replica prepared by a paused older owner causes a promotion in a new term",
+          "[failover]")
 {
     Group group;
     group.start();
@@ -404,7 +409,7 @@
     CHECK(group.ready[1].term == makeTerm(3, 1));
 }
 
-TEST_CASE("A new owner finishes what its predecessor left half done", "[failover]")
+TEST_CASE("A new owner completes an interrupted promotion", "[failover]")
 {
     Group group;
     group.server("s1").prepare(makeTerm(2, 1));
@@ -428,7 +433,7 @@
     }
 }
 
-TEST_CASE("A leaving primary hands over to a replica that has caught up", "[failover]")
+TEST_CASE("A leaving primary is replaced by a replica that has caught up", "[failover]")
 {
     Group group;
     group.start();
@@ -442,12 +447,12 @@
     const Log &log = group.server(group.ready[1].server).log();
     CHECK(group.ready[1].server != "s0");
     CHECK(std::count_if(log.begin(), log.end(), [](const Record &r) { return r.key >= 5; }) == 2);
-    // It does not go back while the server leaves.
+    // No switch back while the server is leaving.
     group.run(seconds(2));
     CHECK(group.ready.size() == 2);
 }
 
-TEST_CASE("An operator's switch goes to the server that was named", "[failover]")
+TEST_CASE("An operator's switch promotes the named server", "[failover]")
 {
     Group group;
     group.start();
@@ -458,7 +463,7 @@
     CHECK_FALSE(group.ready.back().lostAfter);
 }
 
-TEST_CASE("A primary whose log no longer reaches the replicas is replaced", "[failover]")
+TEST_CASE("A primary whose log does not reach the replicas is replaced", "[failover]")
 {
     Group group;
     group.start();
@@ -469,14 +474,14 @@
     group.run(ReplicationWatch::firstLimit - milliseconds(100));
     CHECK(group.isReady("s0"));
     group.run(milliseconds(400));
-    // The others hold no record of the write, which nobody could confirm.
+    // The replicas lack the write, which was never confirmed.
     CHECK_FALSE(group.isReady("s0"));
     group.isolated = {"s0"};
     group.run(milliseconds(500));
     CHECK((group.isReady("s1") || group.isReady("s2")));
 }
 
-TEST_CASE("A primary that cannot replicate stays while nobody else could", "[failover]")
+TEST_CASE("A primary that cannot replicate stays while no majority exists without it", "[failover]")
 {
     Group group;
     group.start();
@@ -488,7 +493,7 @@
     CHECK(group.isReady("s0"));
 }
 
-TEST_CASE("Slow replication is no stall, and stalls in a row need longer", "[failover]")
+TEST_CASE("Slow replication is not a stall and repeated stalls have a longer limit", "[failover]")
 {
     const Instant start {std::chrono::hours(1)};
     constexpr std::size_t majority = 2;
@@ -499,7 +504,7 @@
         watch.onReplica(now, "c", {1, replicas}, majority);
     };
     Instant now = start;
-    // Always behind, but moving.
+    // Always behind but advancing.
     for (LogOffset i = 1; i < 50; ++i, now += milliseconds(100)) {
         hear(now, 1000 + i, i);
         REQUIRE_FALSE(watch.isStalled(now, majority));
@@ -519,7 +524,7 @@
     CHECK(stallLength() < 2 * ReplicationWatch::firstLimit);
 }
 
-TEST_CASE("a session's position is not called lost before the history of the term is read")
+TEST_CASE("A session's position does not count as lost before the history of the term is read")
 {
     const Instant now {std::chrono::hours(1)};
     const Term term = makeTerm(2, 1);
--- a/tests/decision/logholders_test.cpp
+++ b/tests/decision/logholders_test.cpp
@@ -24,17 +24,17 @@
 
 } // namespace
 
-TEST_CASE("A server that leaves the list may hold commits that no other has")
+TEST_CASE("A server that has left the list stays a holder")
 {
     const LogHolders holders = withoutC();
     CHECK(holders.unlisted() == std::vector<LogHolder> {c});
     CHECK(holders.all() == std::vector<LogHolder> {a, b, c});
 }
 
-TEST_CASE("It counts until another replica holds what the primary had after it left")
+TEST_CASE("An unlisted holder is dropped once a replica holds what the primary held after it left")
 {
     LogHolders holders = withoutC();
-    // Asked before it left: more may have been acknowledged with its help.
+    // Requested before the server left: it may have acknowledged more after that.
     holders.onPrimaryPosition({1, 100}, start + 900ms);
     holders.onReplicaPosition({1, 200});
     CHECK(holders.unlisted().size() == 1);
@@ -46,15 +46,15 @@
     CHECK(holders.all() == std::vector<LogHolder> {a, b});
 }
 
-TEST_CASE("What replicas must hold is learnt anew when another one leaves or another primary leads")
+TEST_CASE("The required position is reset when another server leaves or the primary changes")
 {
     LogHolders holders = withoutC();
     holders.onPrimaryPosition({1, 120}, start + 1100ms);
-    SECTION("another leaves")
+    SECTION("another server leaves")
     {
         holders.onListed({a}, start + 2s);
     }
-    SECTION("another leads")
+    SECTION("the primary changes")
     {
         holders.onPrimary();
     }
@@ -62,36 +62,36 @@
     CHECK_FALSE(holders.unlisted().empty());
 }
 
-TEST_CASE("A server that is listed again is no vanished one")
+TEST_CASE("A server that is listed again is not an unlisted holder")
 {
     LogHolders holders = withoutC();
     holders.onListed({a, b, c}, start + 2s);
     CHECK(holders.unlisted().empty());
 }
 
-TEST_CASE("Another server at its address does not end what it may hold")
+TEST_CASE("Another server at the same address does not replace an unlisted holder")
 {
     LogHolders holders = withoutC();
     holders.onListed({a, b, atC}, start + 2s);
     CHECK(holders.unlisted() == std::vector<LogHolder> {c});
 }
 
-TEST_CASE("What vanished here a moment ago counts beside the row, and not for ever")
+TEST_CASE("A server that left the list recently is a holder even if the row does not name it")
 {
     LogHolders holders = withoutC();
-    SECTION("a moment ago")
+    SECTION("recently")
     {
         holders.begin({a, b}, start + 10s);
         CHECK(holders.unlisted() == std::vector<LogHolder> {c});
     }
-    SECTION("long ago")
+    SECTION("too long ago")
     {
         holders.begin({a, b}, start + 20s);
         CHECK(holders.unlisted().empty());
     }
 }
 
-TEST_CASE("A new owner goes by what the row names, whatever it has heard of servers so far")
+TEST_CASE("A new owner starts with the holders that the row names")
 {
     LogHolders holders;
     holders.onListed({b}, start);
--- a/tests/decision/ownership_test.cpp
+++ b/tests/decision/ownership_test.cpp
@@ -27,7 +27,7 @@
     return row;
 }
 
-// An owner of epoch 5 with b1 and c1 as successors, by a claim sent at the start.
+// An owner at epoch 5 with the successors b1 and c1, whose claim was sent at the start.
 struct OwnerFixture
 {
     Ownership owner {"offers", a1, 1};
@@ -59,7 +59,7 @@
         }
     }
 
-    // Moves on tick by tick; those named answer at once. Returns the writes of the row.
+    // Advances tick by tick, with the named processes answering at once. Returns the row writes.
     std::vector<WriteRow> run(Duration time, const std::vector<ProcessId> &answering)
     {
         std::vector<WriteRow> writes;
@@ -85,12 +85,9 @@
 
 } // namespace
 
-// An owner stood still, or was cut off from the table service. A successor claimed the group and
-// handed it back, and the row of the claim was never read here. The row of the hand-over names this
-// process, so it went on under the epoch that it had: its lease asked for promises under one epoch,
-// its failover ran under another. A server that the owner between had prepared shows a term of a
-// higher epoch, which means that this process is superseded, and no write is taken any more.
-TEST_CASE("An owner that gets its group back before it knows that it had lost it begins anew")
+// An owner that misses the epoch of another owner in between must not continue under its old epoch:
+// its failover would consider itself superseded and accept no more writes.
+TEST_CASE("An owner that lost and regained its group unnoticed restarts under the new epoch")
 {
     OwnerFixture f;
     f.answer(b1);
@@ -98,17 +95,17 @@
     const OwnershipActions actions = f.owner.onRow(f.now, rowOf(7, a1, {b1}));
     REQUIRE(findAll<StopServing>(actions).size() == 1);
     REQUIRE(requireAction<StartServing>(actions).epoch == 7);
-    // Promises for the old epoch count no more.
+    // Promises for the old epoch are void.
     REQUIRE_FALSE(f.owner.holdsLease(f.now));
     REQUIRE(f.owner.role() == OwnershipRole::Owner);
 }
 
-TEST_CASE("The first wanted process creates the row and serves at once", "[ownership]")
+TEST_CASE("The preferred owner creates the row and serves at once", "[ownership]")
 {
     Ownership process("offers", a1, 1);
     process.setPreferredOwner(true);
     REQUIRE(find<ReadRow>(process.onTick(start)));
-    // It waits a little: better placed processes may not have been heard yet.
+    // It waits first, as better placed processes may not be known yet.
     CHECK(process.onRow(start, std::nullopt).empty());
     CHECK(process.onTick(start + milliseconds(450)).empty());
     REQUIRE(find<ReadRow>(process.onTick(start + milliseconds(500))));
@@ -120,11 +117,12 @@
     const OwnershipActions done =
         process.onWriteOutcome(start, write.row.changeId, WriteOutcome::Done, "e1");
     CHECK(requireAction<StartServing>(done).epoch == 1);
-    // Nobody else may claim: the lease has no end.
+    // No other process can claim the group, so the lease does not end.
     CHECK(process.holdsLease(start + std::chrono::hours(1000)));
 }
 
-TEST_CASE("A process that is no longer wanted leaves an unowned group to another", "[ownership]")
+TEST_CASE("A process that is no longer the preferred owner does not claim an unowned group",
+          "[ownership]")
 {
     Ownership process("offers", a1, 1);
     process.setPreferredOwner(true);
@@ -137,20 +135,21 @@
     CHECK(process.onRow(start + milliseconds(600), std::nullopt).empty());
 }
 
-TEST_CASE("A process that is not wanted leaves an unowned group alone", "[ownership]")
+TEST_CASE("A process that is not the preferred owner does not claim an unowned group",
+          "[ownership]")
 {
     Ownership process("offers", a1, 1);
     CHECK(process.onTick(start).empty());
     CHECK(process.onRow(start, std::nullopt).empty());
 }
 
-TEST_CASE("The lease counts from the claim and from the send time of answered requests",
+TEST_CASE("The lease counts from the send time of the claim and of answered requests",
           "[ownership]")
 {
     OwnerFixture f;
     const Duration length = Lease::promiseDuration - Lease::driftMargin;
     CHECK(f.owner.leaseEnd() == start + length);
-    // Answers to the first requests, late: they count from the send time.
+    // Late answers to the first requests count from the send time.
     f.now += milliseconds(400);
     f.answer(b1);
     f.answer(c1);
@@ -159,7 +158,7 @@
     CHECK_FALSE(f.owner.holdsLease(start + length));
 }
 
-TEST_CASE("The lease is the earliest of all listed successors' promises", "[ownership]")
+TEST_CASE("The lease ends with the earliest promise of all listed successors", "[ownership]")
 {
     OwnerFixture f;
     f.run(milliseconds(300), {b1, c1});
@@ -177,24 +176,24 @@
     CHECK(f.owner.leaseEnd() == before);
 }
 
-TEST_CASE("A restarted successor proves that the old one never claims, if the lease still held",
+TEST_CASE("A successor that restarts while its promise holds does not limit the lease",
           "[ownership]")
 {
     OwnerFixture f;
-    SECTION("heard in time")
+    SECTION("seen before the promise expires")
     {
         f.owner.onIncarnation(f.now + seconds(1), b2);
         f.owner.onIncarnation(f.now + seconds(1), {c1.address, c1.incarnation + 1});
         CHECK(f.owner.holdsLease(f.now + std::chrono::hours(5)));
     }
-    SECTION("heard too late")
+    SECTION("seen after the promise has expired")
     {
         f.owner.onIncarnation(f.now + Lease::promiseDuration, b2);
         CHECK_FALSE(f.owner.holdsLease(f.now + Lease::promiseDuration));
     }
 }
 
-TEST_CASE("A silent successor is replaced before the lease runs out", "[ownership]")
+TEST_CASE("A silent successor is replaced before the lease expires", "[ownership]")
 {
     OwnerFixture f;
     const std::vector<WriteRow> writes = f.run(milliseconds(1000), {b1});
@@ -203,30 +202,31 @@
     CHECK(writes[0].row.epoch == 5);
     CHECK(f.owner.holdsLease(f.now));
 
-    // 1. The old set counts until the outcome is known.
+    // 1. The old successors count until the outcome of the write is known.
     const Instant oldEnd = start + Lease::promiseDuration - Lease::driftMargin;
     CHECK(f.owner.leaseEnd() == oldEnd);
     f.owner.onWriteOutcome(f.now, writes[0].row.changeId, WriteOutcome::Unknown, "");
     CHECK(f.owner.leaseEnd() == oldEnd);
 
-    // 2. Read back: it was done.
+    // 2. Reading the row back shows that the write succeeded.
     f.owner.onRow(f.now, TaggedRow {writes[0].row, "etag-5b"});
     CHECK(f.owner.leaseEnd() > oldEnd);
 
-    // 3. Another process takes the free place, once it has promised.
+    // 3. Another process takes the free place once it has given its promise.
     const std::vector<WriteRow> topUp = f.run(milliseconds(1000), {b1, d1});
     REQUIRE(topUp.size() == 1);
     CHECK(topUp[0].row.successors == std::vector<ProcessId> {b1, d1});
     CHECK(topUp[0].expectedEtag == "etag-5b");
 }
 
-TEST_CASE("A write whose fate is open is repeated as it was until the row tells", "[ownership]")
+TEST_CASE("A write with unknown outcome is repeated unchanged until the row shows the outcome",
+          "[ownership]")
 {
     OwnerFixture f;
     const std::vector<WriteRow> writes = f.run(milliseconds(800), {b1});
     REQUIRE(writes.size() == 1);
     f.owner.onWriteOutcome(f.now, writes[0].row.changeId, WriteOutcome::Unknown, "");
-    // The row has not changed: the write may still land late, so both sets go on to count.
+    // The row is unchanged. The write may still take effect, so both lists of successors count.
     TaggedRow old = rowOf(5, a1, {b1, c1});
     old.etag = "etag-5";
     f.now += seconds(1);
@@ -236,7 +236,7 @@
     CHECK_FALSE(f.owner.holdsLease(f.now));
 }
 
-TEST_CASE("A write that was never sent leaves only the old set", "[ownership]")
+TEST_CASE("A write that was not sent leaves only the old successors in effect", "[ownership]")
 {
     OwnerFixture f;
     const std::vector<WriteRow> writes = f.run(milliseconds(800), {b1});
@@ -246,7 +246,8 @@
     CHECK(f.owner.leaseEnd() > start + Lease::promiseDuration);
 }
 
-TEST_CASE("A successor promises from receipt and claims only after that", "[ownership]")
+TEST_CASE("A successor's promise counts from receipt and it claims only after its expiry",
+          "[ownership]")
 {
     Ownership successor("offers", b1, 2);
     successor.setSuccessorCandidates({c1, d1});
@@ -258,12 +259,12 @@
     CHECK(successor.onRow(start, rowOf(5, a1, {b1, c1})).empty());
     CHECK(successor.role() == OwnershipRole::Successor);
 
-    // 1. A later promise moves the end.
+    // 1. A later promise extends the wait.
     const Instant second = start + seconds(1);
     successor.onLeaseRequest(second, {5, a1, 2}, actions);
     CHECK(successor.onTick(second + Lease::promiseDuration - milliseconds(1)).empty());
 
-    // 2. Then it reads the row and claims on that condition.
+    // 2. After expiry it reads the row and claims conditionally on it.
     const Instant due = second + Lease::promiseDuration;
     REQUIRE(find<ReadRow>(successor.onTick(due)));
     const WriteRow claim = requireAction<WriteRow>(successor.onRow(due, rowOf(5, a1, {b1, c1})));
@@ -272,19 +273,19 @@
     CHECK(claim.row.successors == std::vector<ProcessId> {c1, d1});
     CHECK(claim.expectedEtag == "etag-5");
 
-    // 3. While the outcome is open it answers nothing, even after a read that shows the old row.
+    // 3. While the outcome is unknown it sends no answer, even if a read shows the old row.
     CHECK_FALSE(successor.onLeaseRequest(due, {5, a1, 3}, actions));
     successor.onWriteOutcome(due, claim.row.changeId, WriteOutcome::Unknown, "");
     successor.onRow(due, rowOf(5, a1, {b1, c1}));
     CHECK_FALSE(successor.onLeaseRequest(due, {5, a1, 4}, actions));
 
-    // 4. The lost answer is found by reading back.
+    // 4. Reading the row back shows that the claim succeeded.
     const OwnershipActions done = successor.onRow(due, TaggedRow {claim.row, "etag-6"});
     CHECK(requireAction<StartServing>(done).epoch == 6);
     CHECK(successor.holdsLease(due));
 }
 
-TEST_CASE("A process listed within an epoch finds that out when its promise has ended",
+TEST_CASE("A process listed within an epoch reads that from the row when its promise has expired",
           "[ownership]")
 {
     Ownership late("offers", d1, 3);
@@ -292,7 +293,7 @@
     late.onLeaseRequest(start, {5, a1, 1}, actions);
     late.onRow(start, rowOf(5, a1, {b1, c1}));
     late.onLeaseRequest(start + milliseconds(300), {5, a1, 2}, actions);
-    // Listed now; the owner dies.
+    // The owner lists the process and dies.
     const Instant due = start + milliseconds(300) + Lease::promiseDuration;
     REQUIRE(find<ReadRow>(late.onTick(due)));
     TaggedRow row = rowOf(5, a1, {b1, d1});
@@ -300,7 +301,7 @@
     CHECK(requireAction<WriteRow>(late.onRow(due, row)).expectedEtag == "etag-5b");
 }
 
-TEST_CASE("A read that a hand-over asked for is made again when it fails", "[ownership]")
+TEST_CASE("A failed read of the row after a hand-over is retried", "[ownership]")
 {
     Ownership next("offers", d1, 3);
     REQUIRE(find<ReadRow>(next.onHandOver(start, 6)));
@@ -308,8 +309,7 @@
     CHECK(find<ReadRow>(next.onTick(start + seconds(2))));
 }
 
-TEST_CASE("A successor's claim that lost the race makes it a successor of the winner",
-          "[ownership]")
+TEST_CASE("A successor whose claim fails becomes a successor of the new owner", "[ownership]")
 {
     Ownership successor("offers", b1, 2);
     OwnershipActions actions;
@@ -323,12 +323,12 @@
     REQUIRE(find<ReadRow>(lost));
     CHECK(successor.onRow(due, rowOf(6, c1, {b1})).empty());
     CHECK(successor.role() == OwnershipRole::Successor);
-    // It does not claim epoch 6 before a whole period has passed.
+    // It does not claim from the owner of epoch 6 before a full promise duration has passed.
     CHECK(successor.onTick(due + Lease::promiseDuration - milliseconds(1)).empty());
     CHECK(find<ReadRow>(successor.onTick(due + Lease::promiseDuration)));
 }
 
-TEST_CASE("A proven death of the owner ends every promise to it", "[ownership]")
+TEST_CASE("Proof of the owner's death voids every promise to it", "[ownership]")
 {
     Ownership successor("offers", b1, 2);
     OwnershipActions actions;
@@ -340,7 +340,8 @@
     CHECK(requireAction<WriteRow>(claim).row.epoch == 6);
 }
 
-TEST_CASE("An unlisted process claims only on proof, after fit successors", "[ownership]")
+TEST_CASE("An unlisted process claims only after proof of death and after eligible successors",
+          "[ownership]")
 {
     Ownership process("offers", d1, 3);
     process.setSuccessorCandidates({b1, c1});
@@ -357,7 +358,8 @@
     CHECK(requireAction<WriteRow>(claim).row.owner == d1);
 }
 
-TEST_CASE("A restarted process is not the owner or successor that the row names", "[ownership]")
+TEST_CASE("A restarted process does not count as the owner or successor named in the row",
+          "[ownership]")
 {
     Ownership restarted("offers", b2, 4);
     OwnershipActions actions;
@@ -366,13 +368,13 @@
         restarted.onLeaseRequest(start, {5, a1, 1}, actions);
         restarted.onRow(start, rowOf(5, a1, {b1, c1}));
         CHECK(restarted.role() == OwnershipRole::Unlisted);
-        // It looks once whether it was listed meanwhile, and claims nothing.
+        // It reads the row once, as it may have been listed meanwhile, and does not claim.
         const Instant later = start + seconds(10);
         CHECK(findAll<WriteRow>(restarted.onTick(later)).empty());
         CHECK(restarted.onRow(later, rowOf(5, a1, {b1, c1})).empty());
         CHECK(restarted.onTick(later + seconds(10)).empty());
     }
-    SECTION("as owner it claims its old group at once")
+    SECTION("as owner: it claims its old group at once")
     {
         restarted.setPreferredOwner(true);
         restarted.onTick(start);
@@ -382,7 +384,7 @@
     }
 }
 
-TEST_CASE("An owner that finds a higher epoch stops", "[ownership]")
+TEST_CASE("An owner that learns of a higher epoch stops serving", "[ownership]")
 {
     OwnerFixture f;
     const OwnershipActions actions = f.owner.onLeaseAnswer(f.now, {b1, 5, 1, false, 6});
@@ -392,7 +394,9 @@
     CHECK(f.owner.role() == OwnershipRole::Unlisted);
 }
 
-TEST_CASE("A hand-over stops service before the write and needs no lease wait", "[ownership]")
+TEST_CASE(
+    "A hand-over stops service before the write and the new owner need not wait for the lease",
+    "[ownership]")
 {
     OwnerFixture f;
     f.run(milliseconds(300), {b1, c1});
@@ -409,7 +413,7 @@
         CHECK(requireAction<SendHandOver>(done).to == b1);
         CHECK(find<StopServing>(done));
 
-        // The new owner serves once its successors have promised.
+        // The new owner serves once its successors have given their promise.
         Ownership next("offers", b1, 9);
         REQUIRE(find<ReadRow>(next.onHandOver(f.now, 6)));
         const OwnershipActions began = next.onRow(f.now, TaggedRow {write.row, "etag-6"});
@@ -419,12 +423,12 @@
             next.onLeaseAnswer(f.now, {request.to, 6, request.request.sequence, true, 6});
         CHECK(next.holdsLease(f.now));
     }
-    SECTION("not sent: it goes on as owner")
+    SECTION("not sent: it continues as owner")
     {
         f.owner.onWriteOutcome(f.now, write.row.changeId, WriteOutcome::NotSent, "");
         CHECK(f.owner.holdsLease(f.now));
     }
-    SECTION("unknown: no service until it is known")
+    SECTION("unknown: no service until the outcome is known")
     {
         f.owner.onWriteOutcome(f.now, write.row.changeId, WriteOutcome::Unknown, "");
         CHECK_FALSE(f.owner.holdsLease(f.now));
@@ -433,7 +437,7 @@
     }
 }
 
-TEST_CASE("Steady state writes nothing to the store and does not read it", "[ownership]")
+TEST_CASE("In the steady state the row is not written", "[ownership]")
 {
     OwnerFixture f;
     CHECK(f.run(seconds(60), {b1, c1}).empty());
