--- a/src/group/ownership.cpp
+++ b/src/group/ownership.cpp
@@ -260,7 +260,7 @@
                                       const std::vector<decision::EarlierOwner> &open,
                                       const decision::EarlierOwner &previous, Duration lastRenewal)
 {
-    record.earlier = decision::EarlierOwners::listWith(open, !open.empty(), previous);
+    record.earlier = decision::EarlierOwners::listForNextOwner(open, !open.empty(), previous);
     record.guardedUntil = lastRenewal + leaseDuration + clockMargin;
 }
 
--- a/src/group/ownershipleases.cpp
+++ b/src/group/ownershipleases.cpp
@@ -295,7 +295,7 @@
                                       const inner::OwnershipEnded &ended)
 {
     const auto found = entries_.find(ended.group);
-    if (found != entries_.end() && found->second.earlier.onSaidEnded(address, ended.epoch))
+    if (found != entries_.end() && found->second.earlier.onEndConfirmed(address, ended.epoch))
         onPredecessorEnded(ended.group, address, "said_so");
 }
 
--- a/src/group/primaryholders.cpp
+++ b/src/group/primaryholders.cpp
@@ -59,7 +59,7 @@
         return;
     holdersRefreshedAt_ = now;
     const bool mayKnowAll = !sawAllAcknowledgements_ && soleOwnerSince_ != Instant();
-    if (mayKnowAll || !holders_.vanished().empty())
+    if (mayKnowAll || !holders_.unlisted().empty())
         queryPositions(now);
     if (now - rowWrittenAt_ >= minRowWriteInterval)
         recordHolders(now);
@@ -69,7 +69,7 @@
 // vanished ones may hold replaces them.
 void FailoverController::queryPositions(Instant now)
 {
-    const bool includeReplicas = !holders_.vanished().empty();
+    const bool includeReplicas = !holders_.unlisted().empty();
     for (const auto &[id, server] : servers_)
         if (id == primary_ || (includeReplicas && !server->isUnreachable()))
             sendCommand(*server, CommandKind::Report, 0, reportTimeout,
@@ -84,10 +84,10 @@
     if (step_ != Step::Leading || report.term != term_)
         return;
     if (server != primary_ && !report.primary)
-        return holders_.onReplicaHeld(report.received);
+        return holders_.onReplicaPosition(report.received);
     if (server != primary_ || !report.primary)
         return;
-    holders_.onPrimaryHeld(report.received, queriedAt);
+    holders_.onPrimaryPosition(report.received, queriedAt);
     // Only a report requested after the earlier owners had ended has all that they acknowledged.
     if (soleOwnerSince_ == Instant() || queriedAt < soleOwnerSince_)
         return;
@@ -220,7 +220,7 @@
                                                : "listed";
         text += (text.empty() ? "" : " ") + id + "=" + state;
     }
-    for (const decision::LogHolder &holder : holders_.vanished())
+    for (const decision::LogHolder &holder : holders_.unlisted())
         text += (text.empty() ? "" : " ") + holder.server + "=vanished";
     return text;
 }
