--- a/src/decision/ownerrole.cpp
+++ b/src/decision/ownerrole.cpp
@@ -102,14 +102,14 @@
 std::vector<ProcessId> Ownership::readyCandidates(Instant now, const std::vector<ProcessId> &kept)
 {
     std::vector<ProcessId> ready;
-    std::size_t asked = 0;
+    std::size_t requested = 0;
     for (const ProcessId &process : successorCandidates_) {
-        if (asked == maxSuccessors - kept.size())
+        if (requested == maxSuccessors - kept.size())
             break;
         if (process.address == self_.address || contains(kept, process) || isDead(process)
             || isBanned(now, process) || contains(row_->row.successors, process))
             continue;
-        ++asked;
+        ++requested;
         lease_.add(process, std::nullopt);
         if (now + minRemainingPromise < lease_.end(process))
             ready.push_back(process);
--- a/src/decision/ownership.cpp
+++ b/src/decision/ownership.cpp
@@ -272,10 +272,10 @@
     startChange(now, ChangeKind::Claim, std::move(next), actions);
 }
 
-OwnershipActions Ownership::onIncarnation(Instant now, const ProcessId &heard)
+OwnershipActions Ownership::onIncarnation(Instant now, const ProcessId &process)
 {
     OwnershipActions actions;
-    recordDeath(now, heard.address, heard.incarnation);
+    recordDeath(now, process.address, process.incarnation);
     if (!owner_ && !change_ && row_ && shouldClaim(now) && !reading_)
         requestRead(now, actions);
     return actions;
--- a/src/decision/ownership.h
+++ b/src/decision/ownership.h
@@ -153,7 +153,7 @@
     OwnershipActions onLeaseAnswer(Instant now, const LeaseAnswer &answer);
 
     // A process was seen at its address with this incarnation: all older ones there are dead.
-    OwnershipActions onIncarnation(Instant now, const ProcessId &heard);
+    OwnershipActions onIncarnation(Instant now, const ProcessId &process);
     // The host of the process has left the platform's list for longer than the list's delay.
     OwnershipActions onProcessGone(Instant now, const ProcessId &process);
 
--- a/tests/decision/claimorder_test.cpp
+++ b/tests/decision/claimorder_test.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-Claimant host(double processors, bool near, std::size_t owned, double jitter = 0.5)
+Claimant host(double processors, bool sameZone, std::size_t owned, double jitter = 0.5)
 {
     Claimant claimant;
     claimant.jitter = jitter;
-    claimant.inPrimaryZone = near;
+    claimant.inPrimaryZone = sameZone;
     claimant.owned = owned;
     claimant.processors = processors;
     return claimant;
--- a/tests/decision/failover_test.cpp
+++ b/tests/decision/failover_test.cpp
@@ -149,8 +149,9 @@
 
 TEST_CASE("The candidate is the server with the highest position of a majority", "[failover]")
 {
-    const auto choice = [](const std::vector<Candidate> &prepared, const ServerName &wished = "") {
-        const Candidate *chosen = chooseCandidate(prepared, 2, wished);
+    const auto choice = [](const std::vector<Candidate> &prepared,
+                           const ServerName &preferred = "") {
+        const Candidate *chosen = chooseCandidate(prepared, 2, preferred);
         return chosen ? chosen->server : ServerName("none");
     };
     CHECK(choice({candidate("a", 2, 9)}) == "none");
