--- a/src/group/grouphost.cpp
+++ b/src/group/grouphost.cpp
@@ -367,7 +367,7 @@
     entry.answerTimes.clear();
     expireSessions(entry);
     for (const auto &[group, hosted] : groups_)
-        hosted.runner->onOriginGone(entry.origin);
+        hosted.runner->onEntryDisconnected(entry.origin);
 }
 
 void GroupHost::handOverAll(const std::map<std::string, inner::Hello> &peers)
--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -64,7 +64,7 @@
     void run(inner::LinkId origin, inner::RunStatement statement, session::DoneCallback callback);
     void endTransaction(inner::LinkId origin, const inner::EndTransaction &end);
     // Rolls back the open transactions of a disconnected entry.
-    void onOriginGone(inner::LinkId origin);
+    void onEntryDisconnected(inner::LinkId origin);
 
     void onPrimary(const ServerName &server) override;
     void onPrimaryLost(const ServerName &server) override;
@@ -165,7 +165,7 @@
     void onConnectionLost(const JobPtr &job);
     void recordPosition(GroupServer &server, const CommandResult &result, Instant sent);
     void release(const JobPtr &job, bool reusable);
-    void retry(const JobPtr &job, Reason why, Duration pause);
+    void retry(const JobPtr &job, Reason reason, Duration delay);
     void succeed(const JobPtr &job, const CommandResult &result);
     void refuseUnverified();
     void refuse(const JobPtr &job, Reason reason, Executed executed, const std::string &detail,
--- a/src/group/grouprunnerexecution.cpp
+++ b/src/group/grouprunnerexecution.cpp
@@ -319,10 +319,10 @@
     scheduleDispatch();
 }
 
-void GroupRunner::retry(const JobPtr &job, Reason why, Duration pause)
+void GroupRunner::retry(const JobPtr &job, Reason reason, Duration delay)
 {
-    parts_.metrics.countRetry(why);
-    parts_.log.line(LogLevel::Debug, "statement_retry", reasonInfo(why).name)
+    parts_.metrics.countRetry(reason);
+    parts_.log.line(LogLevel::Debug, "statement_retry", reasonInfo(reason).name)
         .with("id", job->statement.statementId)
         .with("group", group_)
         .with("server", job->server)
@@ -330,7 +330,7 @@
     const Instant now = parts_.timers.now();
     if (!active_ && !continuesTransaction(job->statement))
         return refuse(job, Reason::NotOwner, Executed::No, "the group has another owner");
-    job->notBefore = now + pause;
+    job->notBefore = now + delay;
     enqueue(job);
     scheduleDispatch();
 }
--- a/src/group/grouprunnertransactions.cpp
+++ b/src/group/grouprunnertransactions.cpp
@@ -90,7 +90,7 @@
         transaction.connection->connection->close();
 }
 
-void GroupRunner::onOriginGone(inner::LinkId origin)
+void GroupRunner::onEntryDisconnected(inner::LinkId origin)
 {
     std::vector<Origin> gone;
     for (const auto &[key, transaction] : transactions_)
--- a/src/group/groupserver.cpp
+++ b/src/group/groupserver.cpp
@@ -11,7 +11,7 @@
 constexpr Duration reconnectDelay = std::chrono::milliseconds(100);
 // The owner's share of a server's connections, which leaves room for those that the previous owner
 // still holds. The server itself enforces the limit.
-constexpr int sharePercent = 60;
+constexpr int ownerSharePercent = 60;
 // Statement age at which the server is queried for running statements; lower if the server has not
 // responded at all since the statement was sent.
 constexpr Duration queryAge = std::chrono::milliseconds(220);
@@ -73,7 +73,7 @@
 
 void GroupServer::setMaxConnections(int count, bool byOrganisation)
 {
-    decision::OwnerShare share {sharePercent, sharePercent};
+    decision::OwnerShare share {ownerSharePercent, ownerSharePercent};
     if (byOrganisation)
         share = {parts_.ways.ownerShare, parts_.ways.restingShare};
     pool_.setMaxConnections(count, byOrganisation, share);
@@ -268,53 +268,55 @@
         queryBusySlots(true);
 }
 
-void GroupServer::queryBusySlots(bool again)
+void GroupServer::queryBusySlots(bool mayRetry)
 {
     queryingBusySlots_ = true;
-    const Instant asked = parts_.timers.now();
-    control({}, queryTimeout, [this, alive = alive_, asked, again](const BatchResult &result) {
-        if (!*alive)
-            return;
-        queryingBusySlots_ = false;
-        const CommandResult *answer = result.results.empty() ? nullptr : &result.results[0];
-        if (answer != nullptr && answer->report)
-            return onBusyReport(answer->report->busy, asked);
-        // The server responds, but has no slot left even for the query.
-        if (answer != nullptr && answer->error == ServerError::Busy)
-            return onBusyReport(listed_.slots, asked);
-        if (observed.unreachable)
-            closeRepeatable(asked);
-        else if (again)
-            queryBusySlots(false);
-    });
+    const Instant queriedAt = parts_.timers.now();
+    control({}, queryTimeout,
+            [this, alive = alive_, queriedAt, mayRetry](const BatchResult &result) {
+                if (!*alive)
+                    return;
+                queryingBusySlots_ = false;
+                const CommandResult *answer = result.results.empty() ? nullptr : &result.results[0];
+                if (answer != nullptr && answer->report)
+                    return onBusyReport(answer->report->busy, queriedAt);
+                // The server responds, but has no slot left even for the query.
+                if (answer != nullptr && answer->error == ServerError::Busy)
+                    return onBusyReport(listed_.slots, queriedAt);
+                if (observed.unreachable)
+                    closeRepeatable(queriedAt);
+                else if (mayRetry)
+                    queryBusySlots(false);
+            });
 }
 
 // Closes the connections of repeatable statements, which can run elsewhere, when the server is
 // unreachable.
-void GroupServer::closeRepeatable(Instant asked)
+void GroupServer::closeRepeatable(Instant queriedAt)
 {
-    for (const PooledConnectionPtr &connection : workStartedBefore(asked - silentServerQueryAge))
+    for (const PooledConnectionPtr &connection :
+         workStartedBefore(queriedAt - silentServerQueryAge))
         if (connection->mayRepeat)
             connection->connection->close();
 }
 
 // If fewer statements are running at the server than were sent, frees the slots of the oldest ones.
-void GroupServer::onBusyReport(int busy, Instant asked)
+void GroupServer::onBusyReport(int busy, Instant queriedAt)
 {
-    const auto old = workStartedBefore(asked - maxStartDelay);
+    const auto old = workStartedBefore(queriedAt - maxStartDelay);
     if (static_cast<int>(old.size()) <= busy) {
         queryAge_ = 2 * queryAge_;
         return;
     }
     const std::size_t lost = old.size() - static_cast<std::size_t>(busy);
-    Instant since = asked;
+    Instant since = queriedAt;
     for (std::size_t i = 0; i < lost; ++i) {
         const PooledConnectionPtr &connection = old[i];
         since = std::min(since, connection->workStartedAt);
         parts_.log.warning("statement_not_running")
             .with("group", listed_.group)
             .with("server", listed_.id())
-            .with("age_ms", asked - connection->workStartedAt)
+            .with("age_ms", queriedAt - connection->workStartedAt)
             .with("server_runs", busy)
             .with("repeat", connection->mayRepeat);
         freeSlot(*connection);
--- a/src/group/groupserver.h
+++ b/src/group/groupserver.h
@@ -126,11 +126,11 @@
     void onConnected(const OrganisationName &organisation, ConnectOutcome outcome,
                      const ServerConnectionPtr &connection);
     void onConnectionEnded(const PooledConnectionPtr &connection);
-    void onBusyReport(int busy, Instant asked);
-    void queryBusySlots(bool again);
+    void onBusyReport(int busy, Instant queriedAt);
+    void queryBusySlots(bool mayRetry);
     std::vector<PooledConnectionPtr> workStartedBefore(Instant instant) const;
     void freeSlot(PooledConnection &connection);
-    void closeRepeatable(Instant asked);
+    void closeRepeatable(Instant queriedAt);
     void recordOutcome(ConnectOutcome outcome);
     void recordDisconnect();
     void closeBefore(Instant opened);
--- a/src/group/localreads.cpp
+++ b/src/group/localreads.cpp
@@ -208,10 +208,10 @@
 }
 
 // Makes the router send the statement to the owner.
-void LocalReads::fallBackToOwner(const ReadPtr &read, Reason why)
+void LocalReads::fallBackToOwner(const ReadPtr &read, Reason reason)
 {
     inner::StatementDone done;
-    done.reason = why;
+    done.reason = reason;
     read->callback(std::move(done));
 }
 
--- a/src/group/localreads.h
+++ b/src/group/localreads.h
@@ -63,7 +63,7 @@
     GroupServer *chooseReplica(Group &group, Position needed);
     GroupServer *find(const ReadPtr &read);
     void onResult(const ReadPtr &read, const BatchResult &result, std::size_t expected);
-    void fallBackToOwner(const ReadPtr &read, Reason why);
+    void fallBackToOwner(const ReadPtr &read, Reason reason);
 
     const Parts parts_;
     std::map<GroupName, Group> groups_;
--- a/tests/group/serverlist_test.cpp
+++ b/tests/group/serverlist_test.cpp
@@ -85,10 +85,10 @@
     timers.advance(20s);
     ListedServer leaving = server();
     leaving.leaving = true;
-    const Instant said = timers.now() - 3s;
-    leaving.leavingSince = said;
+    const Instant announcedAt = timers.now() - 3s;
+    leaving.leavingSince = announcedAt;
     list.onListed(leaving);
-    CHECK(servers[0].leavingSince == said);
+    CHECK(servers[0].leavingSince == announcedAt);
     // The time is unknown for a server that was already leaving when this process started.
     leaving.run.id = "i-2";
     leaving.leavingSince = Instant();
