--- a/src/group/grouprunner.cpp
+++ b/src/group/grouprunner.cpp
@@ -87,12 +87,12 @@
 void GroupRunner::removeUnlisted()
 {
     const Instant now = parts_.timers.now();
-    std::vector<ServerName> gone;
+    std::vector<ServerName> unresponsiveServers;
     for (const auto &[id, server] : servers_)
         if (server->isUnlisted()
             && (!active_ || now - server->lastResponseAt() >= missingServerTimeout))
-            gone.push_back(id);
-    for (const ServerName &id : gone) {
+            unresponsiveServers.push_back(id);
+    for (const ServerName &id : unresponsiveServers) {
         closeServer(id);
         servers_.erase(id);
     }
--- a/src/group/grouprunnertransactions.cpp
+++ b/src/group/grouprunnertransactions.cpp
@@ -92,12 +92,12 @@
 
 void GroupRunner::onEntryDisconnected(inner::LinkId origin)
 {
-    std::vector<Origin> gone;
+    std::vector<Origin> origins;
     for (const auto &[key, transaction] : transactions_)
         if (key.first == origin)
-            gone.push_back(key);
+            origins.push_back(key);
     constexpr auto all = std::numeric_limits<inner::RequestId>::max();
-    for (const Origin &key : gone)
+    for (const Origin &key : origins)
         rollBack(key, all);
 }
 
