--- a/tests/group/serverlist_test.cpp
+++ b/tests/group/serverlist_test.cpp
@@ -79,7 +79,8 @@
     CHECK(servers[0].leavingSince == first);
 }
 
-TEST_CASE_METHOD(Fixture, "A server leaves from the earliest time at which it may have said so")
+TEST_CASE_METHOD(Fixture,
+                 "A server leaves from the earliest time at which it may have announced it")
 {
     list.onListed(server());
     timers.advance(20s);
