--- a/src/group/connectionstate.cpp
+++ b/src/group/connectionstate.cpp
@@ -30,11 +30,11 @@
                                              const SessionValues &values, bool inTransaction)
 {
     std::vector<ServerCommand> batch;
-    // 1. A value can be changed but not removed, except by a reset of everything.
-    bool stray = false;
+    // 1. A value can be removed only by a reset of the whole connection.
+    bool hasExtraValue = false;
     for (const auto &[name, value] : connection.values)
-        stray = stray || values.count(name) == 0;
-    if (stray && !inTransaction) {
+        hasExtraValue = hasExtraValue || values.count(name) == 0;
+    if (hasExtraValue && !inTransaction) {
         ServerCommand reset;
         reset.kind = CommandKind::Reset;
         batch.push_back(reset);
@@ -42,8 +42,8 @@
         connection.prepared.clear();
     }
     for (const auto &[name, value] : values) {
-        const auto held = connection.values.find(name);
-        if (held != connection.values.end() && held->second == value)
+        const auto current = connection.values.find(name);
+        if (current != connection.values.end() && current->second == value)
             continue;
         ServerCommand set;
         set.kind = CommandKind::SetValue;
@@ -52,7 +52,7 @@
         batch.push_back(set);
         connection.values[name] = value;
     }
-    // 2. The prepared statement, unless the connection has it.
+    // 2. Prepare the statement unless the connection has it already.
     if (statement.preparedShape.empty())
         return batch;
     const std::string key = preparedKey(statement);
--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -20,8 +20,8 @@
 
 namespace kelptally::group {
 
-// The owner of one group: queues statements, chooses servers and connections, and runs
-// transactions.
+// Executes the statements of one owned group: queues them, selects servers and connections, and
+// manages transactions.
 class GroupRunner : public PrimaryEvents
 {
 public:
@@ -38,7 +38,7 @@
         FailoverController::Prober probe;
         ZoneName zone;
         // See GroupServer::Parts.
-        std::function<void(Instant since)> onSilence;
+        std::function<void(Instant since)> onSilentConnections;
         decision::PolicyOptions ways;
     };
 
@@ -47,34 +47,34 @@
 
     void setServers(const std::vector<ListedServer> &servers);
     void setOptions(const session::GroupOptions &options);
-    // A server that has been leaving for this long gets nothing more.
+    // Sets for how long a leaving server still receives statements.
     void setServerLeaveTime(Duration time) { serverLeaveTime_ = time; }
 
     void onAcquired();
     void onLost();
-    // Nothing of an earlier ownership is under way any more.
-    bool isQuiet() const;
-    // Ends whatever is under way.
+    // Returns whether the group is not owned and no statement or transaction is in flight.
+    bool isIdle() const;
+    // Closes all connections; running statements end as lost.
     void closeAll();
-    // Closes idle connections that have not answered since.
-    void dropIdle(Instant since);
-    // Zone of the server that leads; empty when none does.
+    // Closes idle connections without an answer since the given time.
+    void closeStaleIdle(Instant since);
+    // Returns the primary's zone; empty if there is no primary.
     ZoneName primaryZone() const;
 
     void run(inner::LinkId origin, inner::RunStatement statement, session::DoneCallback callback);
     void endTransaction(inner::LinkId origin, const inner::EndTransaction &end);
-    // The entry is gone: what its sessions have open is rolled back.
-    void onOriginGone(inner::LinkId origin);
+    // Rolls back the open transactions of a disconnected entry.
+    void onEntryDisconnected(inner::LinkId origin);
 
     void onPrimary(const ServerName &server) override;
     void onPrimaryLost(const ServerName &server) override;
     void onWritesHeld(bool held) override;
-    void onCandidateNotLeading(Instant asked, Position held) override;
+    void onCandidateNotLeading(Instant queriedAt, Position candidatePosition) override;
 
-    // As operators see it.
+    // Returns the status shown to operators.
     inner::GroupStatus status() const;
 
-    // Connections that every server of the group takes from all processes together.
+    // Returns the connection limit of each server, for all processes together.
     int maxConnections() const { return options_.maxConnections; }
     std::size_t queued() const { return queue_.size(); }
     std::size_t transactions() const { return transactions_.size(); }
@@ -82,7 +82,7 @@
 private:
     using Origin = std::pair<inner::LinkId, std::uint64_t>;
 
-    // One statement on its way through the owner.
+    // A queued or running statement.
     struct Job
     {
         inner::RunStatement statement;
@@ -90,30 +90,30 @@
         session::DoneCallback callback;
         SessionValues values;
         decision::WaitingStatement waiting;
-        // Of its organisation's quota.
+        // State of the quota request for the statement's organisation.
         enum class Quota {
             NotNeeded,
-            // It waits for what other owners may give.
-            Asked,
+            // Waiting for quota from other owners.
+            Requested,
             Taken,
         };
         Quota quota = Quota::NotNeeded;
-        // Position that a read needs, once it has been worked out.
-        std::optional<Position> needs;
-        // Servers that have failed it.
-        std::set<ServerName> avoid;
+        // Log position that a read requires, once known.
+        std::optional<Position> requiredPosition;
+        // Servers that failed this statement and are avoided in its retries.
+        std::set<ServerName> failedServers;
         int attempts = 0;
         Instant notBefore {};
-        // What it found when it asked for a connection last.
+        // Outcome of the last request for a connection.
         std::optional<decision::ConnectionAction> place;
-        // While it runs.
+        // Valid while the statement is running.
         ServerName server;
         PooledConnectionPtr connection;
         Instant sentAt;
         bool running = false;
-        // Its acknowledgement is counted by the watch of commits.
-        bool watched = false;
-        // Answered by a primary that may have been replaced before.
+        // Whether the commit's acknowledgement is tracked by commits_.
+        bool trackedCommit = false;
+        // Acknowledged by a primary that may already have been replaced.
         bool unverified = false;
         bool done = false;
         TimerId timer = 0;
@@ -125,30 +125,30 @@
         ServerName server;
         PooledConnectionPtr connection;
         bool readOnly = false;
-        // Its commit needs a replica's confirmation.
+        // Whether the commit requires a replica's confirmation.
         bool wrote = false;
-        // Number of the statement that began it.
+        // Request number of the statement that began the transaction.
         inner::RequestId begunBy = 0;
-        // The statement that runs in it; null between statements.
+        // The statement that is queued or running in the transaction; null between statements.
         JobPtr job;
-        // Its caller has gone: it ends with the statement that runs.
+        // Whether the transaction ends with its running statement.
         bool ending = false;
     };
 
-    // Its statements have turns among those of others.
-    bool hasTurns(const OrganisationName &organisation) const;
+    // Returns whether fair queueing applies to the organisation's statements.
+    bool usesFairQueueing(const OrganisationName &organisation) const;
     bool takeQuota(const JobPtr &job);
     void refuseForQuota(const JobPtr &job);
     void enqueue(const JobPtr &job);
     void sortQueue(Instant now);
     decision::WaitState waitState(const JobPtr &job) const;
-    decision::FailedStatement failed(const JobPtr &job) const;
-    void follow(const JobPtr &job, const decision::RetryDecision &verdict,
-                const std::string &detail);
-    // A server may take another statement.
-    bool anySlot(Instant now) const;
-    void pump();
-    void pumpSoon();
+    decision::FailedStatement failedStatement(const JobPtr &job) const;
+    void applyVerdict(const JobPtr &job, const decision::RetryDecision &verdict,
+                      const std::string &detail);
+    // Returns whether any server has a free slot.
+    bool hasFreeSlot(Instant now) const;
+    void dispatchQueue();
+    void scheduleDispatch();
     bool tryStart(const JobPtr &job, Instant now);
     void countPlace(Job &job, decision::ConnectionAction place);
     bool startInTransaction(const JobPtr &job, Transaction &transaction);
@@ -164,28 +164,28 @@
     void onResult(const JobPtr &job, BatchResult result, std::size_t expected);
     void onFailure(const JobPtr &job, const CommandResult &result);
     void onConnectionLost(const JobPtr &job);
-    void learn(GroupServer &server, const CommandResult &result, Instant sent);
+    void recordPosition(GroupServer &server, const CommandResult &result, Instant sent);
     void release(const JobPtr &job, bool reusable);
-    void retry(const JobPtr &job, Reason why, Duration delay);
+    void retry(const JobPtr &job, Reason reason, Duration delay);
     void succeed(const JobPtr &job, const CommandResult &result);
-    void endUnverified();
+    void refuseUnverified();
     void refuse(const JobPtr &job, Reason reason, Executed executed, const std::string &detail,
                 Duration retryAfter = {});
     void finish(const JobPtr &job, inner::StatementDone done);
-    void onHeldTooLong(const JobPtr &job);
+    void onHoldTimeout(const JobPtr &job);
     void onDeadline(const JobPtr &job);
     void rollBack(const Origin &origin, inner::RequestId begunBy);
-    void giveUpBegin(const Origin &origin, inner::RequestId begunBy);
-    void forgetTransaction(const Origin &origin, bool close);
-    void dropServer(const ServerName &id);
-    void dropUnlisted();
-    void watchMissing();
+    void cancelBegin(const Origin &origin, inner::RequestId begunBy);
+    void removeTransaction(const Origin &origin, bool close);
+    void closeServer(const ServerName &id);
+    void removeUnlisted();
+    void pollMissingServers();
     void onRestarted(GroupServer &server);
-    void onTrouble(const ServerName &server, ConnectOutcome outcome);
+    void onConnectionFailure(const ServerName &server, ConnectOutcome outcome);
     std::optional<Instant> oldestWrite() const;
-    int commitsBeside(const JobPtr &job);
+    int countConcurrentCommits(const JobPtr &job);
     bool needsConfirmation(const JobPtr &job) const;
-    void watchSoon();
+    void scheduleSilenceCheck();
     GroupServer *find(const ServerName &id);
 
     const Parts parts_;
@@ -193,35 +193,34 @@
     session::GroupOptions options_;
     Duration serverLeaveTime_ {std::chrono::seconds(7)};
     GroupServers servers_;
-    FailoverController keeper_;
+    FailoverController failoverController_;
     decision::PositionLog positions_;
     decision::CommitWatch commits_;
     decision::ServiceTimes serviceTimes_;
     decision::StartTimeFairQueuing turns_;
-    // By priority and objective: transactions that are open come first, since they hold
-    // connections.
+    // Ordered by priority and objective; open transactions come first, since they hold connections.
     std::list<JobPtr> queue_;
     std::vector<JobPtr> running_;
-    // Acknowledgements of a primary that may have been replaced, with the time at which they came.
+    // An acknowledgement from a primary that may have been replaced, with its time of receipt.
     struct Unverified
     {
-        Instant came;
+        Instant receivedAt;
         JobPtr job;
         inner::StatementDone done;
     };
     std::deque<Unverified> unverified_;
     std::map<Origin, Transaction> transactions_;
-    // When the present primary began to lead.
+    // When the current primary was adopted.
     Instant primarySince_ {};
     bool active_ = false;
     bool writesHeld_ = false;
-    bool pumping_ = false;
-    bool watching_ = false;
-    bool watchingMissing_ = false;
-    // When commits may last have run at the primary that are not among the running ones here: an
-    // earlier owner's, or such as were given up.
-    Instant strangersAt_ {};
-    // The same, shared with callbacks of servers that have gone.
+    bool dispatchScheduled_ = false;
+    bool silenceCheckScheduled_ = false;
+    bool missingPollScheduled_ = false;
+    // Last time at which the primary may have run commits that are not in running_: those of an
+    // earlier owner, or commits that were abandoned here.
+    Instant untrackedCommitsAt_ {};
+    // Set to false by the destructor; checked by pending callbacks.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/group/groupserver.cpp
+++ b/src/group/groupserver.cpp
@@ -6,24 +6,21 @@
 
 namespace {
 
-// A connection takes 12 ms to open where it was measured; a dark server never answers.
 constexpr Duration connectTimeout = std::chrono::milliseconds(1000);
-// Pause after a failed attempt, so that a dead server costs few attempts.
-constexpr Duration connectPause = std::chrono::milliseconds(100);
-// Of a server's connections the owner takes this share: an owner before it may still hold as many,
-// and both must fit most of the time. The server itself holds the limit.
-constexpr int sharePercent = 60;
-// A statement without an answer for this long makes the server be asked whether it runs: sooner
-// when nothing else was heard from the server meanwhile. The longest ones of the users' routes take
-// 220 ms, 1% of them more than 130.
-constexpr Duration lookAfter = std::chrono::milliseconds(220);
-constexpr Duration lookAfterQuiet = std::chrono::milliseconds(120);
-// A server that runs a statement has begun it within this time of its sending.
-constexpr Duration beginTime = std::chrono::milliseconds(100);
-// The answer to such a question takes some 4 ms, and 25 on a host that is five times slower than
-// usual. On a silent connection there is none, and the next question opens a new one.
-constexpr Duration lookTimeout = std::chrono::milliseconds(30);
-// The same for opening it, which takes 12 to 16 ms where it was measured.
+// Limits the attempts to connect to an unreachable server.
+constexpr Duration reconnectDelay = std::chrono::milliseconds(100);
+// The owner's share of a server's connections, which leaves room for those that the previous owner
+// still holds. The server itself enforces the limit.
+constexpr int ownerSharePercent = 60;
+// Statement age at which the server is queried for running statements; lower if the server has not
+// responded at all since the statement was sent.
+constexpr Duration queryAge = std::chrono::milliseconds(220);
+constexpr Duration silentServerQueryAge = std::chrono::milliseconds(120);
+// A statement that a server runs has started within this time of its sending.
+constexpr Duration maxStartDelay = std::chrono::milliseconds(100);
+// Timeout of that query; the next query opens a new control connection.
+constexpr Duration queryTimeout = std::chrono::milliseconds(30);
+// Minimum timeout for opening the control connection.
 constexpr Duration controlConnectTimeout = std::chrono::milliseconds(250);
 
 } // namespace
@@ -31,7 +28,7 @@
 GroupServer::GroupServer(const Parts &parts, const ListedServer &listed)
     : parts_(parts), listed_(listed),
       pool_([this](const OrganisationName &organisation) { open(organisation); }),
-      lastHeard_(parts.timers.now())
+      lastResponseAt_(parts.timers.now())
 { }
 
 GroupServer::~GroupServer()
@@ -47,13 +44,13 @@
     unlisted_ = false;
     if (!restarted)
         return false;
-    seen = {};
-    lookAge_ = Duration(0);
-    closeBefore(brokenAt_);
+    observed = {};
+    queryAge_ = Duration(0);
+    closeBefore(disconnectedAt_);
     return true;
 }
 
-void GroupServer::markUnlisted()
+void GroupServer::onUnlisted()
 {
     unlisted_ = true;
     listed_.missing = true;
@@ -62,9 +59,8 @@
     pool_.closeIdle();
 }
 
-// Connections may have been opened to the new run before the list told of it: those stay. Any of
-// the earlier run answers nothing more, and is given up with its statement. The one for the owner's
-// own commands is opened anew in any case: an answer on it must be the new run's.
+// Closes the connections of the earlier run. Those opened to the new run before the list showed it
+// stay. The control connection is always reopened, since its answers must be the new run's.
 void GroupServer::closeBefore(Instant opened)
 {
     pool_.closeBefore(opened);
@@ -77,7 +73,7 @@
 
 void GroupServer::setMaxConnections(int count, bool byOrganisation)
 {
-    decision::OwnerShare share {sharePercent, sharePercent};
+    decision::OwnerShare share {ownerSharePercent, ownerSharePercent};
     if (byOrganisation)
         share = {parts_.ways.ownerSharePercent, parts_.ways.maxOwnerSharePercent};
     pool_.setMaxConnections(count, byOrganisation, share);
@@ -86,7 +82,7 @@
 void GroupServer::warmUp()
 {
     const Instant now = parts_.timers.now();
-    if (now >= seen.retryAt)
+    if (now >= observed.retryAt)
         pool_.warmUp(listed_.slots, now);
 }
 
@@ -95,11 +91,11 @@
     closeBefore(Instant());
 }
 
-ServerPool::Taken GroupServer::take(const std::map<std::string, std::string> &values,
-                                    const OrganisationName &organisation)
+ServerPool::TakeResult GroupServer::take(const std::map<std::string, std::string> &values,
+                                         const OrganisationName &organisation)
 {
     const Instant now = parts_.timers.now();
-    return pool_.take(values, organisation, listed_.slots, now >= seen.retryAt, now);
+    return pool_.take(values, organisation, listed_.slots, now >= observed.retryAt, now);
 }
 
 void GroupServer::giveBack(const PooledConnectionPtr &connection)
@@ -109,7 +105,7 @@
 
 void GroupServer::open(const OrganisationName &organisation)
 {
-    sent();
+    onSend();
     const Instant began = parts_.timers.now();
     parts_.connector.connect(address(), organisation, connectTimeout,
                              [this, alive = alive_, began, organisation](
@@ -130,52 +126,52 @@
     if (outcome != ConnectOutcome::Ok) {
         const bool isFull = outcome == ConnectOutcome::TooManyConnections;
         if (!pool_.onOpenFailed(organisation, isFull, now))
-            seen.retryAt = now + connectPause;
+            observed.retryAt = now + reconnectDelay;
         if (isFull)
-            heard();
-        noteOutcome(outcome);
+            onResponse();
+        recordOutcome(outcome);
         parts_.log.info("server_connect_failed")
             .with("server", listed_.id())
             .with("outcome", static_cast<int>(outcome))
             .with("open", pool_.open());
-        parts_.onTrouble(listed_.id(), outcome);
+        parts_.onConnectionFailure(listed_.id(), outcome);
         return;
     }
-    noteOutcome(outcome);
-    heard();
+    recordOutcome(outcome);
+    onResponse();
     const std::weak_ptr<PooledConnection> weak = pool_.onOpened(organisation, connection, now);
     connection->onEnd([this, alive = alive_, weak] {
         const auto ended = weak.lock();
         if (*alive && ended)
-            onIdleEnded(ended);
+            onConnectionEnded(ended);
     });
-    parts_.onFree();
+    parts_.onCapacityFreed();
 }
 
-void GroupServer::noteOutcome(ConnectOutcome outcome)
+void GroupServer::recordOutcome(ConnectOutcome outcome)
 {
-    seen.unreachable =
+    observed.unreachable =
         outcome != ConnectOutcome::Ok && outcome != ConnectOutcome::TooManyConnections;
-    seen.absent = outcome == ConnectOutcome::Refused || outcome == ConnectOutcome::WrongServer;
-    if (seen.absent)
-        noteBreak();
+    observed.absent = outcome == ConnectOutcome::Refused || outcome == ConnectOutcome::WrongServer;
+    if (observed.absent)
+        recordDisconnect();
 }
 
-void GroupServer::noteBreak()
+void GroupServer::recordDisconnect()
 {
-    brokenAt_ = parts_.timers.now();
+    disconnectedAt_ = parts_.timers.now();
 }
 
-void GroupServer::onIdleEnded(const PooledConnectionPtr &connection)
+void GroupServer::onConnectionEnded(const PooledConnectionPtr &connection)
 {
-    noteBreak();
+    recordDisconnect();
     if (pool_.onEnded(connection))
-        parts_.onTrouble(listed_.id(), ConnectOutcome::Failed);
+        parts_.onConnectionFailure(listed_.id(), ConnectOutcome::Failed);
 }
 
 void GroupServer::control(ServerCommand command, Duration timeout, BatchCallback callback)
 {
-    sent();
+    onSend();
     if (control_ && control_->isOpen() && !controlBusy_)
         return runControl(std::move(command), timeout, std::move(callback));
     const auto connected = [this, alive = alive_, command, timeout, callback](
@@ -184,13 +180,13 @@
             if (connection)
                 connection->close();
             if (*alive) {
-                noteOutcome(outcome);
-                parts_.onTrouble(listed_.id(), outcome);
+                recordOutcome(outcome);
+                parts_.onConnectionFailure(listed_.id(), outcome);
             }
             return callback({{}, true});
         }
-        noteOutcome(outcome);
-        heard();
+        recordOutcome(outcome);
+        onResponse();
         if (control_)
             control_->close();
         control_ = connection;
@@ -217,7 +213,7 @@
                                     control_ = nullptr;
                             }
                             if (!result.lost)
-                                heard();
+                                onResponse();
                         }
                         callback(std::move(result));
                     });
@@ -230,7 +226,7 @@
     connection.takesSlot = true;
     connection.working = true;
     connection.mayRepeat = mayRepeat;
-    connection.workSince = parts_.timers.now();
+    connection.workStartedAt = parts_.timers.now();
 }
 
 void GroupServer::endWork(PooledConnection &connection)
@@ -246,109 +242,112 @@
     connection.takesSlot = false;
 }
 
-// Connections that work for statements sent before the instant and take a slot, oldest first.
-std::vector<PooledConnectionPtr> GroupServer::workingSince(Instant instant) const
+// Returns the connections with a statement that was sent by the given time and takes a slot,
+// oldest first.
+std::vector<PooledConnectionPtr> GroupServer::workStartedBefore(Instant instant) const
 {
     std::vector<PooledConnectionPtr> found;
     for (const PooledConnectionPtr &connection : pool_.inUse())
-        if (connection->working && connection->takesSlot && connection->workSince <= instant)
+        if (connection->working && connection->takesSlot && connection->workStartedAt <= instant)
             found.push_back(connection);
     std::sort(found.begin(), found.end(),
-              [](const auto &a, const auto &b) { return a->workSince < b->workSince; });
+              [](const auto &a, const auto &b) { return a->workStartedAt < b->workStartedAt; });
     return found;
 }
 
-void GroupServer::watchSilence(Instant now)
+void GroupServer::detectSilentConnections(Instant now)
 {
-    const auto working = workingSince(now);
-    if (working.empty() || now - working.front()->workSince < lookAfter)
-        lookAge_ = lookAfter;
-    if (working.empty() || looking_)
+    const auto working = workStartedBefore(now);
+    if (working.empty() || now - working.front()->workStartedAt < queryAge)
+        queryAge_ = queryAge;
+    if (working.empty() || queryingBusySlots_)
         return;
-    const Instant oldest = working.front()->workSince;
-    const bool quiet = lookAge_ == lookAfter && lastHeard_ <= oldest;
-    if (now - oldest >= (quiet ? lookAfterQuiet : lookAge_))
-        askWhatRuns(true);
+    const Instant oldest = working.front()->workStartedAt;
+    const bool quiet = queryAge_ == queryAge && lastResponseAt_ <= oldest;
+    if (now - oldest >= (quiet ? silentServerQueryAge : queryAge_))
+        queryBusySlots(true);
 }
 
-void GroupServer::askWhatRuns(bool again)
+void GroupServer::queryBusySlots(bool mayRetry)
 {
-    looking_ = true;
-    const Instant asked = parts_.timers.now();
-    control({}, lookTimeout, [this, alive = alive_, asked, again](const BatchResult &result) {
-        if (!*alive)
-            return;
-        looking_ = false;
-        const CommandResult *answer = result.results.empty() ? nullptr : &result.results[0];
-        if (answer != nullptr && answer->report)
-            return onBusyReport(answer->report->busy, asked);
-        // It answers, and has no slot left even for this question.
-        if (answer != nullptr && answer->error == ServerError::Busy)
-            return onBusyReport(listed_.slots, asked);
-        if (seen.unreachable)
-            giveUpReads(asked);
-        else if (again)
-            askWhatRuns(false);
-    });
+    queryingBusySlots_ = true;
+    const Instant queriedAt = parts_.timers.now();
+    control({}, queryTimeout,
+            [this, alive = alive_, queriedAt, mayRetry](const BatchResult &result) {
+                if (!*alive)
+                    return;
+                queryingBusySlots_ = false;
+                const CommandResult *answer = result.results.empty() ? nullptr : &result.results[0];
+                if (answer != nullptr && answer->report)
+                    return onBusyReport(answer->report->busy, queriedAt);
+                // The server responds, but has no slot left even for the query.
+                if (answer != nullptr && answer->error == ServerError::Busy)
+                    return onBusyReport(listed_.slots, queriedAt);
+                if (observed.unreachable)
+                    closeRepeatable(queriedAt);
+                else if (mayRetry)
+                    queryBusySlots(false);
+            });
 }
 
-// Not even a new connection can be opened: what may run elsewhere does not wait here.
-void GroupServer::giveUpReads(Instant asked)
+// Closes the connections of repeatable statements, which can run elsewhere, when the server is
+// unreachable.
+void GroupServer::closeRepeatable(Instant queriedAt)
 {
-    for (const PooledConnectionPtr &connection : workingSince(asked - lookAfterQuiet))
+    for (const PooledConnectionPtr &connection :
+         workStartedBefore(queriedAt - silentServerQueryAge))
         if (connection->mayRepeat)
             connection->connection->close();
 }
 
-// Of more statements than the server runs the oldest ones are lost, or wait for nothing that takes
-// a slot.
-void GroupServer::onBusyReport(int busy, Instant asked)
+// If fewer statements are running at the server than were sent, frees the slots of the oldest ones.
+void GroupServer::onBusyReport(int busy, Instant queriedAt)
 {
-    const auto old = workingSince(asked - beginTime);
+    const auto old = workStartedBefore(queriedAt - maxStartDelay);
     if (static_cast<int>(old.size()) <= busy) {
-        lookAge_ = 2 * lookAge_;
+        queryAge_ = 2 * queryAge_;
         return;
     }
     const std::size_t lost = old.size() - static_cast<std::size_t>(busy);
-    Instant since = asked;
+    Instant since = queriedAt;
     for (std::size_t i = 0; i < lost; ++i) {
         const PooledConnectionPtr &connection = old[i];
-        since = std::min(since, connection->workSince);
+        since = std::min(since, connection->workStartedAt);
         parts_.log.warning("statement_not_running")
             .with("group", listed_.group)
             .with("server", listed_.id())
-            .with("age_ms", asked - connection->workSince)
+            .with("age_ms", queriedAt - connection->workStartedAt)
             .with("server_runs", busy)
             .with("repeat", connection->mayRepeat);
         freeSlot(*connection);
         if (connection->mayRepeat)
             connection->connection->close();
     }
-    parts_.onSilence(since);
-    parts_.onFree();
+    parts_.onSilentConnections(since);
+    parts_.onCapacityFreed();
 }
 
-void GroupServer::heard()
+void GroupServer::onResponse()
 {
-    lastHeard_ = parts_.timers.now();
+    lastResponseAt_ = parts_.timers.now();
 }
 
-void GroupServer::sent()
+void GroupServer::onSend()
 {
-    if (!owes())
-        owedFrom_ = parts_.timers.now();
+    if (!isAnswerPending())
+        awaitingAnswerFrom_ = parts_.timers.now();
 }
 
-bool GroupServer::owes() const
+bool GroupServer::isAnswerPending() const
 {
     return inFlight_ > 0 || controlBusy_ || pool_.opening() > 0;
 }
 
-std::optional<Instant> GroupServer::owesSince() const
+std::optional<Instant> GroupServer::awaitingAnswerSince() const
 {
-    if (!owes())
+    if (!isAnswerPending())
         return std::nullopt;
-    return std::max(lastHeard_, owedFrom_);
+    return std::max(lastResponseAt_, awaitingAnswerFrom_);
 }
 
 } // namespace kelptally::group
--- a/src/group/serverlist.h
+++ b/src/group/serverlist.h
@@ -3,7 +3,7 @@
 #include "core/eventlog.h"
 #include "core/metrics.h"
 #include "core/timerservice.h"
-#include "group/serverport.h"
+#include "group/serverinterface.h"
 
 #include <functional>
 #include <map>
@@ -13,26 +13,25 @@
 
 namespace kelptally::group {
 
-// The servers of all groups as the platform lists them. An entry that is missing for a moment may
-// have lapsed while the platform's store was away: its server goes on first, then counts as
-// leaving, and only then as gone. So does one whose entry was overwritten by something that can't
-// be understood: if it lives, its next report mends the entry.
+// The servers of all groups as listed by the platform. A missing or unreadable entry may have
+// expired during an outage of the platform's store, so its server stays at first, then counts as
+// leaving, and is removed last.
 //
-// A server that starts again under its id is told as another run. Late news of an earlier run, or
-// older ones of the same, are left out.
+// A server that restarts under its id is reported as another run. Outdated updates, of an earlier
+// run or of the same one, are ignored.
 class ServerList
 {
 public:
-    using Changed =
+    using ChangedCallback =
         std::function<void(const GroupName &group, const std::vector<ListedServer> &servers)>;
 
-    ServerList(TimerService &timers, EventLog &log, Metrics &metrics, Changed changed);
+    ServerList(TimerService &timers, EventLog &log, Metrics &metrics, ChangedCallback changed);
 
     void onListed(const ListedServer &server);
     void onMissing(const ServerName &server);
 
-    // Tells the group's servers once more, for whoever had no use for them until now.
-    void retell(const GroupName &group) { tell(group); }
+    // Repeats the callback for the group.
+    void republish(const GroupName &group) { publish(group); }
 
     bool isEmpty() const { return servers_.empty(); }
 
@@ -40,24 +39,24 @@
     struct Entry
     {
         ListedServer server;
-        // Starts of earlier runs, the newest last.
-        std::vector<ServerStart> ended;
-        // Counts appearances, so that a late timer is told apart.
-        std::uint64_t appearance = 0;
+        // Start times of earlier runs, the newest last.
+        std::vector<ServerStart> earlierRuns;
+        // Incremented by each update; invalidates pending timers.
+        std::uint64_t generation = 0;
         bool missing = false;
     };
 
-    bool isOldNews(const Entry &entry, const ListedServer &server) const;
-    void noteRun(Entry &entry, const ListedServer &server);
+    bool isOutdated(const Entry &entry, const ListedServer &server) const;
+    void recordRun(Entry &entry, const ListedServer &server);
     void markLeaving(ListedServer &server);
     void move(const ServerName &server, const GroupName &from, const GroupName &to);
-    void tell(const GroupName &group);
-    void onStillMissing(const ServerName &server, std::uint64_t appearance, bool gone);
+    void publish(const GroupName &group);
+    void onMissingTimeout(const ServerName &server, std::uint64_t generation, bool isRemoval);
 
     TimerService &timers_;
     EventLog &log_;
     prometheus::Counter &visits_;
-    const Changed changed_;
+    const ChangedCallback changed_;
     std::map<ServerName, Entry> servers_;
     std::map<GroupName, std::set<ServerName>> byGroup_;
 };
--- a/src/group/serverpool.cpp
+++ b/src/group/serverpool.cpp
@@ -6,21 +6,17 @@
 
 namespace {
 
-// A server that has refused a connection keeps those of a host that lost power for 3 s: meanwhile
-// an organisation's connection is opened in place of another one's. With a pause after each refusal
-// instead, everyone waited who had none: 36 of 200 statements were served, and now all (the replay
-// in organisations_test).
-constexpr Duration crowdedTime = std::chrono::milliseconds(300);
-// Opened ahead beyond the slots: connections that rest inside transactions.
+// After a refusal as full, organisations replace each other's connections for this time, so that
+// those without a connection need not wait until the server drops those of a lost host.
+constexpr Duration reducedShareTime = std::chrono::milliseconds(300);
+// Connections opened beyond the slots, for transactions between statements.
 constexpr int spareConnections = 1;
-// A connection that nobody has needed for this long is closed, down to those opened ahead. A server
-// keeps the connections of a host that lost power for some seconds, and the next owner finds no
-// room beside a pool that has once grown to its share: with 16 a server, 1.7 s without a primary.
-constexpr Duration surplusAge = std::chrono::milliseconds(1000);
-// A connection of an organisation is kept for longer: nobody else can use it, and the organisation
-// opens another one, with 12 ms of a slot, when it asks again. Chosen, not measured.
-constexpr Duration organisationAge = std::chrono::seconds(10);
-// Prepared statements of one connection before all are cleared.
+// Surplus connections are closed after this idle time. Otherwise they would leave no room for the
+// next owner's while the server keeps the connections of a lost owner.
+constexpr Duration surplusIdleTimeout = std::chrono::milliseconds(1000);
+// Longer for an organisation's connection, since opening another one takes a slot.
+constexpr Duration organisationIdleTimeout = std::chrono::seconds(10);
+// Limits the prepared statements of one connection.
 constexpr std::size_t maxPrepared = 200;
 
 } // namespace
@@ -37,19 +33,19 @@
 {
     if (limit_)
         return *limit_;
-    const auto resting = std::count_if(taken_.begin(), taken_.end(),
+    const auto resting = std::count_if(inUse_.begin(), inUse_.end(),
                                        [](const auto &each) { return !each->working; });
     const int own =
         decision::maxOwnerConnections(maxConnections_, static_cast<int>(resting), ownerShare_);
-    return now < crowdedUntil_ ? std::min(own, crowdedShare_) : own;
+    return now < reducedShareUntil_ ? std::min(own, reducedShare_) : own;
 }
 
-ServerPool::Taken ServerPool::take(const std::map<std::string, std::string> &values,
-                                   const OrganisationName &organisation, int slots, bool mayOpen,
-                                   Instant now)
+ServerPool::TakeResult ServerPool::take(const std::map<std::string, std::string> &values,
+                                        const OrganisationName &organisation, int slots,
+                                        bool mayOpen, Instant now)
 {
-    // 1. What there is, as the decision sees it.
-    forgetEnded();
+    // 1. Describe the idle connections and the limits for chooseConnection().
+    removeClosed();
     std::vector<decision::IdleConnection> idle;
     if (hasIdle(organisation)) {
         for (const PooledConnectionPtr &each : idle_) {
@@ -57,7 +53,7 @@
             idle.push_back({belongs, belongs && each->values == values, each->answeredAt});
         }
     } else if (!idle_.empty()) {
-        // Of others' connections only the one that has rested longest matters.
+        // Of other organisations' connections, only the longest idle one can be replaced.
         idle.push_back({false, false, idle_.front()->answeredAt});
     }
     decision::ServerConnections server;
@@ -65,26 +61,26 @@
     server.share = share(now);
     server.slots = slots;
     server.mayOpen = mayOpen;
-    server.minIdleTime = leastRest_;
+    server.minIdleTime = minIdleTime_;
     if (!organisation.empty()) {
-        server.opening = openingOwned_;
+        server.opening = openingForOrganisations_;
         const auto openingForOrganisation = openingFor_.find(organisation);
         server.openingForOrganisation =
             openingForOrganisation == openingFor_.end() ? 0 : openingForOrganisation->second;
     }
-    // 2. One of them, or a new one.
+    // 2. Take or replace an idle connection, open a new one, or wait.
     const decision::ConnectionChoice choice = decision::chooseConnection(idle, server, now);
     const auto chosen = idle_.begin() + static_cast<std::ptrdiff_t>(choice.index);
     switch (choice.action) {
     case decision::ConnectionAction::Use: {
         const PooledConnectionPtr connection = *chosen;
-        changeIdle().erase(chosen);
-        taken_.push_back(connection);
+        mutableIdle().erase(chosen);
+        inUse_.push_back(connection);
         return {connection, choice.action};
     }
     case decision::ConnectionAction::Replace:
         (*chosen)->connection->close();
-        changeIdle().erase(chosen);
+        mutableIdle().erase(chosen);
         startOpening(organisation);
         break;
     case decision::ConnectionAction::Open:
@@ -102,7 +98,7 @@
 {
     ++opening_;
     if (!organisation.empty()) {
-        ++openingOwned_;
+        ++openingForOrganisations_;
         ++openingFor_[organisation];
     }
     opener_(organisation);
@@ -113,7 +109,7 @@
     --opening_;
     if (organisation.empty())
         return;
-    --openingOwned_;
+    --openingForOrganisations_;
     if (--openingFor_[organisation] == 0)
         openingFor_.erase(organisation);
 }
@@ -127,7 +123,7 @@
     pooled->organisation = organisation;
     pooled->openedAt = now;
     pooled->answeredAt = now;
-    changeIdle().push_back(pooled);
+    mutableIdle().push_back(pooled);
     return pooled;
 }
 
@@ -136,8 +132,8 @@
     endOpening(organisation);
     const bool canReplace = isFull && !organisation.empty() && open() > 0;
     if (canReplace) {
-        crowdedUntil_ = now + crowdedTime;
-        crowdedShare_ = open();
+        reducedShareUntil_ = now + reducedShareTime;
+        reducedShare_ = open();
     }
     return canReplace;
 }
@@ -147,45 +143,45 @@
     const auto found = std::find(idle_.begin(), idle_.end(), connection);
     if (found == idle_.end())
         return false;
-    changeIdle().erase(found);
+    mutableIdle().erase(found);
     return true;
 }
 
-void ServerPool::forgetEnded()
+void ServerPool::removeClosed()
 {
     const auto ended = std::remove_if(idle_.begin(), idle_.end(), [](const auto &connection) {
         return !connection->connection->isOpen();
     });
     if (ended != idle_.end())
-        changeIdle().erase(ended, idle_.end());
+        mutableIdle().erase(ended, idle_.end());
 }
 
-bool ServerPool::untake(const PooledConnectionPtr &connection)
+bool ServerPool::removeInUse(const PooledConnectionPtr &connection)
 {
-    const auto found = std::find(taken_.begin(), taken_.end(), connection);
-    if (found == taken_.end())
+    const auto found = std::find(inUse_.begin(), inUse_.end(), connection);
+    if (found == inUse_.end())
         return false;
-    taken_.erase(found);
+    inUse_.erase(found);
     return true;
 }
 
 void ServerPool::giveBack(const PooledConnectionPtr &connection, int slots, Instant now)
 {
-    if (!untake(connection))
+    if (!removeInUse(connection))
         return;
     connection->answeredAt = now;
     if (!connection->connection->isOpen())
         return;
     if (connection->prepared.size() > maxPrepared)
         return connection->connection->close();
-    changeIdle().push_back(connection);
+    mutableIdle().push_back(connection);
     closeSurplus(slots, now);
 }
 
 void ServerPool::discard(const PooledConnectionPtr &connection)
 {
     connection->connection->close();
-    untake(connection);
+    removeInUse(connection);
 }
 
 void ServerPool::warmUp(int slots, Instant now)
@@ -197,33 +193,33 @@
         startOpening({});
 }
 
-// Connections are taken from the end, so that the first one has rested longest.
+// Connections are taken from the end, so the first one has been idle longest.
 void ServerPool::closeSurplus(int slots, Instant now)
 {
     const std::size_t wanted = static_cast<std::size_t>(slots + spareConnections);
-    const Duration age = byOrganisation_ ? organisationAge : surplusAge;
+    const Duration age = byOrganisation_ ? organisationIdleTimeout : surplusIdleTimeout;
     while (idle_.size() > wanted && now - idle_.front()->answeredAt >= age) {
         idle_.front()->connection->close();
-        changeIdle().erase(idle_.begin());
+        mutableIdle().erase(idle_.begin());
     }
 }
 
 void ServerPool::closeIdle()
 {
     std::vector<PooledConnectionPtr> idle;
-    idle.swap(changeIdle());
+    idle.swap(mutableIdle());
     for (const PooledConnectionPtr &each : idle)
         each->connection->close();
 }
 
-void ServerPool::dropIdle(Instant since)
+void ServerPool::closeStaleIdle(Instant since)
 {
     const auto kept =
         std::stable_partition(idle_.begin(), idle_.end(), [since](const PooledConnectionPtr &each) {
             return each->answeredAt >= since;
         });
     const std::vector<PooledConnectionPtr> old(kept, idle_.end());
-    changeIdle().erase(kept, idle_.end());
+    mutableIdle().erase(kept, idle_.end());
     for (const PooledConnectionPtr &each : old)
         each->connection->close();
 }
@@ -231,9 +227,9 @@
 void ServerPool::closeBefore(Instant opened)
 {
     const bool allOld = opened == Instant();
-    heldIsKnown_ = false;
+    idleOrganisationsKnown_ = false;
     std::vector<PooledConnectionPtr> old;
-    for (auto *pool : {&idle_, &taken_}) {
+    for (auto *pool : {&idle_, &inUse_}) {
         const auto kept = std::stable_partition(pool->begin(), pool->end(), [&](const auto &each) {
             return !allOld && each->openedAt >= opened;
         });
@@ -244,26 +240,25 @@
         each->connection->close();
 }
 
-std::vector<PooledConnectionPtr> &ServerPool::changeIdle()
+std::vector<PooledConnectionPtr> &ServerPool::mutableIdle()
 {
-    heldIsKnown_ = false;
+    idleOrganisationsKnown_ = false;
     return idle_;
 }
 
-// Asked for each statement that waits: with a look at each connection every time, a full queue of
-// an owner with 72 organisations cost more processor time than a host of 0.12 cores has.
+// Called for each waiting statement; the cache avoids a scan of all connections each time.
 bool ServerPool::hasIdle(const OrganisationName &organisation) const
 {
-    if (!heldIsKnown_) {
-        held_.clear();
+    if (!idleOrganisationsKnown_) {
+        idleOrganisations_.clear();
         for (const PooledConnectionPtr &each : idle_)
-            held_.insert(each->organisation);
-        heldIsKnown_ = true;
+            idleOrganisations_.insert(each->organisation);
+        idleOrganisationsKnown_ = true;
     }
-    return held_.count(organisation) != 0;
+    return idleOrganisations_.count(organisation) != 0;
 }
 
-bool ServerPool::isHeldBy(const OrganisationName &organisation) const
+bool ServerPool::hasConnectionFor(const OrganisationName &organisation) const
 {
     return openingFor_.count(organisation) != 0 || hasIdle(organisation);
 }
