--- a/src/bench/commands.h
+++ b/src/bench/commands.h
@@ -12,7 +12,7 @@
 // Plays a load against the decisions of a group's owner.
 int runPressure(int argc, char **argv);
 // Plays hosts that follow the tables of one store.
-int runNews(int argc, char **argv);
+int runRelays(int argc, char **argv);
 // Measures the slopes of docs/CAPACITY.md in this process.
 int runSlopes(int argc, char **argv);
 // Measures what losses of hosts ask of the table service.
--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -23,7 +23,7 @@
     {"load", "send a load to running processes and measure them", bench::runLoad},
     {"overload", "measure the behaviour under overload", bench::runOverload},
     {"pressure", "play a load against the decisions of a group's owner", bench::runPressure},
-    {"news", "play hosts that follow the tables of one store", bench::runNews},
+    {"news", "play hosts that follow the tables of one store", bench::runRelays},
     {"slopes", "measure what docs/CAPACITY.md is worked out from", bench::runSlopes},
     {"losses", "measure what losses of hosts ask of the table service", bench::runLosses},
     {"traces", "write the shipped traces to files", bench::runTraces},
--- a/src/bench/newscommand.cpp
+++ b/src/bench/relaycommand.cpp
@@ -1,5 +1,5 @@
 #include "bench/commands.h"
-#include "bench/newsmodel.h"
+#include "bench/relaymodel.h"
 #include "settings/inidocument.h"
 
 #include <absl/strings/str_format.h>
@@ -11,18 +11,19 @@
 
 namespace {
 
-void printRow(int hosts, const NewsResult &result)
+void printRow(int hosts, const RelayResult &result)
 {
     std::cout << absl::StrFormat(
         "%6d %8d %8d %9.1f %8d %7d %10.0f %10.0f %9.1f %9.1f\n", hosts, result.callsAtStart,
-        result.callsAfter, result.callsPerSecond, result.mostCalls, result.askers,
-        toMilliseconds(result.slowestConfiguration), toMilliseconds(result.slowestServer),
-        double(result.bytesWithinZones) / 1024, double(result.bytesAcrossZones) / 1024);
+        result.callsAfterStart, result.callsPerSecond, result.maxCallsPerSecond,
+        result.pollingHosts, toMilliseconds(result.maxConfigurationDelay),
+        toMilliseconds(result.maxServerDelay), double(result.bytesWithinZones) / 1024,
+        double(result.bytesAcrossZones) / 1024);
 }
 
 } // namespace
 
-int runNews(int argc, char **argv)
+int runRelays(int argc, char **argv)
 {
     TCLAP::CmdLine command("Plays hosts that follow the tables of one store, in virtual time.");
     TCLAP::UnlabeledValueArg<std::string> file("plan", "Plan file (docs/LOAD.md)", true, "", "PLAN",
@@ -33,7 +34,7 @@
     command.parse(argc, argv);
     settings::Findings findings;
     const std::string text = settings::readFile(file.getValue(), findings);
-    NewsPlan plan = parseNewsPlan(file.getValue(), text, findings);
+    RelayPlan plan = parseRelayPlan(file.getValue(), text, findings);
     if (!findings.empty()) {
         std::cerr << findings.toText();
         return 1;
@@ -46,7 +47,8 @@
     bool good = true;
     for (const int size : sizes) {
         plan.hosts = size;
-        const NewsResult result = playNews(plan, static_cast<std::uint64_t>(seed.getValue()));
+        const RelayResult result =
+            simulateRelays(plan, static_cast<std::uint64_t>(seed.getValue()));
         printRow(size, result);
         for (const std::string &violation : result.violations)
             std::cout << "  broken: " << violation << "\n";
--- a/src/bench/newsmodel.cpp
+++ b/src/bench/relaymodel.cpp
@@ -1,8 +1,8 @@
-#include "bench/newsmodel.h"
+#include "bench/relaymodel.h"
 
 #include "core/hosttimers.h"
-#include "decision/feedpace.h"
-#include "host/tablenews.h"
+#include "decision/pollpacer.h"
+#include "host/tablerelay.h"
 #include "inner/codec.h"
 #include "services/storegate.h"
 #include "services/tablefollower.h"
@@ -67,7 +67,7 @@
         return changes;
     }
 
-    void await(const std::string &table, std::function<void()> wake)
+    void awaitChange(const std::string &table, std::function<void()> wake)
     {
         waiting_[table].push_back(std::move(wake));
     }
@@ -84,7 +84,7 @@
 // One host: the real followers, news and gate on its own timers.
 struct Host : public services::TableService,
               public services::TableFeed,
-              public host::TableNews::Links
+              public host::TableRelay::Links
 {
     Host(Model &theModel, int index, std::uint64_t seed);
     ~Host() override { *timers.alive = false; }
@@ -115,14 +115,14 @@
     void drop(const std::string &to) override;
     absl::Status sendTo(const std::string &to, inner::Message message) override;
     absl::Status sendOn(inner::LinkId link, inner::Message message) override;
-    bool isNear(inner::LinkId link) const override;
+    bool isSameZone(inner::LinkId link) const override;
     void onMessage(inner::LinkId link, const inner::Message &message);
     void dial(const std::string &to);
 
     void onOwner(const services::TableRow &row);
     void onVersion(std::map<std::string, int> &seen, const services::TableRow &row);
     // Nothing has happened to it for the time in which a change has to be known.
-    bool isCalm(Instant since) const { return up && lastTrouble < since; }
+    bool isUnaffected(Instant since) const { return up && faultedUntil < since; }
 
     Model &model;
     HostTimers timers;
@@ -131,30 +131,30 @@
     std::minstd_rand random;
     bool up = true;
     bool cutFromStore = false;
-    Instant lastTrouble {};
+    Instant faultedUntil {};
     Metrics metrics;
     std::unique_ptr<services::StoreGate> gate;
-    std::unique_ptr<host::TableNews> news;
+    std::unique_ptr<host::TableRelay> tableRelay;
     std::vector<std::unique_ptr<services::TableFollower>> followers;
-    decision::TellerOrder tellerOrder;
+    decision::RelayOrder relayOrder;
     std::map<std::string, int> configurations;
     std::map<std::string, int> serverStates;
     // Links by the other end, and the other way round.
-    std::map<std::string, int> wanted;
+    std::map<std::string, int> wantedLinks;
     std::map<std::string, inner::LinkId> links;
-    std::map<inner::LinkId, std::string> ends;
+    std::map<inner::LinkId, std::string> peersByLink;
     // Calls that are open at the store.
-    std::map<std::uint64_t, std::function<void()>> open;
+    std::map<std::uint64_t, std::function<void()>> openCalls;
     std::uint64_t lastCall = 0;
-    Instant askedAt {};
+    Instant lastCallAt {};
 };
 
 class Model
 {
 public:
-    Model(const NewsPlan &plan, std::uint64_t seed);
+    Model(const RelayPlan &plan, std::uint64_t seed);
 
-    NewsResult play();
+    RelayResult play();
 
     Host *find(const std::string &address)
     {
@@ -163,30 +163,30 @@
     }
     void countCall()
     {
-        ++perSecond[int((timers.now() - began) / 1s)];
-        ++(timers.now() - began < settleTime ? result.callsAtStart : result.callsAfter);
+        ++callsBySecond[int((timers.now() - began) / 1s)];
+        ++(timers.now() - began < settleTime ? result.callsAtStart : result.callsAfterStart);
     }
 
-    const NewsPlan &plan;
+    const RelayPlan &plan;
     ManualTimerService timers;
     EventLog log;
     ModelTables tables {timers};
     std::mt19937_64 random;
     Instant began;
-    NewsResult result;
-    std::map<int, int> perSecond;
+    RelayResult result;
+    std::map<int, int> callsBySecond;
     std::vector<std::unique_ptr<Host>> hosts;
     std::map<std::string, Host *> byAddress;
     inner::LinkId lastLink = 0;
 
 private:
-    void strike(const NewsTrouble &trouble);
-    void hurt(Host &host, const NewsTrouble &trouble);
-    void change(const std::string &table, int version);
-    void watch(const std::string &table, int version, Instant changed);
+    void injectFault(const RelayFault &fault);
+    void applyFault(Host &host, const RelayFault &fault);
+    void writeVersion(const std::string &table, int version);
+    void measurePropagation(const std::string &table, int version, Instant changed);
 };
 
-EventLogOptions quiet()
+EventLogOptions errorsOnly()
 {
     EventLogOptions options;
     options.level = LogLevel::Error;
@@ -210,23 +210,23 @@
         },
         [this] {
             std::map<std::uint64_t, std::function<void()>> ended;
-            ended.swap(open);
+            ended.swap(openCalls);
             for (const auto &[id, end] : ended)
                 end();
         },
         draw});
-    news = std::make_unique<host::TableNews>(host::TableNews::Parts {
+    tableRelay = std::make_unique<host::TableRelay>(host::TableRelay::Parts {
         timers, *gate, *this, model.log, metrics, address, zone, owners, true, draw});
     const auto follow = [this](const char *table, Duration wait, auto onRow) {
         followers.push_back(std::make_unique<services::TableFollower>(
-            services::TableFollower::Parts {timers, *news, model.log}, table, wait,
+            services::TableFollower::Parts {timers, *tableRelay, model.log}, table, wait,
             services::TableFollower::Handlers {onRow, [](const std::string &) {}, [] {}}));
         followers.back()->start();
     };
     follow(owners, 20s, [this](const services::TableRow &row) { onOwner(row); });
-    follow(servers, decision::feedWaitForLeaving(model.plan.leaveTime),
+    follow(servers, decision::pollWaitForLeaving(model.plan.leaveTime),
            [this](const services::TableRow &row) { onVersion(serverStates, row); });
-    follow(configuration, decision::feedWaitWithin(model.plan.configurationTime),
+    follow(configuration, decision::pollWaitWithin(model.plan.configurationTime),
            [this](const services::TableRow &row) { onVersion(configurations, row); });
 }
 
@@ -234,8 +234,8 @@
 void Host::onOwner(const services::TableRow &row)
 {
     const std::size_t blank = row.value.find(' ');
-    tellerOrder.add({row.value.substr(0, blank), row.value.substr(blank + 1)});
-    timers.post([this] { news->setCandidates(tellerOrder); });
+    relayOrder.add({row.value.substr(0, blank), row.value.substr(blank + 1)});
+    timers.post([this] { tableRelay->setCandidates(relayOrder); });
 }
 
 // A row that holds its version and bytes after it.
@@ -254,8 +254,8 @@
 void Host::call(std::function<Result()> work, std::function<void(absl::StatusOr<Result>)> callback)
 {
     const std::uint64_t id = ++lastCall;
-    askedAt = model.timers.now();
-    open[id] = [callback] { callback(absl::DeadlineExceededError("no answer")); };
+    lastCallAt = model.timers.now();
+    openCalls[id] = [callback] { callback(absl::DeadlineExceededError("no answer")); };
     if (!cutFromStore)
         model.countCall();
     model.timers.subscribeAfter(storeDelay / 2, [this, alive = timers.alive, id, work, callback] {
@@ -263,7 +263,7 @@
             return;
         const Result result = work();
         timers.subscribeAfter(storeDelay / 2, [this, id, result, callback] {
-            if (!cutFromStore && open.erase(id) != 0)
+            if (!cutFromStore && openCalls.erase(id) != 0)
                 callback(result);
         });
     });
@@ -279,8 +279,8 @@
                    services::ChangesCallback callback)
 {
     const std::uint64_t id = ++lastCall;
-    askedAt = model.timers.now();
-    open[id] = [callback] { callback(absl::DeadlineExceededError("no answer")); };
+    lastCallAt = model.timers.now();
+    openCalls[id] = [callback] { callback(absl::DeadlineExceededError("no answer")); };
     if (!cutFromStore)
         model.countCall();
     const auto answer = [this, alive = timers.alive, id, table, after, callback] {
@@ -288,7 +288,7 @@
             return;
         const services::TableChanges changes = model.tables.changes(table, after);
         timers.subscribeAfter(storeDelay / 2, [this, id, changes, callback] {
-            if (!cutFromStore && open.erase(id) != 0)
+            if (!cutFromStore && openCalls.erase(id) != 0)
                 callback(changes);
         });
     };
@@ -304,26 +304,26 @@
                     answer();
                 *answered = true;
             };
-            model.tables.await(table, once);
+            model.tables.awaitChange(table, once);
             model.timers.subscribeAfter(wait, once);
         });
 }
 
 void Host::connect(const std::string &to)
 {
-    if (++wanted[to] == 1)
+    if (++wantedLinks[to] == 1)
         dial(to);
 }
 
 void Host::drop(const std::string &to)
 {
-    if (--wanted[to] == 0)
-        wanted.erase(to);
+    if (--wantedLinks[to] == 0)
+        wantedLinks.erase(to);
 }
 
 void Host::dial(const std::string &to)
 {
-    if (wanted.count(to) == 0 || links.count(to) != 0)
+    if (wantedLinks.count(to) == 0 || links.count(to) != 0)
         return;
     Host *other = model.find(to);
     if (other == nullptr || !other->up) {
@@ -332,9 +332,9 @@
     }
     const inner::LinkId link = ++model.lastLink;
     links[to] = link;
-    ends[link] = to;
-    other->ends[link] = address;
-    timers.subscribeAfter(2 * linkDelay, [this, to] { news->onLinkUp(to); });
+    peersByLink[link] = to;
+    other->peersByLink[link] = address;
+    timers.subscribeAfter(2 * linkDelay, [this, to] { tableRelay->onLinkUp(to); });
 }
 
 absl::Status Host::sendTo(const std::string &to, inner::Message message)
@@ -347,10 +347,10 @@
 
 absl::Status Host::sendOn(inner::LinkId link, inner::Message message)
 {
-    const auto end = ends.find(link);
-    if (end == ends.end())
+    const auto peer = peersByLink.find(link);
+    if (peer == peersByLink.end())
         return absl::UnavailableError("no link");
-    Host *other = model.find(end->second);
+    Host *other = model.find(peer->second);
     const auto bytes = inner::encode(message);
     // Of the frame and of TCP/IP.
     constexpr std::uint64_t headers = 58;
@@ -363,25 +363,25 @@
     return absl::OkStatus();
 }
 
-bool Host::isNear(inner::LinkId link) const
+bool Host::isSameZone(inner::LinkId link) const
 {
-    const auto end = ends.find(link);
-    return end != ends.end() && model.find(end->second)->zone == zone;
+    const auto peer = peersByLink.find(link);
+    return peer != peersByLink.end() && model.find(peer->second)->zone == zone;
 }
 
 void Host::onMessage(inner::LinkId link, const inner::Message &message)
 {
-    const auto end = ends.find(link);
-    if (end == ends.end())
+    const auto peer = peersByLink.find(link);
+    if (peer == peersByLink.end())
         return;
-    if (const auto *follow = std::get_if<inner::FollowTables>(&message))
-        news->onFollow(link, *follow);
-    if (const auto *told = std::get_if<inner::TableNews>(&message))
-        news->onNews(end->second, *told);
+    if (const auto *request = std::get_if<inner::SubscribeTables>(&message))
+        tableRelay->onSubscribe(link, *request);
+    if (const auto *update = std::get_if<inner::TableUpdate>(&message))
+        tableRelay->onUpdate(peer->second, *update);
 }
 
-Model::Model(const NewsPlan &thePlan, std::uint64_t seed)
-    : plan(thePlan), log(quiet()), random(seed), began(timers.now())
+Model::Model(const RelayPlan &thePlan, std::uint64_t seed)
+    : plan(thePlan), log(errorsOnly()), random(seed), began(timers.now())
 {
     for (int i = 0; i < plan.hosts; ++i) {
         hosts.push_back(std::make_unique<Host>(*this, i, seed));
@@ -389,21 +389,21 @@
     }
 }
 
-void Model::hurt(Host &host, const NewsTrouble &trouble)
+void Model::applyFault(Host &host, const RelayFault &fault)
 {
     if (!host.up)
         return;
-    const Instant until = timers.now() + trouble.length;
-    host.lastTrouble = until;
-    switch (trouble.fault) {
-    case NewsFault::Kill:
+    const Instant until = timers.now() + fault.length;
+    host.faultedUntil = until;
+    switch (fault.kind) {
+    case RelayFaultKind::Kill:
         host.up = false;
         *host.timers.alive = false;
-        for (const auto &[link, to] : host.ends) {
+        for (const auto &[link, to] : host.peersByLink) {
             Host *other = find(to);
             other->timers.subscribeAfter(linkDelay, [other, link = link, from = host.address] {
-                other->ends.erase(link);
-                other->news->onLinkDown(link);
+                other->peersByLink.erase(link);
+                other->tableRelay->onLinkDown(link);
                 if (other->links.count(from) != 0 && other->links[from] == link) {
                     other->links.erase(from);
                     other->dial(from);
@@ -411,10 +411,10 @@
             });
         }
         break;
-    case NewsFault::Freeze:
+    case RelayFaultKind::Freeze:
         host.timers.frozenUntil = until;
         break;
-    case NewsFault::CutFromStore:
+    case RelayFaultKind::CutFromStore:
         host.cutFromStore = true;
         timers.subscribeAt(until, [&host] { host.cutFromStore = false; });
         break;
@@ -422,23 +422,23 @@
 }
 
 // Tellers are those that others listen to.
-void Model::strike(const NewsTrouble &trouble)
+void Model::injectFault(const RelayFault &fault)
 {
-    std::vector<Host *> tellers;
+    std::vector<Host *> relays;
     for (const auto &host : hosts)
-        if (host->up && host->news->isTeller())
-            tellers.push_back(host.get());
-    if (tellers.empty())
+        if (host->up && host->tableRelay->isRelay())
+            relays.push_back(host.get());
+    if (relays.empty())
         return;
-    if (trouble.all) {
-        for (Host *teller : tellers)
-            hurt(*teller, trouble);
+    if (fault.affectsAll) {
+        for (Host *relay : relays)
+            applyFault(*relay, fault);
         return;
     }
-    hurt(*tellers[random() % tellers.size()], trouble);
+    applyFault(*relays[random() % relays.size()], fault);
 }
 
-void Model::change(const std::string &table, int version)
+void Model::writeVersion(const std::string &table, int version)
 {
     const std::size_t bytes =
         table == configuration ? std::size_t(plan.configurationBytes) : std::size_t(250);
@@ -449,12 +449,12 @@
     const Duration bound = table == configuration ? plan.configurationTime : plan.leaveTime;
     // The first one comes before most hosts know whom to listen to.
     if (version > 1)
-        watch(table, version, changed);
+        measurePropagation(table, version, changed);
     timers.subscribeAfter(bound, [this, table, version, changed] {
         for (const auto &host : hosts) {
             const auto &seen = table == configuration ? host->configurations : host->serverStates;
             const auto known = seen.find("row");
-            if (host->isCalm(changed) && (known == seen.end() || known->second < version))
+            if (host->isUnaffected(changed) && (known == seen.end() || known->second < version))
                 result.violations.push_back(host->address + " does not know version "
                                             + std::to_string(version) + " of " + table
                                             + " within its bound");
@@ -463,30 +463,31 @@
 }
 
 // Looks every 10 ms until all hosts that are calm know the change.
-void Model::watch(const std::string &table, int version, Instant changed)
+void Model::measurePropagation(const std::string &table, int version, Instant changed)
 {
     const bool allKnow = std::all_of(hosts.begin(), hosts.end(), [&](const auto &host) {
         const auto &seen = table == configuration ? host->configurations : host->serverStates;
         const auto known = seen.find("row");
-        return !host->isCalm(changed) || (known != seen.end() && known->second >= version);
+        return !host->isUnaffected(changed) || (known != seen.end() && known->second >= version);
     });
     if (!allKnow && timers.now() - changed < plan.leaveTime) {
-        timers.subscribeAfter(10ms,
-                              [this, table, version, changed] { watch(table, version, changed); });
+        timers.subscribeAfter(
+            10ms, [this, table, version, changed] { measurePropagation(table, version, changed); });
         return;
     }
-    Duration &slowest = table == configuration ? result.slowestConfiguration : result.slowestServer;
-    slowest = std::max(slowest, timers.now() - changed);
+    Duration &maxDelay =
+        table == configuration ? result.maxConfigurationDelay : result.maxServerDelay;
+    maxDelay = std::max(maxDelay, timers.now() - changed);
 }
 
-NewsResult Model::play()
+RelayResult Model::play()
 {
     std::uniform_real_distribution<double> draw(0, 1);
     for (const auto &host : hosts)
         timers.subscribeAfter(std::chrono::duration_cast<Duration>(plan.startSpread * draw(random)),
                               [&host] { host->start(); });
     // The configuration comes first, and groups get their owners one after the other.
-    timers.subscribeAfter(500ms, [this] { change(configuration, 1); });
+    timers.subscribeAfter(500ms, [this] { writeVersion(configuration, 1); });
     for (int i = 0; i < plan.groups; ++i)
         timers.subscribeAfter(1s + i * 2s / plan.groups, [this, i] {
             const Host &owner = *hosts[random() % hosts.size()];
@@ -497,25 +498,25 @@
          at += plan.changePeriod) {
         ++version;
         timers.subscribeAfter(at, [this, version] {
-            change(configuration, version);
-            change(servers, version);
+            writeVersion(configuration, version);
+            writeVersion(servers, version);
         });
     }
-    for (const NewsTrouble &trouble : plan.troubles)
-        timers.subscribeAfter(trouble.at, [this, trouble] { strike(trouble); });
+    for (const RelayFault &fault : plan.faults)
+        timers.subscribeAfter(fault.at, [this, fault] { injectFault(fault); });
     timers.advance(plan.length);
     const Duration after = plan.length - settleTime;
-    result.callsPerSecond = result.callsAfter / (toMilliseconds(after) / 1000);
-    for (const auto &[second, calls] : perSecond)
-        result.mostCalls = std::max(result.mostCalls, calls);
+    result.callsPerSecond = result.callsAfterStart / (toMilliseconds(after) / 1000);
+    for (const auto &[second, calls] : callsBySecond)
+        result.maxCallsPerSecond = std::max(result.maxCallsPerSecond, calls);
     for (const auto &host : hosts)
-        result.askers += host->up && timers.now() - host->askedAt < 10s ? 1 : 0;
+        result.pollingHosts += host->up && timers.now() - host->lastCallAt < 10s ? 1 : 0;
     return result;
 }
 
 } // namespace
 
-NewsResult playNews(const NewsPlan &plan, std::uint64_t seed)
+RelayResult simulateRelays(const RelayPlan &plan, std::uint64_t seed)
 {
     Model model(plan, seed);
     return model.play();
--- a/src/bench/newsmodel.h
+++ b/src/bench/relaymodel.h
@@ -10,24 +10,24 @@
 namespace kelptally::bench {
 
 // What happens to one teller, or to all.
-enum class NewsFault {
+enum class RelayFaultKind {
     Kill,
     Freeze,
     // The store answers it no more, while the other hosts hear it.
     CutFromStore,
 };
 
-struct NewsTrouble
+struct RelayFault
 {
-    NewsFault fault = NewsFault::Kill;
+    RelayFaultKind kind = RelayFaultKind::Kill;
     Duration at {0};
     Duration length {0};
     // All tellers at once, instead of one.
-    bool all = false;
+    bool affectsAll = false;
 };
 
 // A deployment of hosts that follow the tables of one store, and what goes wrong.
-struct NewsPlan
+struct RelayPlan
 {
     int hosts = 30;
     int zones = 6;
@@ -41,31 +41,31 @@
     // The configuration and a server change each time after this, from twelve seconds on.
     Duration changePeriod {std::chrono::seconds(5)};
     int configurationBytes = 12'000;
-    std::vector<NewsTrouble> troubles;
+    std::vector<RelayFault> faults;
 };
 
 // What was seen. Calls are those that reach the store.
-struct NewsResult
+struct RelayResult
 {
     int callsAtStart = 0;
-    int callsAfter = 0;
+    int callsAfterStart = 0;
     // Of the busiest second.
-    int mostCalls = 0;
+    int maxCallsPerSecond = 0;
     double callsPerSecond = 0;
     // From a change to the last host that knew it; hosts in trouble at that time left out.
-    Duration slowestConfiguration {0};
-    Duration slowestServer {0};
+    Duration maxConfigurationDelay {0};
+    Duration maxServerDelay {0};
     std::uint64_t bytesWithinZones = 0;
     std::uint64_t bytesAcrossZones = 0;
     // Hosts that asked the store in the last ten seconds.
-    int askers = 0;
+    int pollingHosts = 0;
     // What must never happen, in words.
     std::vector<std::string> violations;
 };
 
-NewsResult playNews(const NewsPlan &plan, std::uint64_t seed);
+RelayResult simulateRelays(const RelayPlan &plan, std::uint64_t seed);
 
-NewsPlan parseNewsPlan(const std::string &file, const std::string &text,
-                       settings::Findings &findings);
+RelayPlan parseRelayPlan(const std::string &file, const std::string &text,
+                         settings::Findings &findings);
 
 } // namespace kelptally::bench
--- a/src/bench/newsplan.cpp
+++ b/src/bench/relayplan.cpp
@@ -1,4 +1,4 @@
-#include "bench/newsmodel.h"
+#include "bench/relaymodel.h"
 #include "settings/inidocument.h"
 #include "settings/sectionreader.h"
 
@@ -18,7 +18,7 @@
 constexpr DurationRange boundRange {1s, 10min};
 constexpr DurationRange timeRange {0s, 10min};
 
-void readDeployment(SectionReader &reader, NewsPlan &plan)
+void readDeployment(SectionReader &reader, RelayPlan &plan)
 {
     plan.hosts = reader.number("hosts", hostRange, plan.hosts);
     plan.zones = reader.number("zones", zoneRange, plan.zones);
@@ -32,37 +32,37 @@
         reader.number("configuration-bytes", byteRange, plan.configurationBytes);
 }
 
-NewsTrouble readTrouble(SectionReader &reader)
+RelayFault readFault(SectionReader &reader)
 {
-    NewsTrouble trouble;
-    const std::string fault = reader.text("fault");
-    if (fault == "freeze")
-        trouble.fault = NewsFault::Freeze;
-    else if (fault == "cut-from-store")
-        trouble.fault = NewsFault::CutFromStore;
-    else if (fault != "kill")
+    RelayFault fault;
+    const std::string kind = reader.text("fault");
+    if (kind == "freeze")
+        fault.kind = RelayFaultKind::Freeze;
+    else if (kind == "cut-from-store")
+        fault.kind = RelayFaultKind::CutFromStore;
+    else if (kind != "kill")
         reader.add("fault", "allowed is kill, freeze or cut-from-store");
-    trouble.at = reader.duration("at", timeRange, trouble.at);
-    trouble.length = reader.duration("length", timeRange, trouble.length);
+    fault.at = reader.duration("at", timeRange, fault.at);
+    fault.length = reader.duration("length", timeRange, fault.length);
     const std::string which = reader.text("tellers", "one");
     if (which != "one" && which != "all")
         reader.add("tellers", "allowed is one or all");
-    trouble.all = which == "all";
-    return trouble;
+    fault.affectsAll = which == "all";
+    return fault;
 }
 
 } // namespace
 
-NewsPlan parseNewsPlan(const std::string &file, const std::string &text,
-                       settings::Findings &findings)
+RelayPlan parseRelayPlan(const std::string &file, const std::string &text,
+                         settings::Findings &findings)
 {
-    NewsPlan plan;
+    RelayPlan plan;
     for (const settings::IniSection &section : settings::parseIni(file, text, findings)) {
         SectionReader reader(file, section, findings);
         if (section.type == "deployment") {
             readDeployment(reader, plan);
         } else if (section.type == "trouble") {
-            plan.troubles.push_back(readTrouble(reader));
+            plan.faults.push_back(readFault(reader));
         } else {
             findings.add(file, section.line, section.title(),
                          "unknown section; allowed are deployment and trouble NAME");
--- a/src/decision/tellers.cpp
+++ b/src/decision/relaychoice.cpp
@@ -1,4 +1,4 @@
-#include "decision/tellers.h"
+#include "decision/relaychoice.h"
 
 #include <algorithm>
 #include <tuple>
@@ -10,14 +10,14 @@
 // Parts of the time for which a question of a host of its own stays open. A teller's news are 0.4
 // of it old at most, and a listener's 0.9 before it asks; the whole time is known to hold the
 // bounds.
-constexpr double tellerPart = 0.4;
-constexpr double limitPart = 0.65;
-constexpr double limitSpread = 0.25;
-constexpr double firstPart = 1.2;
-constexpr double laterFirstPart = 0.5;
-constexpr double roomFirstPart = 0.7;
-constexpr Duration longestFirst = std::chrono::seconds(5);
-constexpr Duration shortestWait = std::chrono::milliseconds(500);
+constexpr double relayWaitFraction = 0.4;
+constexpr double minAgeFraction = 0.65;
+constexpr double ageFractionSpread = 0.25;
+constexpr double maxDelayFraction = 1.2;
+constexpr double minDelayFraction = 0.5;
+constexpr double maxCapacityDelayFraction = 0.7;
+constexpr Duration maxDiscoveryWait = std::chrono::seconds(5);
+constexpr Duration minPollWait = std::chrono::milliseconds(500);
 
 // FNV-1a: the same on every host, whatever it was built with.
 std::uint64_t hashOf(const std::string &text)
@@ -29,39 +29,39 @@
     return hash ^ hash >> 29;
 }
 
-Duration part(Duration wait, double factor)
+Duration scaled(Duration wait, double factor)
 {
     return std::chrono::duration_cast<Duration>(wait * factor);
 }
 
 } // namespace
 
-TellerOrder::Rank TellerOrder::rankOf(const Teller &teller)
+RelayOrder::Rank RelayOrder::rankOf(const RelayCandidate &candidate)
 {
-    return {!teller.hasRoom, hashOf(teller.address), teller.address};
+    return {!candidate.hasCapacity, hashOf(candidate.address), candidate.address};
 }
 
-void TellerOrder::add(const Teller &teller)
+void RelayOrder::add(const RelayCandidate &candidate)
 {
-    remove(teller.address);
-    tellers_[teller.address] = teller;
-    byZone_[teller.zone].insert(rankOf(teller));
+    remove(candidate.address);
+    candidates_[candidate.address] = candidate;
+    byZone_[candidate.zone].insert(rankOf(candidate));
 }
 
-void TellerOrder::remove(const std::string &address)
+void RelayOrder::remove(const std::string &address)
 {
-    const auto known = tellers_.find(address);
-    if (known == tellers_.end())
+    const auto known = candidates_.find(address);
+    if (known == candidates_.end())
         return;
     const auto zone = byZone_.find(known->second.zone);
     zone->second.erase(rankOf(known->second));
     if (zone->second.empty())
         byZone_.erase(zone);
-    tellers_.erase(known);
+    candidates_.erase(known);
 }
 
-std::vector<std::string> TellerOrder::choose(const std::string &zone, std::size_t count,
-                                             const std::set<std::string> &avoided) const
+std::vector<std::string> RelayOrder::choose(const std::string &zone, std::size_t count,
+                                            const std::set<std::string> &avoided) const
 {
     // 1. The first ones of each zone, no more than are wanted.
     struct Candidate
@@ -90,30 +90,31 @@
     return chosen;
 }
 
-std::vector<std::string> chooseTellers(const std::vector<Teller> &candidates,
-                                       const std::string &zone, std::size_t count)
+std::vector<std::string> chooseRelays(const std::vector<RelayCandidate> &candidates,
+                                      const std::string &zone, std::size_t count)
 {
-    TellerOrder order;
-    for (const Teller &teller : candidates)
-        order.add(teller);
+    RelayOrder order;
+    for (const RelayCandidate &candidate : candidates)
+        order.add(candidate);
     return order.choose(zone, count);
 }
 
-Duration tellerWait(Duration wait)
+Duration relayPollWait(Duration wait)
 {
-    return std::max(std::min(wait, shortestWait), part(wait, tellerPart));
+    return std::max(std::min(wait, minPollWait), scaled(wait, relayWaitFraction));
 }
 
-Duration proofLimit(Duration wait, double draw)
+Duration maxConfirmationAge(Duration wait, double draw)
 {
-    return part(wait, limitPart + limitSpread * draw);
+    return scaled(wait, minAgeFraction + ageFractionSpread * draw);
 }
 
-Duration firstAsk(Duration wait, double draw, bool hasRoom)
+Duration relayDiscoveryDelay(Duration wait, double draw, bool hasCapacity)
 {
-    const double factor =
-        hasRoom ? roomFirstPart * draw : laterFirstPart + (firstPart - laterFirstPart) * draw;
-    return part(std::min(wait, longestFirst), factor);
+    const double factor = hasCapacity
+        ? maxCapacityDelayFraction * draw
+        : minDelayFraction + (maxDelayFraction - minDelayFraction) * draw;
+    return scaled(std::min(wait, maxDiscoveryWait), factor);
 }
 
 } // namespace kelptally::decision
--- a/src/group/ownership.h
+++ b/src/group/ownership.h
@@ -4,7 +4,7 @@
 #include "core/metrics.h"
 #include "core/timerservice.h"
 #include "decision/claimorder.h"
-#include "decision/tellers.h"
+#include "decision/relaychoice.h"
 #include "group/ownershiprecord.h"
 #include "inner/peerlink.h"
 #include "services/tablefollower.h"
@@ -91,7 +91,7 @@
     void learnOwner(const GroupName &group, const session::OwnerRef &owner) override;
 
     // All processes that own groups, without duplicates, with their zones.
-    const decision::TellerOrder &owners() const { return owners_; }
+    const decision::RelayOrder &owners() const { return owners_; }
     bool owns(const GroupName &group) const;
     const std::set<GroupName> &owned() const { return owned_; }
     const OwnershipRecord *record(const GroupName &group) const;
@@ -278,7 +278,7 @@
     std::map<GroupName, Entry> entries_;
     // Groups whose rows name this process.
     std::set<GroupName> owned_;
-    decision::TellerOrder owners_;
+    decision::RelayOrder owners_;
     // Number of owned groups by process address.
     std::map<std::string, int> ownedBy_;
     // Calls of wantOwner() and claimProactively() that wait for the initial snapshot.
--- a/src/host/hostpages.cpp
+++ b/src/host/hosthttphandler.cpp
@@ -1,4 +1,4 @@
-#include "host/hostpages.h"
+#include "host/hosthttphandler.h"
 
 #include "admin/statusjson.h"
 #include "caller/problem.h"
@@ -33,13 +33,13 @@
 
 } // namespace
 
-HostPages::HostPages(Parts parts) : parts_(std::move(parts))
+HostHttpHandler::HostHttpHandler(Parts parts) : parts_(std::move(parts))
 {
     if (!parts_.operatorKeyHash.empty())
         keys_.add(TeamName(), {parts_.operatorKeyHash});
 }
 
-void HostPages::onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply)
+void HostHttpHandler::onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply)
 {
     if (request.path == "/metrics") {
         parts_.process.collect();
@@ -56,7 +56,8 @@
     refuse(reply, Reason::UnknownPath, std::string());
 }
 
-void HostPages::onOperator(const caller::HttpRequest &request, const caller::HttpReplyPtr &reply)
+void HostHttpHandler::onOperator(const caller::HttpRequest &request,
+                                 const caller::HttpReplyPtr &reply)
 {
     const auto key = caller::bearerKey(request.authorization);
     if (!key || !keys_.organisationOf(*key))
@@ -74,14 +75,15 @@
     refuse(reply, Reason::UnknownPath, "a host takes status, configuration and drain only");
 }
 
-void HostPages::refuse(const caller::HttpReplyPtr &reply, Reason reason, const std::string &detail)
+void HostHttpHandler::refuse(const caller::HttpReplyPtr &reply, Reason reason,
+                             const std::string &detail)
 {
     parts_.metrics.countRefusal(reason);
     reply->send(caller::problemResponse(caller::makeProblem(reason, detail)));
 }
 
 // Only the host that is asked: each is stopped by itself.
-void HostPages::drain(const std::string &body, const caller::HttpReplyPtr &reply)
+void HostHttpHandler::drain(const std::string &body, const caller::HttpReplyPtr &reply)
 {
     const auto json = parseJson(body);
     const std::string host = json.ok() ? json->textOf("host") : std::string();
@@ -97,7 +99,7 @@
     parts_.stop();
 }
 
-std::string HostPages::status() const
+std::string HostHttpHandler::status() const
 {
     const session::Catalogue *catalogue = parts_.process.catalogue();
     const ConfigVersion version = catalogue == nullptr ? 0 : catalogue->version;
@@ -120,7 +122,7 @@
 }
 
 // The routes as this host serves them; the operator's own document has more fields than it needs.
-std::string HostPages::configuration() const
+std::string HostHttpHandler::configuration() const
 {
     const session::Catalogue *catalogue = parts_.process.catalogue();
     std::string document;
--- a/src/host/hostpages.h
+++ b/src/host/hosthttphandler.h
@@ -11,7 +11,7 @@
 // What balancers and operators ask a host over HTTP: readiness, metrics, and the operators' calls
 // that make sense for one host. The paths and documents are those of the administration API, so
 // that kelptallyctl works here, too.
-class HostPages : public caller::HttpHandler
+class HostHttpHandler : public caller::HttpHandler
 {
 public:
     struct Parts
@@ -27,7 +27,7 @@
         std::function<void()> stop;
     };
 
-    explicit HostPages(Parts parts);
+    explicit HostHttpHandler(Parts parts);
 
     void onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply) override;
     void onCallerGone(caller::ConnectionId) override { }
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -13,46 +13,46 @@
 
 // A balancer asks once a second and takes a process out after two misses: until then new callers
 // still come.
-constexpr Duration balancerNotices = std::chrono::milliseconds(2300);
+constexpr Duration balancerDetectionTime = std::chrono::milliseconds(2300);
 constexpr Duration drainStepPeriod = std::chrono::milliseconds(50);
 // Idle sessions closed in one step, so that their callers don't all come back in one instant.
-constexpr std::size_t closedPerStep = 20;
+constexpr std::size_t maxClosedPerStep = 20;
 // A statement that begins less than this before the end of the grace may not end within it.
-constexpr Duration lastStatements = std::chrono::milliseconds(2300);
+constexpr Duration statementReserve = std::chrono::milliseconds(2300);
 // A server that is well accepts a connection within this time, from any zone.
-constexpr Duration reachTimeout = std::chrono::milliseconds(150);
+constexpr Duration reachabilityTimeout = std::chrono::milliseconds(150);
 // Opening a connection to the store took 1 to 3 ms where it was measured.
 constexpr Duration storeProbeTimeout = std::chrono::milliseconds(150);
 // So many other processes are asked who owns a group, and to take one, by one message. An owner has
 // links with all hosts, and each of their entries may ask in the moment in which an owner is lost.
-constexpr std::size_t mostAsked = 8;
-constexpr std::size_t mostOffered = 24;
+constexpr std::size_t maxLocateRecipients = 8;
+constexpr std::size_t maxTakeOverRecipients = 24;
 // Left of the grace when the process ends in any case.
-constexpr Duration leftAtEnd = std::chrono::milliseconds(700);
+constexpr Duration shutdownReserve = std::chrono::milliseconds(700);
 
 } // namespace
 
 HostProcess::HostProcess(const settings::HostSettings &settings, const Ports &ports)
     : settings_(settings), ports_(ports), self_ {settings.peerAddress(), ports.incarnation},
-      times_(ports.metrics), random_(static_cast<std::minstd_rand::result_type>(
-                                 std::hash<std::string>()(self_.address) ^ ports.incarnation)),
+      stageTimes_(ports.metrics), random_(static_cast<std::minstd_rand::result_type>(
+                                      std::hash<std::string>()(self_.address) ^ ports.incarnation)),
       store_({ports.timers, ports.table, ports.feed, ports.log, ports.metrics,
               settings.storeTimeout,
               [this](std::function<void(bool)> callback) { probeStore(std::move(callback)); },
-              ports.giveUpStoreCalls, [this] { return draw(); }}),
-      news_({ports.timers, store_, newsLinks_, ports.log, ports.metrics, self_.address,
-             settings.zone, group::OwnershipTable::table, decision::hasRoom(settings.processors, 0),
-             [this] { return draw(); }}),
-      retoldVisits_(ports.metrics.visits("retold_groups")),
+              ports.cancelStoreCalls, [this] { return draw(); }}),
+      tableRelay_({ports.timers, store_, relayLinks_, ports.log, ports.metrics, self_.address,
+                   settings.zone, group::OwnershipTable::table,
+                   decision::hasRoom(settings.processors, 0), [this] { return draw(); }}),
+      renotifiedGroups_(ports.metrics.visits("retold_groups")),
       serverList_(ports.timers, ports.log, ports.metrics,
                   [this](const GroupName &group, const std::vector<group::ListedServer> &servers) {
                       onServers(group, servers);
                   }),
-      near_({ports.timers, ports.connector, ports.log, ports.metrics, times_, settings.zone,
-             [this](Instant since) { onSilence(since); },
-             [this](const OrganisationName &organisation) {
-                 return groups_->quotas().hasQuota(organisation);
-             }})
+      localReads_({ports.timers, ports.connector, ports.log, ports.metrics, stageTimes_,
+                   settings.zone, [this](Instant since) { closeStaleConnections(since); },
+                   [this](const OrganisationName &organisation) {
+                       return groups_->quotas().hasQuota(organisation);
+                   }})
 { }
 
 HostProcess::~HostProcess() = default;
@@ -70,36 +70,36 @@
         timers,
         *links_,
         store_,
-        news_,
+        tableRelay_,
         store_,
         ports_.connector,
         ports_.promotions,
         ports_.log,
         ports_.metrics,
-        times_,
+        stageTimes_,
         ports_.probe,
         self_,
         settings_.zone,
         settings_.processors,
         [this](const GroupName &group) {
-            sendToSome(mostAsked, inner::Locate {0, group});
+            sendToSomePeers(maxLocateRecipients, inner::Locate {0, group});
         },
-        [this](const inner::TakeOver &message) { sendToSome(mostOffered, message); },
+        [this](const inner::TakeOver &message) { sendToSomePeers(maxTakeOverRecipients, message); },
         [this](const GroupName &group) { onOwnerChanged(group); },
-        [this](Instant since) { onSilence(since); },
+        [this](Instant since) { closeStaleConnections(since); },
         [this] { return store_.isSilent(); },
         {settings_.quotaWindow, settings_.quotaOver, settings_.quotaSlack},
         settings_.ways});
     router_ = std::make_unique<session::Router>(
-        session::Router::Parts {timers, *links_, groups_->ownership(), *groups_, near_, ports_.log,
-                                ports_.metrics, times_, self_});
+        session::Router::Parts {timers, *links_, groups_->ownership(), *groups_, localReads_,
+                                ports_.log, ports_.metrics, stageTimes_, self_});
     groups_->setServerLeaveTime(settings_.serverLeaveTime);
     groups_->start();
     store_.onBack([this](Duration lostFor) { groups_->ownership().onStoreRecovered(lostFor); });
     return absl::OkStatus();
 }
 
-bool HostProcess::NewsLinks::isNear(inner::LinkId link) const
+bool HostProcess::RelayLinks::isSameZone(inner::LinkId link) const
 {
     const auto address = host_.linkAddresses_.find(link);
     if (address == host_.linkAddresses_.end())
@@ -109,10 +109,10 @@
 }
 
 // Others get the next message, so that all come by turns.
-void HostProcess::sendToSome(std::size_t most, const inner::Message &message)
+void HostProcess::sendToSomePeers(std::size_t maxRecipients, const inner::Message &message)
 {
     auto next = linkAddresses_.upper_bound(lastAskedLink_);
-    const std::size_t count = std::min(most, linkAddresses_.size());
+    const std::size_t count = std::min(maxRecipients, linkAddresses_.size());
     for (std::size_t i = 0; i < count; ++i, ++next) {
         if (next == linkAddresses_.end())
             next = linkAddresses_.begin();
@@ -125,12 +125,12 @@
 void HostProcess::onOwnerChanged(const GroupName &group)
 {
     router_->onOwnerChanged(group);
-    if (candidatesChanged_)
+    if (candidateUpdatePending_)
         return;
-    candidatesChanged_ = true;
+    candidateUpdatePending_ = true;
     ports_.timers.subscribeAt(ports_.timers.now(), [this] {
-        candidatesChanged_ = false;
-        news_.setCandidates(groups_->ownership().owners());
+        candidateUpdatePending_ = false;
+        tableRelay_.setCandidates(groups_->ownership().owners());
     });
 }
 
@@ -158,7 +158,7 @@
     for (const auto &[group, options] : catalogue_.get()->groups) {
         if (before && before->groups.count(group) != 0)
             continue;
-        retoldVisits_.Increment();
+        renotifiedGroups_.Increment();
         serverList_.retell(group);
     }
 }
@@ -178,8 +178,8 @@
         if (server.primary)
             primaryZones_[group] = server.zone;
     groups_->setServers(group, servers);
-    near_.setServers(group, servers);
-    wantOwner(group);
+    localReads_.setServers(group, servers);
+    claimIfPrimaryInZone(group);
 }
 
 void HostProcess::onServerRefused(const ServerName &server, const FieldError &error)
@@ -196,7 +196,7 @@
 }
 
 // A group whose primary is near gets its owner before the first statement asks for one.
-void HostProcess::wantOwner(const GroupName &group)
+void HostProcess::claimIfPrimaryInZone(const GroupName &group)
 {
     const auto zone = primaryZones_.find(group);
     if (!draining_ && zone != primaryZones_.end() && zone->second == settings_.zone)
@@ -265,17 +265,17 @@
     // 1. Groups go to others at once; callers go on coming until the balancer has noticed.
     groups_->handOverAll(peers_);
     // 2. Then sessions end between operations.
-    if (passed >= balancerNotices) {
+    if (passed >= balancerDetectionTime) {
         callers_->stopAccepting();
-        callers_->closeIdle(closedPerStep);
+        callers_->closeIdle(maxClosedPerStep);
     }
     // 3. What begins so late could not end in time.
-    if (passed >= settings_.grace - lastStatements)
+    if (passed >= settings_.grace - statementReserve)
         router_->stopTaking();
     // 4. The end: nothing is left, or the grace nearly is.
-    const bool empty = passed >= balancerNotices && callers_->count() == 0 && groups_->isQuiet()
-        && router_->inProgress() == 0;
-    if (!empty && passed < settings_.grace - leftAtEnd) {
+    const bool empty = passed >= balancerDetectionTime && callers_->count() == 0
+        && groups_->isQuiet() && router_->inProgress() == 0;
+    if (!empty && passed < settings_.grace - shutdownReserve) {
         ports_.timers.subscribeAfter(drainStepPeriod, [this] { drainStep(); });
         return;
     }
@@ -287,10 +287,10 @@
 
 // Idle connections that may have gone silent with the one that was noticed must not take the next
 // statements.
-void HostProcess::onSilence(Instant since)
+void HostProcess::closeStaleConnections(Instant since)
 {
     groups_->dropIdle(since);
-    near_.dropIdle(since);
+    localReads_.dropIdle(since);
 }
 
 void HostProcess::collect()
@@ -358,7 +358,7 @@
     // The other end's link to this process says nothing of the one from here.
     if (links_->linkTo(peer.process.address) == link) {
         router_->onLinkUp(peer.process);
-        news_.onLinkUp(peer.process.address);
+        tableRelay_.onLinkUp(peer.process.address);
     }
 }
 
@@ -384,7 +384,7 @@
     if (!linked)
         peers_.erase(address);
     groups_->onPeerDown(link);
-    news_.onLinkDown(link);
+    tableRelay_.onLinkDown(link);
     router_->onLinkDown(address);
 }
 
@@ -424,7 +424,7 @@
         return;
     if (message.reach.empty())
         return groups_->ownership().onTakeOverRequested(message.group, message.epoch);
-    ports_.probe(message.reach, reachTimeout,
+    ports_.probe(message.reach, reachabilityTimeout,
                  [this, group = message.group, epoch = message.epoch](ProbeOutcome outcome) {
                      if (outcome == ProbeOutcome::Accepted)
                          groups_->ownership().onTakeOverRequested(group, epoch);
@@ -456,16 +456,16 @@
     groups_->ownership().learnOwner(message.group, {message.epoch, {message.owner, incarnation}});
 }
 
-void HostProcess::handle(inner::LinkId link, inner::FollowTables &message)
+void HostProcess::handle(inner::LinkId link, inner::SubscribeTables &message)
 {
-    news_.onFollow(link, message);
+    tableRelay_.onSubscribe(link, message);
 }
 
-void HostProcess::handle(inner::LinkId link, inner::TableNews &message)
+void HostProcess::handle(inner::LinkId link, inner::TableUpdate &message)
 {
     const auto address = linkAddresses_.find(link);
     if (address != linkAddresses_.end())
-        news_.onNews(address->second, message);
+        tableRelay_.onUpdate(address->second, message);
 }
 
 void HostProcess::handle(inner::LinkId link, inner::OwnershipEndRequest &message)
--- a/src/host/hostprocess.h
+++ b/src/host/hostprocess.h
@@ -4,7 +4,7 @@
 #include "group/grouphost.h"
 #include "group/nearreads.h"
 #include "group/serverlist.h"
-#include "host/tablenews.h"
+#include "host/tablerelay.h"
 #include "inner/peerlink.h"
 #include "services/storegate.h"
 #include "session/callersession.h"
@@ -26,7 +26,7 @@
 
     virtual void stopAccepting() = 0;
     // Closes the sessions that have neither a statement nor a transaction open, at most so many.
-    virtual void closeIdle(std::size_t most) = 0;
+    virtual void closeIdle(std::size_t maxCount) = 0;
     virtual std::size_t count() const = 0;
 };
 
@@ -50,7 +50,7 @@
         services::TableService &table;
         services::TableFeed &feed;
         // Ends all calls that are open at the two, and closes their connections.
-        std::function<void()> giveUpStoreCalls;
+        std::function<void()> cancelStoreCalls;
         group::ServerConnector &connector;
         group::PromotionService &promotions;
         EventLog &log;
@@ -70,7 +70,7 @@
     void onServerRefused(const ServerName &server, const FieldError &error);
 
     // The changes of the table service's tables, as few hosts ask for them and tell the others.
-    services::TableFeed &feed() { return news_; }
+    services::TableFeed &feed() { return tableRelay_; }
 
     struct OpenedSession
     {
@@ -83,7 +83,7 @@
     OpenedSession openSession(const std::string &database, const Sha256Digest &key,
                               session::SessionOutput &output);
     // Whether anything is known yet, so that unknown databases can be told from early callers.
-    bool knowsCatalogue() const { return catalogue_.get() != nullptr; }
+    bool hasCatalogue() const { return catalogue_.get() != nullptr; }
 
     session::Router &router() { return *router_; }
     group::GroupHost &groups() { return *groups_; }
@@ -125,17 +125,17 @@
     void handle(inner::LinkId link, inner::TakeOver &message);
     void handle(inner::LinkId link, inner::Locate &message);
     void handle(inner::LinkId link, inner::LocateAnswer &message);
-    void handle(inner::LinkId link, inner::FollowTables &message);
-    void handle(inner::LinkId link, inner::TableNews &message);
+    void handle(inner::LinkId link, inner::SubscribeTables &message);
+    void handle(inner::LinkId link, inner::TableUpdate &message);
     template <typename Other>
     void handle(inner::LinkId, Other &)
     { }
 
-    void sendToSome(std::size_t most, const inner::Message &message);
+    void sendToSomePeers(std::size_t maxRecipients, const inner::Message &message);
     OpenedSession refuseSession(Reason reason);
-    void onSilence(Instant since);
+    void closeStaleConnections(Instant since);
     void onOwnerChanged(const GroupName &group);
-    void wantOwner(const GroupName &group);
+    void claimIfPrimaryInZone(const GroupName &group);
     void probeStore(std::function<void(bool)> callback);
     void onServers(const GroupName &group, const std::vector<group::ListedServer> &servers);
     bool isNamed(const GroupName &group) const;
@@ -148,10 +148,10 @@
     const Ports ports_;
     const ProcessId self_;
     // The links as the news of tables use them.
-    class NewsLinks : public TableNews::Links
+    class RelayLinks : public TableRelay::Links
     {
     public:
-        explicit NewsLinks(HostProcess &host) : host_(host) { }
+        explicit RelayLinks(HostProcess &host) : host_(host) { }
 
         void connect(const std::string &address) override { host_.links_->connect(address); }
         void drop(const std::string &address) override { host_.links_->drop(address); }
@@ -163,7 +163,7 @@
         {
             return host_.links_->sendOn(link, std::move(message));
         }
-        bool isNear(inner::LinkId link) const override;
+        bool isSameZone(inner::LinkId link) const override;
 
     private:
         HostProcess &host_;
@@ -171,18 +171,18 @@
 
     double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
-    session::StageTimes times_;
+    session::StageTimes stageTimes_;
     std::minstd_rand random_;
     services::StoreGate store_;
-    NewsLinks newsLinks_ {*this};
-    TableNews news_;
-    bool candidatesChanged_ = false;
+    RelayLinks relayLinks_ {*this};
+    TableRelay tableRelay_;
+    bool candidateUpdatePending_ = false;
     std::unique_ptr<inner::PeerLinks> links_;
     session::CurrentCatalogue catalogue_;
-    prometheus::Counter &retoldVisits_;
+    prometheus::Counter &renotifiedGroups_;
     group::ServerList serverList_;
     std::unique_ptr<group::GroupHost> groups_;
-    group::NearReads near_;
+    group::NearReads localReads_;
     std::unique_ptr<session::Router> router_;
     CallerConnections *callers_ = nullptr;
     std::map<inner::LinkId, std::string> linkAddresses_;
--- /dev/null
+++ b/src/host/tablerelay.cpp
@@ -0,0 +1,682 @@
+#include "host/tablerelay.h"
+
+#include "services/textdifference.h"
+
+#include <prometheus/counter.h>
+
+#include <algorithm>
+#include <utility>
+
+namespace kelptally::host {
+
+namespace {
+
+// Each host listens to so many: one may die without anybody asking the service.
+constexpr std::size_t relaysPerHost = 2;
+// Rows that are gone are kept for listeners that are behind; those further behind read the table.
+constexpr std::size_t maxTombstones = 256;
+// The history is gone through once it has grown by so much, at least to twice its length.
+constexpr std::size_t compactionGrowth = 256;
+// Of a large row, for listeners that know one of its last versions.
+constexpr int maxDifferencesPerRow = 8;
+// A host that finds no teller looks once more before it follows the tables itself.
+constexpr int maxDiscoveryPolls = 2;
+// The service's clock went back by more than answers overtake each other: it is another one.
+constexpr Duration clockResetThreshold = std::chrono::seconds(30);
+// A teller that told nothing is not listened to for so long.
+constexpr Duration relayAvoidTime = std::chrono::seconds(15);
+
+// A host without room waits so long for the first look at the owners, and for each part of a table.
+constexpr Duration maxRelayDiscoveryTime = std::chrono::seconds(7);
+constexpr Duration maxRelaySilence = std::chrono::milliseconds(1200);
+// Rows of fewer bytes are told whole: a difference would save little.
+constexpr std::size_t minLargeRowBytes = 2u << 10;
+
+services::RowChange toChange(const inner::TableUpdateRow &row, Duration serviceTime)
+{
+    services::RowChange change;
+    change.row.key = row.key;
+    change.row.value = row.value;
+    change.row.etag = std::to_string(row.version);
+    change.row.serviceTime = serviceTime;
+    change.removed = row.removed;
+    return change;
+}
+
+} // namespace
+
+std::uint64_t TableRelay::versionOf(const services::TableRow &row)
+{
+    return std::strtoull(row.etag.c_str(), nullptr, 10);
+}
+
+std::size_t TableRelay::sizeOf(const Change &change)
+{
+    return change.row.row.key.size() + change.row.row.value.size() + change.difference.size();
+}
+
+bool TableRelay::isLarge(const services::TableRow &row)
+{
+    return row.value.size() >= minLargeRowBytes;
+}
+
+TableRelay::TableRelay(const Parts &parts)
+    : parts_(parts), discoveryDraw_(parts.draw()), startedAt_(parts.timers.now())
+{ }
+
+TableRelay::~TableRelay()
+{
+    *alive_ = false;
+}
+
+// What the follower of a table asks
+
+// Hosts with room for groups, and tellers, read from the service; the others wait for a teller.
+void TableRelay::snapshot(const std::string &table, services::SnapshotCallback callback)
+{
+    if (parts_.hasCapacity || table == parts_.candidateTable || isRelay())
+        return readSnapshot(table, std::move(callback));
+    pendingSnapshots_[table].callback = std::move(callback);
+    startSnapshotTimer(table, relays_.empty() ? maxRelayDiscoveryTime : maxRelaySilence);
+    for (const auto &[address, state] : relays_)
+        requestSnapshots(address);
+}
+
+void TableRelay::readSnapshot(const std::string &table, services::SnapshotCallback callback)
+{
+    readingTables_.insert(table);
+    parts_.store.snapshot(table,
+                          [this, alive = alive_, table, callback = std::move(callback)](
+                              absl::StatusOr<services::TableSnapshot> snapshot) {
+                              if (!*alive)
+                                  return;
+                              readingTables_.erase(table);
+                              if (snapshot.ok())
+                                  onSnapshot(table, *snapshot);
+                              callback(std::move(snapshot));
+                          });
+}
+
+void TableRelay::onSnapshot(const std::string &table, const services::TableSnapshot &snapshot)
+{
+    Table &known = tables_[table];
+    resetHistory(known, snapshot);
+    confirm(known, snapshot.serviceTime);
+    for (const auto &[link, subscriber] : subscribers_)
+        if (subscriber.sentVersions.count(table) != 0)
+            parts_.timers.subscribeAt(parts_.timers.now(),
+                                      [this, alive = alive_, link = link, table] {
+                                          if (*alive)
+                                              sendUpdate(link, table);
+                                      });
+}
+
+// Waiting for a teller
+
+void TableRelay::startSnapshotTimer(const std::string &table, Duration limit)
+{
+    PendingSnapshot &pending = pendingSnapshots_[table];
+    parts_.timers.cancel(pending.timer);
+    pending.timer = parts_.timers.subscribeAfter(limit, [this, alive = alive_, table] {
+        if (*alive)
+            readPendingFromService(table, "no_teller_in_time");
+    });
+}
+
+bool TableRelay::isPreferredRelay(const std::string &address) const
+{
+    const auto relay = relays_.find(address);
+    return relay != relays_.end() && relay->second.isPreferred;
+}
+
+// One table after the other; they come in parts.
+void TableRelay::requestSnapshots(const std::string &address)
+{
+    if (!isPreferredRelay(address))
+        return;
+    for (auto &[table, pending] : pendingSnapshots_) {
+        startSnapshotTimer(table, maxRelaySilence);
+        requestNextPart(address, table, pending.upTo);
+    }
+}
+
+void TableRelay::requestNextPart(const std::string &address, const std::string &table,
+                                 std::uint64_t after)
+{
+    inner::SubscribeTables next;
+    next.tables.push_back({table, after});
+    next.withRows = isPreferredRelay(address);
+    next.acceptsParts = true;
+    next.isContinuation = true;
+    static_cast<void>(parts_.links.sendTo(address, std::move(next)));
+}
+
+void TableRelay::onSnapshotPart(const std::string &from, const inner::TableUpdate &update)
+{
+    PendingSnapshot &pending = pendingSnapshots_.at(update.table);
+    // The answer to an earlier question.
+    if (!isPreferredRelay(from) || update.after != pending.upTo)
+        return;
+    if (update.rowsOmitted)
+        return readPendingFromService(update.table, "left_out");
+    for (const inner::TableUpdateRow &row : update.rows) {
+        if (row.baseVersion != 0)
+            return readPendingFromService(update.table, "difference");
+        if (row.removed)
+            pending.rows.erase(row.key);
+        else
+            pending.rows[row.key] = toChange(row, update.serviceTime).row;
+    }
+    pending.upTo = update.upTo;
+    if (update.isPartial) {
+        startSnapshotTimer(update.table, maxRelaySilence);
+        return requestNextPart(from, update.table, update.upTo);
+    }
+    services::TableSnapshot snapshot;
+    for (auto &[key, row] : pending.rows)
+        snapshot.rows.push_back(std::move(row));
+    snapshot.next = update.upTo;
+    snapshot.serviceTime = update.serviceTime;
+    parts_.timers.cancel(pending.timer);
+    const services::SnapshotCallback callback = std::move(pending.callback);
+    pendingSnapshots_.erase(update.table);
+    parts_.log.info("table_told")
+        .with("table", update.table)
+        .with("rows", std::uint64_t(snapshot.rows.size()))
+        .with("teller", from);
+    onSnapshot(update.table, snapshot);
+    callback(std::move(snapshot));
+}
+
+void TableRelay::readAllPendingFromService()
+{
+    std::vector<std::string> tables;
+    for (const auto &[table, pending] : pendingSnapshots_)
+        tables.push_back(table);
+    for (const std::string &table : tables)
+        readPendingFromService(table, "no_teller");
+}
+
+void TableRelay::readPendingFromService(const std::string &table, const char *why)
+{
+    const auto found = pendingSnapshots_.find(table);
+    if (found == pendingSnapshots_.end())
+        return;
+    parts_.timers.cancel(found->second.timer);
+    services::SnapshotCallback callback = std::move(found->second.callback);
+    pendingSnapshots_.erase(found);
+    parts_.log.info("table_read", why).with("table", table);
+    readSnapshot(table, std::move(callback));
+}
+
+// All rows, for listeners that know nothing yet.
+void TableRelay::resetHistory(Table &table, const services::TableSnapshot &snapshot)
+{
+    table.isKnown = true;
+    table.hasAllRows = true;
+    table.from = 0;
+    table.upTo = snapshot.next;
+    table.needsPoll = false;
+    table.history.clear();
+    table.largeRows.clear();
+    for (const services::TableRow &row : snapshot.rows) {
+        Change change;
+        change.row.row = row;
+        change.isLarge = isLarge(row);
+        if (change.isLarge)
+            table.largeRows[row.key] = {versionOf(row),
+                                        std::exchange(change.row.row.value, std::string())};
+        table.history.push_back(std::move(change));
+    }
+    std::sort(table.history.begin(), table.history.end(), [](const Change &a, const Change &b) {
+        return versionOf(a.row.row) < versionOf(b.row.row);
+    });
+    table.compactedSize = table.history.size();
+}
+
+void TableRelay::changes(const std::string &table, std::uint64_t after, Duration wait,
+                         services::ChangesCallback callback)
+{
+    const bool isNew = tables_.count(table) == 0 || tables_[table].name.empty();
+    Table &known = tables_[table];
+    known.name = table;
+    known.hasRequest = true;
+    known.after = after;
+    known.wait = wait;
+    known.callback = std::move(callback);
+    if (!known.isKnown || after < known.from || after > known.upTo) {
+        known.isKnown = true;
+        known.from = known.upTo = after;
+        known.history.clear();
+        known.hasAllRows = false;
+        known.compactedSize = 0;
+    }
+    if (isNew) {
+        known.draw = parts_.draw();
+        for (const auto &[address, state] : relays_)
+            subscribeTo(address);
+    }
+    if (known.upTo == after)
+        return pollIfDue(known);
+    parts_.timers.subscribeAt(parts_.timers.now(), [this, alive = alive_, table] {
+        if (*alive)
+            deliver(tables_[table]);
+    });
+}
+
+// Whether to ask the service
+
+Instant TableRelay::pollDueAt(const Table &table) const
+{
+    if (table.needsPoll)
+        return table.pollAt;
+    const Instant confirmationLimit =
+        table.confirmedAt + decision::maxConfirmationAge(table.wait, table.draw);
+    if (!relays_.empty())
+        return confirmationLimit;
+    if (discoveryDone_)
+        return Instant::min();
+    // Nobody is known yet. The leading table is asked first, as it may name somebody.
+    if (table.name != parts_.candidateTable)
+        return confirmationLimit;
+    Duration shortest = table.wait;
+    for (const auto &[name, other] : tables_)
+        shortest = std::min(shortest, other.wait);
+    return std::max(startedAt_, lastDiscoveryAt_)
+        + decision::relayDiscoveryDelay(shortest, discoveryDraw_, parts_.hasCapacity);
+}
+
+void TableRelay::pollIfDue(Table &table)
+{
+    parts_.timers.cancel(table.timer);
+    if (!table.hasRequest)
+        return;
+    const Instant now = parts_.timers.now();
+    // 1. A teller asks all the time, in short questions.
+    if (isRelay()) {
+        const Duration wait = decision::relayPollWait(table.wait);
+        if (table.pendingPoll == 0 || table.pendingPollWait > wait)
+            startPoll(table, wait, "teller");
+        return;
+    }
+    // 2. Anybody else when something is missing.
+    if (table.pendingPoll != 0 && !(table.needsPoll && table.pendingPollWait > Duration(0)))
+        return;
+    const Instant due = pollDueAt(table);
+    if (now < due) {
+        table.timer = parts_.timers.subscribeAt(due, [this, alive = alive_, name = table.name] {
+            if (*alive)
+                pollIfDue(tables_[name]);
+        });
+        return;
+    }
+    if (table.needsPoll)
+        return startPoll(table, Duration(0), "left_out");
+    if (relays_.empty()) {
+        if (discoveryDone_ || table.name != parts_.candidateTable)
+            return startPoll(table, table.wait, "no_teller");
+        ++discoveryPolls_;
+        lastDiscoveryAt_ = now;
+        return startPoll(table, Duration(0), "first");
+    }
+    startPoll(table, table.wait, "old");
+    replaceSilentRelays(decision::maxConfirmationAge(table.wait, 0));
+}
+
+void TableRelay::pollDueTables()
+{
+    for (auto &[name, table] : tables_)
+        pollIfDue(table);
+}
+
+void TableRelay::startPoll(Table &table, Duration wait, const char *why)
+{
+    parts_.metrics
+        .counter("kelptally_table_questions_total",
+                 "Questions for changes to the table service, by why this host asks itself",
+                 {{"reason", why}})
+        .Increment();
+    const bool isRoutine = isRelay();
+    parts_.log.line(isRoutine ? LogLevel::Debug : LogLevel::Info, "table_asked", why)
+        .with("table", table.name)
+        .with("after", table.upTo)
+        .with("age_ms", parts_.timers.now() - table.confirmedAt);
+    const std::uint64_t poll = ++lastPoll_;
+    table.pendingPoll = poll;
+    table.pendingPollWait = wait;
+    table.needsPoll = false;
+    parts_.store.changes(table.name, table.upTo, wait,
+                         [this, alive = alive_, name = table.name,
+                          poll](absl::StatusOr<services::TableChanges> answer) {
+                             if (*alive)
+                                 onPollAnswer(tables_[name], poll, answer);
+                         });
+}
+
+void TableRelay::onPollAnswer(Table &table, std::uint64_t poll,
+                              const absl::StatusOr<services::TableChanges> &answer)
+{
+    if (table.pendingPoll == poll)
+        table.pendingPoll = 0;
+    if (!answer.ok()) {
+        // The follower reads the whole table, or asks again.
+        table.isKnown = false;
+        if (!table.hasRequest)
+            return;
+        table.hasRequest = false;
+        const auto callback = std::move(table.callback);
+        table.callback = nullptr;
+        return callback(answer.status());
+    }
+    std::vector<Change> changes;
+    for (const services::RowChange &row : answer->changes)
+        changes.push_back(changeOf(table, row));
+    appendChanges(table, std::move(changes), answer->next);
+    confirm(table, answer->serviceTime);
+    publish(table);
+    deliver(table);
+    // Tellers that the leading table has named are chosen before anything else is asked for.
+    const bool isCandidateTable = table.name == parts_.candidateTable;
+    parts_.timers.subscribeAt(parts_.timers.now(), [this, alive = alive_, isCandidateTable] {
+        if (!*alive)
+            return;
+        discoveryDone_ =
+            discoveryDone_ || (isCandidateTable && discoveryPolls_ >= maxDiscoveryPolls);
+        // Nobody owns a group yet, or none that could tell.
+        if (isCandidateTable && relays_.empty())
+            readAllPendingFromService();
+        pollDueTables();
+    });
+}
+
+// What is known
+
+// As the service has told it. Only who tells others needs the difference.
+TableRelay::Change TableRelay::changeOf(const Table &table, const services::RowChange &row) const
+{
+    Change change;
+    change.row = row;
+    change.isLarge = !row.removed && isLarge(row.row);
+    const auto before = table.largeRows.find(row.row.key);
+    if (!change.isLarge || before == table.largeRows.end() || !isRelay())
+        return change;
+    std::string difference = services::differenceOf(before->second.value, row.row.value);
+    if (difference.size() > row.row.value.size() / 2)
+        return change;
+    change.baseVersion = before->second.version;
+    change.difference = std::move(difference);
+    return change;
+}
+
+// Rows that are known already are left out; those that are new follow without a gap.
+void TableRelay::appendChanges(Table &table, std::vector<Change> changes, std::uint64_t upTo)
+{
+    for (Change &change : changes) {
+        services::TableRow &row = change.row.row;
+        if (versionOf(row) <= table.upTo)
+            continue;
+        if (change.isLarge)
+            table.largeRows[row.key] = {versionOf(row), std::exchange(row.value, std::string())};
+        else
+            table.largeRows.erase(row.key);
+        table.history.push_back(std::move(change));
+    }
+    table.upTo = std::max(table.upTo, upTo);
+    table.needsPoll = table.needsPoll && table.upTo < table.neededVersion;
+    if (table.history.size() > 2 * table.compactedSize + compactionGrowth)
+        compactHistory(table);
+}
+
+// Takes out what a later change of the same row has superseded, so that the history is as long as
+// the table and not as its past. Large rows keep a chain of differences while it is short.
+void TableRelay::compactHistory(Table &table)
+{
+    std::set<std::string> seen;
+    std::map<std::string, int> differences;
+    std::deque<Change> kept;
+    std::size_t removed = 0;
+    for (auto change = table.history.rbegin(); change != table.history.rend(); ++change) {
+        const std::string &key = change->row.row.key;
+        const bool isNewest = seen.insert(key).second;
+        const bool keepsDifference = change->isLarge && ++differences[key] <= maxDifferencesPerRow;
+        if (!isNewest && !keepsDifference)
+            continue;
+        if (change->row.removed && ++removed > maxTombstones) {
+            table.from = std::max(table.from, versionOf(change->row.row));
+            continue;
+        }
+        kept.push_front(std::move(*change));
+    }
+    table.history.swap(kept);
+    table.compactedSize = table.history.size();
+}
+
+std::deque<TableRelay::Change>::const_iterator TableRelay::firstAfter(const Table &table,
+                                                                      std::uint64_t version)
+{
+    return std::upper_bound(table.history.begin(), table.history.end(), version,
+                            [](std::uint64_t after, const Change &change) {
+                                return after < versionOf(change.row.row);
+                            });
+}
+
+// The service's clock runs as this host's does, and the fastest news so far bound how far apart
+// they are.
+void TableRelay::confirm(Table &table, std::optional<Duration> serviceTime)
+{
+    const Instant now = parts_.timers.now();
+    if (!serviceTime) {
+        table.confirmedAt = now;
+        return;
+    }
+    const bool isBack =
+        table.serviceTime && *serviceTime < *table.serviceTime - clockResetThreshold;
+    if (!isBack && table.serviceTime && *serviceTime < *table.serviceTime)
+        return;
+    const Duration offset = now.time_since_epoch() - *serviceTime;
+    clockOffset_ = clockOffset_ && !isBack ? std::min(*clockOffset_, offset) : offset;
+    table.serviceTime = serviceTime;
+    table.confirmedAt = std::min(now, Instant(*serviceTime + *clockOffset_));
+}
+
+// Of a large row only the newest value is there, and no other is needed.
+std::vector<services::RowChange> TableRelay::changesAfter(const Table &table,
+                                                          std::uint64_t version) const
+{
+    std::vector<services::RowChange> changes;
+    for (auto change = firstAfter(table, version); change != table.history.end(); ++change) {
+        const services::TableRow &row = change->row.row;
+        const auto large = table.largeRows.find(row.key);
+        const bool isNewest =
+            large != table.largeRows.end() && large->second.version == versionOf(row);
+        if (change->isLarge && !isNewest)
+            continue;
+        changes.push_back(change->row);
+        if (change->isLarge)
+            changes.back().row.value = large->second.value;
+    }
+    return changes;
+}
+
+// An answer without rows is one, too: it tells the follower how old its knowledge is.
+void TableRelay::deliver(Table &table)
+{
+    if (!table.hasRequest)
+        return;
+    table.hasRequest = false;
+    const auto callback = std::move(table.callback);
+    table.callback = nullptr;
+    services::TableChanges changes;
+    changes.changes = changesAfter(table, table.after);
+    changes.next = table.upTo;
+    changes.serviceTime = table.serviceTime;
+    callback(std::move(changes));
+}
+
+// Listening
+
+void TableRelay::onUpdate(const std::string &from, const inner::TableUpdate &update)
+{
+    if (pendingSnapshots_.count(update.table) != 0)
+        return onSnapshotPart(from, update);
+    const auto found = tables_.find(update.table);
+    const auto relay = relays_.find(from);
+    if (found == tables_.end() || relay == relays_.end())
+        return;
+    Table &table = found->second;
+    // Told late, or by a host that has heard nothing since.
+    if (table.serviceTime && update.serviceTime < *table.serviceTime)
+        return;
+    if (!table.serviceTime || *table.serviceTime < update.serviceTime)
+        relay->second.lastUpdateAt = parts_.timers.now();
+    const bool hasGap = update.rowsOmitted || update.after > table.upTo;
+    if (hasGap && update.upTo > table.upTo) {
+        table.neededVersion = update.upTo;
+        return schedulePoll(table);
+    }
+    auto changes = decodeChanges(table, update);
+    if (!changes) {
+        table.neededVersion = update.upTo;
+        return schedulePoll(table);
+    }
+    appendChanges(table, *std::move(changes), update.upTo);
+    if (!update.isPartial)
+        confirm(table, update.serviceTime);
+    deliver(table);
+    if (!update.isPartial)
+        return;
+    requestNextPart(from, table.name, table.upTo);
+}
+
+// Nothing when a row is told as a difference from a value that is not known here.
+std::optional<std::vector<TableRelay::Change>>
+TableRelay::decodeChanges(const Table &table, const inner::TableUpdate &update) const
+{
+    std::map<std::string, LargeRow> large;
+    std::vector<Change> changes;
+    for (const inner::TableUpdateRow &row : update.rows) {
+        if (row.version <= table.upTo)
+            continue;
+        Change change;
+        change.row = toChange(row, update.serviceTime);
+        if (row.baseVersion != 0) {
+            const auto known = table.largeRows.find(row.key);
+            if (large.count(row.key) == 0 && known != table.largeRows.end())
+                large[row.key] = known->second;
+            const LargeRow &before = large[row.key];
+            auto value = services::applyDifference(before.value, row.value);
+            if (before.version != row.baseVersion || !value.ok()) {
+                parts_.log.info("table_difference_unusable")
+                    .with("table", table.name)
+                    .with("key", row.key)
+                    .with("from", row.baseVersion)
+                    .with("known", before.version);
+                return std::nullopt;
+            }
+            change.difference = row.value;
+            change.baseVersion = row.baseVersion;
+            change.row.row.value = *std::move(value);
+        }
+        change.isLarge = !row.removed && isLarge(change.row.row);
+        large[row.key] = {row.version, change.isLarge ? change.row.row.value : std::string()};
+        changes.push_back(std::move(change));
+    }
+    return changes;
+}
+
+void TableRelay::schedulePoll(Table &table)
+{
+    // The teller that tells rows gets a moment, too.
+    const Duration spread = table.wait / spreadDivisor;
+    if (!table.needsPoll)
+        table.pollAt = parts_.timers.now() + spread
+            + std::chrono::duration_cast<Duration>(spread * parts_.draw());
+    table.needsPoll = true;
+    pollIfDue(table);
+}
+
+void TableRelay::onLinkUp(const std::string &address)
+{
+    if (relays_.count(address) == 0)
+        return;
+    subscribeTo(address);
+    requestSnapshots(address);
+}
+
+void TableRelay::subscribeTo(const std::string &address)
+{
+    inner::SubscribeTables message;
+    message.withRows = relays_.at(address).isPreferred;
+    message.acceptsParts = true;
+    for (const auto &[name, table] : tables_)
+        if (!table.name.empty())
+            message.tables.push_back({name, table.upTo});
+    if (!message.tables.empty())
+        static_cast<void>(parts_.links.sendTo(address, std::move(message)));
+}
+
+void TableRelay::setCandidates(const decision::RelayOrder &candidates)
+{
+    candidates_ = &candidates;
+    chooseRelays();
+}
+
+void TableRelay::chooseRelays()
+{
+    const Instant now = parts_.timers.now();
+    if (candidates_ == nullptr)
+        return;
+    std::set<std::string> avoided;
+    for (const auto &[address, until] : avoidedUntil_)
+        if (until > now)
+            avoided.insert(address);
+    const std::vector<std::string> chosen =
+        candidates_->choose(parts_.zone, relaysPerHost, avoided);
+    isChosenRelay_ = std::find(chosen.begin(), chosen.end(), parts_.self) != chosen.end();
+    std::map<std::string, RelayState> relays;
+    if (!isChosenRelay_)
+        for (const std::string &address : chosen)
+            relays.emplace(address, RelayState {now, address == chosen.front()});
+    std::map<std::string, RelayState> before;
+    before.swap(relays_);
+    for (auto &[address, state] : relays) {
+        const auto old = before.find(address);
+        const bool isNew = old == before.end();
+        const bool changed = isNew || old->second.isPreferred != state.isPreferred;
+        if (!isNew)
+            state.lastUpdateAt = old->second.lastUpdateAt;
+        relays_.emplace(address, state);
+        if (isNew) {
+            parts_.log.info("teller_chosen").with("teller", address);
+            parts_.links.connect(address);
+        }
+        if (changed)
+            subscribeTo(address);
+    }
+    for (const auto &[address, state] : before) {
+        if (relays_.count(address) != 0)
+            continue;
+        parts_.log.info("teller_left").with("teller", address);
+        static_cast<void>(parts_.links.sendTo(address, inner::SubscribeTables()));
+        parts_.links.drop(address);
+    }
+    pollDueTables();
+}
+
+// One that is dead, cut off or without the service tells nothing; the next in order takes its
+// place.
+void TableRelay::replaceSilentRelays(Duration limit)
+{
+    const Instant now = parts_.timers.now();
+    bool changed = false;
+    for (const auto &[address, state] : relays_) {
+        if (now - state.lastUpdateAt < limit)
+            continue;
+        avoidedUntil_[address] = now + relayAvoidTime;
+        changed = true;
+    }
+    if (changed)
+        chooseRelays();
+}
+
+} // namespace kelptally::host
--- a/src/inner/layout.h
+++ b/src/inner/layout.h
@@ -20,8 +20,8 @@
 constexpr std::size_t maxRows = 1u << 18;
 constexpr std::size_t maxGroups = 8192;
 constexpr std::size_t maxServers = 64;
-constexpr std::size_t maxFollowedTables = 16;
-constexpr std::size_t maxNewsRows = 512;
+constexpr std::size_t maxTableSubscriptions = 16;
+constexpr std::size_t maxTableUpdateRows = 512;
 // Names and values of one session.
 constexpr std::size_t maxSessionTexts = 512;
 
@@ -342,41 +342,41 @@
 }
 
 template <typename Archive, typename M>
-void layout(Archive &archive, M &m, const FollowedTable &)
+void layout(Archive &archive, M &m, const TableSubscription &)
 {
     archive.text(m.table, maxNameBytes);
     archive.number(m.after);
 }
 
 template <typename Archive, typename M>
-void layout(Archive &archive, M &m, const FollowTables &)
+void layout(Archive &archive, M &m, const SubscribeTables &)
 {
-    archive.records(m.tables, maxFollowedTables);
+    archive.records(m.tables, maxTableSubscriptions);
     archive.flag(m.withRows);
-    archive.flag(m.takesParts);
-    archive.flag(m.continues);
+    archive.flag(m.acceptsParts);
+    archive.flag(m.isContinuation);
 }
 
 template <typename Archive, typename M>
-void layout(Archive &archive, M &m, const NewsRow &)
+void layout(Archive &archive, M &m, const TableUpdateRow &)
 {
     archive.text(m.key, maxNameBytes);
     archive.text(m.value, maxSqlBytes);
     archive.number(m.version);
     archive.flag(m.removed);
-    archive.number(m.differsFrom);
+    archive.number(m.baseVersion);
 }
 
 template <typename Archive, typename M>
-void layout(Archive &archive, M &m, const TableNews &)
+void layout(Archive &archive, M &m, const TableUpdate &)
 {
     archive.text(m.table, maxNameBytes);
     archive.number(m.after);
     archive.number(m.upTo);
     archive.duration(m.serviceTime);
-    archive.records(m.rows, maxNewsRows);
-    archive.flag(m.leftOut);
-    archive.flag(m.isPart);
+    archive.records(m.rows, maxTableUpdateRows);
+    archive.flag(m.rowsOmitted);
+    archive.flag(m.isPartial);
 }
 
 template <typename Archive, typename M>
--- a/src/inner/messages.h
+++ b/src/inner/messages.h
@@ -375,7 +375,7 @@
 };
 
 // One table that the sender follows, and the version up to which it knows it.
-struct FollowedTable
+struct TableSubscription
 {
     std::string table;
     std::uint64_t after = 0;
@@ -383,20 +383,20 @@
 
 // The sender wants to be told of changes of these tables from now on, instead of asking the table
 // service; an empty list ends that.
-struct FollowTables
+struct SubscribeTables
 {
-    std::vector<FollowedTable> tables;
+    std::vector<TableSubscription> tables;
     // Whether rows are told, too. Another teller does that, and this one tells only that there are
     // changes.
     bool withRows = true;
     // Whether rows may be told as differences, and in parts.
-    bool takesParts = false;
+    bool acceptsParts = false;
     // Asks for what follows a part; tables that are not named stay followed as they are.
-    bool continues = false;
+    bool isContinuation = false;
 };
 
 // A row that changed, or is gone.
-struct NewsRow
+struct TableUpdateRow
 {
     std::string key;
     std::string value;
@@ -404,11 +404,11 @@
     bool removed = false;
     // The value is a difference (services/textdifference) from that of this earlier version of the
     // row; 0: it is whole.
-    std::uint64_t differsFrom = 0;
+    std::uint64_t baseVersion = 0;
 };
 
 // What the table service has told the sender of one table.
-struct TableNews
+struct TableUpdate
 {
     std::string table;
     // The rows are all that changed after the first version, up to the second.
@@ -416,11 +416,11 @@
     std::uint64_t upTo = 0;
     // The table service's own clock when it said so.
     Duration serviceTime {0};
-    std::vector<NewsRow> rows;
+    std::vector<TableUpdateRow> rows;
     // Changes are left out, as too large: the receiver reads them itself.
-    bool leftOut = false;
+    bool rowsOmitted = false;
     // There are more changes after the second version: the service's clock proves nothing yet.
-    bool isPart = false;
+    bool isPartial = false;
 };
 
 // The sender runs low of an organisation's quota, and asks for a part of what the receiver has.
@@ -442,7 +442,7 @@
     std::variant<Hello, Execute, ExecuteResult, Cancel, Heartbeat, HeartbeatAnswer, Locate,
                  LocateAnswer, HandOver, ConfigNotice, ConfigRequest, ConfigAnswer, OperatorRequest,
                  OperatorAnswer, RunStatement, StatementDone, EndTransaction, AliveRequest,
-                 AliveAnswer, OwnershipEndRequest, OwnershipEnded, Stopping, TakeOver, FollowTables,
-                 TableNews, QuotaRequest, QuotaGift>;
+                 AliveAnswer, OwnershipEndRequest, OwnershipEnded, Stopping, TakeOver,
+                 SubscribeTables, TableUpdate, QuotaRequest, QuotaGift>;
 
 } // namespace kelptally::inner
--- a/src/services/tablefollower.h
+++ b/src/services/tablefollower.h
@@ -2,7 +2,7 @@
 
 #include "core/eventlog.h"
 #include "core/timerservice.h"
-#include "decision/feedpace.h"
+#include "decision/pollpacer.h"
 #include "services/tableservice.h"
 
 #include <functional>
@@ -66,7 +66,7 @@
     std::optional<Duration> answeredAt_;
     // This host's clock less the service's, at the fastest answer so far.
     Duration clockOffset_ {0};
-    decision::FeedPace pace_;
+    decision::PollPacer pace_;
     bool read_ = false;
     bool reachable_ = true;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- /dev/null
+++ b/tests/bench/relay_test.cpp
@@ -0,0 +1,93 @@
+#include "bench/relaymodel.h"
+
+#include <catch2/catch.hpp>
+
+using namespace kelptally;
+using namespace kelptally::bench;
+using namespace std::chrono_literals;
+
+namespace {
+
+RelayPlan planOf(int hosts)
+{
+    RelayPlan plan;
+    plan.hosts = hosts;
+    return plan;
+}
+
+void checkBounds(const RelayPlan &plan)
+{
+    for (std::uint64_t seed = 1; seed <= 2; ++seed) {
+        CAPTURE(seed);
+        const RelayResult result = simulateRelays(plan, seed);
+        CHECK(result.violations == std::vector<std::string>());
+        CHECK(result.maxConfigurationDelay > 0ms);
+        CHECK(result.maxConfigurationDelay < plan.configurationTime);
+        CHECK(result.maxServerDelay < plan.leaveTime);
+    }
+}
+
+} // namespace
+
+TEST_CASE("Calls in steady state do not grow with hosts")
+{
+    const RelayResult small = simulateRelays(planOf(30), 1);
+    const RelayResult large = simulateRelays(planOf(300), 1);
+    CHECK(small.violations == std::vector<std::string>());
+    CHECK(large.violations == std::vector<std::string>());
+    CHECK(large.callsPerSecond < 1.5 * small.callsPerSecond);
+    CHECK(large.pollingHosts <= 8);
+    // The whole calm day.
+    CHECK(large.callsAtStart + large.callsAfterStart < 3000);
+    CHECK(large.maxCallsPerSecond < 2000);
+}
+
+TEST_CASE("Calm hosts know a change a moment after it is made")
+{
+    const RelayResult result = simulateRelays(planOf(120), 2);
+    CHECK(result.maxConfigurationDelay < 1500ms);
+    CHECK(result.maxServerDelay < 200ms);
+}
+
+TEST_CASE("Bounds hold on every host when tellers die, stand still or lose the store")
+{
+    for (const bool affectsAll : {false, true})
+        for (const RelayFaultKind kind :
+             {RelayFaultKind::Kill, RelayFaultKind::Freeze, RelayFaultKind::CutFromStore}) {
+            CAPTURE(affectsAll);
+            CAPTURE(int(kind));
+            RelayPlan plan = planOf(40);
+            plan.length = 50s;
+            for (const Duration at : {14500ms, 16900ms, 26900ms, 31980ms})
+                plan.faults.push_back({kind, at, 9s, affectsAll});
+            checkBounds(plan);
+        }
+}
+
+TEST_CASE("Bounds hold with few hosts and tight bounds, too")
+{
+    for (const int hosts : {1, 2, 3, 8}) {
+        CAPTURE(hosts);
+        RelayPlan plan = planOf(hosts);
+        plan.zones = 4;
+        plan.groups = 3;
+        plan.configurationTime = 3s;
+        plan.leaveTime = 7s;
+        plan.changePeriod = 3500ms;
+        if (hosts == 8)
+            plan.faults.push_back({RelayFaultKind::CutFromStore, 15900ms, 8s, false});
+        checkBounds(plan);
+    }
+}
+
+TEST_CASE("Hosts that lose all tellers at once stay under the store's rate")
+{
+    RelayPlan plan = planOf(600);
+    plan.groups = 100;
+    plan.length = 36s;
+    plan.faults.push_back({RelayFaultKind::Kill, 20s, 0s, true});
+    const RelayResult result = simulateRelays(plan, 3);
+    CHECK(result.violations == std::vector<std::string>());
+    // At the start each host reads three tables within 0.3 s; the busiest second is that one.
+    CHECK(result.maxCallsPerSecond < 2400);
+}
--- a/tests/decision/tellers_test.cpp
+++ b/tests/decision/relaychoice_test.cpp
@@ -1,4 +1,4 @@
-#include "decision/tellers.h"
+#include "decision/relaychoice.h"
 
 #include <catch2/catch.hpp>
 
@@ -10,19 +10,19 @@
 
 namespace {
 
-std::vector<Teller> owners(int count, int zones)
+std::vector<RelayCandidate> owners(int count, int zones)
 {
-    std::vector<Teller> all;
+    std::vector<RelayCandidate> all;
     for (int i = 0; i < count; ++i)
         all.push_back({"10.0." + std::to_string(i) + ".1:7000", "z" + std::to_string(i % zones)});
     return all;
 }
 
-std::string zoneOf(const std::vector<Teller> &all, const std::string &address)
+std::string zoneOf(const std::vector<RelayCandidate> &all, const std::string &address)
 {
-    for (const Teller &teller : all)
-        if (teller.address == address)
-            return teller.zone;
+    for (const RelayCandidate &candidate : all)
+        if (candidate.address == address)
+            return candidate.zone;
     return {};
 }
 
@@ -34,7 +34,7 @@
         const auto all = owners(count, 6);
         std::set<std::string> used;
         for (int zone = 0; zone < 6; ++zone) {
-            const auto chosen = chooseTellers(all, "z" + std::to_string(zone), 2);
+            const auto chosen = chooseRelays(all, "z" + std::to_string(zone), 2);
             REQUIRE(chosen.size() == 2);
             CHECK(zoneOf(all, chosen[0]) == "z" + std::to_string(zone));
             CHECK(zoneOf(all, chosen[1]) != zoneOf(all, chosen[0]));
@@ -47,15 +47,15 @@
 TEST_CASE("The order of candidates does not matter, and a zone without any has tellers")
 {
     auto all = owners(12, 3);
-    const auto chosen = chooseTellers(all, "elsewhere", 2);
+    const auto chosen = chooseRelays(all, "elsewhere", 2);
     CHECK(chosen.size() == 2);
     std::reverse(all.begin(), all.end());
-    CHECK(chooseTellers(all, "elsewhere", 2) == chosen);
+    CHECK(chooseRelays(all, "elsewhere", 2) == chosen);
     // Owners whose zone is not known come last.
     all.push_back({"unknown:1", ""});
-    CHECK(chooseTellers(all, "elsewhere", 2) == chosen);
-    CHECK(chooseTellers({{"unknown:1", ""}}, "z", 2) == std::vector<std::string> {"unknown:1"});
-    CHECK(chooseTellers({}, "z", 2).empty());
+    CHECK(chooseRelays(all, "elsewhere", 2) == chosen);
+    CHECK(chooseRelays({{"unknown:1", ""}}, "z", 2) == std::vector<std::string> {"unknown:1"});
+    CHECK(chooseRelays({}, "z", 2).empty());
 }
 
 // A teller of the fleet has 164 listeners; on a link of 20 Mbit/s a table of 1 MB takes them a
@@ -65,14 +65,14 @@
     auto all = owners(60, 6);
     for (int zone = 0; zone < 6; ++zone) {
         const std::string name = "z" + std::to_string(zone);
-        const std::string before = chooseTellers(all, name, 2).front();
-        std::string roomy;
-        for (Teller &teller : all)
-            if (teller.zone == name && teller.address != before && roomy.empty()) {
-                teller.hasRoom = true;
-                roomy = teller.address;
+        const std::string before = chooseRelays(all, name, 2).front();
+        std::string withCapacity;
+        for (RelayCandidate &candidate : all)
+            if (candidate.zone == name && candidate.address != before && withCapacity.empty()) {
+                candidate.hasCapacity = true;
+                withCapacity = candidate.address;
             }
-        CHECK(chooseTellers(all, name, 2).front() == roomy);
+        CHECK(chooseRelays(all, name, 2).front() == withCapacity);
     }
 }
 
@@ -80,17 +80,17 @@
 {
     for (const Duration wait : {2s, 5s, 6s, 10s}) {
         for (const double draw : {0.0, 0.5, 1.0}) {
-            CHECK(tellerWait(wait) < proofLimit(wait, draw));
-            CHECK(proofLimit(wait, draw) < wait);
+            CHECK(relayPollWait(wait) < maxConfirmationAge(wait, draw));
+            CHECK(maxConfirmationAge(wait, draw) < wait);
         }
-        CHECK(proofLimit(wait, 0) < proofLimit(wait, 1));
+        CHECK(maxConfirmationAge(wait, 0) < maxConfirmationAge(wait, 1));
     }
-    CHECK(tellerWait(400ms) == 400ms);
-    CHECK(firstAsk(20s, 1, false) <= 6s);
-    CHECK(firstAsk(2s, 0, true) == 0s);
+    CHECK(relayPollWait(400ms) == 400ms);
+    CHECK(relayDiscoveryDelay(20s, 1, false) <= 6s);
+    CHECK(relayDiscoveryDelay(2s, 0, true) == 0s);
     // Hosts with room look first.
-    CHECK(firstAsk(2s, 0.5, true) < firstAsk(2s, 0, false));
-    CHECK(firstAsk(2s, 1, true) < firstAsk(2s, 0.5, false));
+    CHECK(relayDiscoveryDelay(2s, 0.5, true) < relayDiscoveryDelay(2s, 0, false));
+    CHECK(relayDiscoveryDelay(2s, 1, true) < relayDiscoveryDelay(2s, 0.5, false));
     // Not all at once, should all have room.
-    CHECK(firstAsk(5s, 1, true) >= 3s);
+    CHECK(relayDiscoveryDelay(5s, 1, true) >= 3s);
 }
--- a/tests/host/tablenews_test.cpp
+++ b/tests/host/tablerelay_test.cpp
@@ -1,5 +1,5 @@
 #include "core/manualtimerservice.h"
-#include "host/tablenews.h"
+#include "host/tablerelay.h"
 #include "services/textdifference.h"
 
 #include <catch2/catch.hpp>
@@ -24,17 +24,17 @@
     void changes(const std::string &, std::uint64_t after, Duration wait,
                  services::ChangesCallback callback) override
     {
-        asked.push_back({after, wait});
+        polls.push_back({after, wait});
         answer = std::move(callback);
     }
 
     int snapshots = 0;
     std::optional<Duration> serviceTime;
-    std::vector<std::pair<std::uint64_t, Duration>> asked;
+    std::vector<std::pair<std::uint64_t, Duration>> polls;
     services::ChangesCallback answer;
 };
 
-struct FakeLinks : public TableNews::Links
+struct FakeLinks : public TableRelay::Links
 {
     void connect(const std::string &address) override { ++connected[address]; }
     void drop(const std::string &address) override { --connected[address]; }
@@ -45,14 +45,14 @@
     }
     absl::Status sendOn(inner::LinkId link, inner::Message message) override
     {
-        told.emplace_back(link, std::get<inner::TableNews>(std::move(message)));
+        updates.emplace_back(link, std::get<inner::TableUpdate>(std::move(message)));
         return absl::OkStatus();
     }
-    bool isNear(inner::LinkId link) const override { return link < 10; }
+    bool isSameZone(inner::LinkId link) const override { return link < 10; }
 
     std::map<std::string, int> connected;
     std::vector<std::pair<std::string, inner::Message>> sent;
-    std::vector<std::pair<inner::LinkId, inner::TableNews>> told;
+    std::vector<std::pair<inner::LinkId, inner::TableUpdate>> updates;
 };
 
 constexpr Duration wait = 5s;
@@ -62,38 +62,38 @@
     Fixture()
     {
         store.serviceTime = clock();
-        news.snapshot("t", [](const auto &) {});
-        ask(100);
+        relay.snapshot("t", [](const auto &) {});
+        requestChanges(100);
     }
 
     // The store's clock, which is 1,000 s behind.
     Duration clock() const { return timers.now().time_since_epoch() - 1000s; }
 
     // What a follower does: it asks on from where it stands.
-    void ask(std::uint64_t after)
+    void requestChanges(std::uint64_t after)
     {
-        news.changes("t", after, wait, [this](const absl::StatusOr<services::TableChanges> &got) {
+        relay.changes("t", after, wait, [this](const absl::StatusOr<services::TableChanges> &got) {
             REQUIRE(got.ok());
             ++answers;
             for (const auto &change : got->changes)
                 rows.push_back(change.row.key + "=" + change.row.value);
-            ask(got->next);
+            requestChanges(got->next);
         });
     }
-    void setCandidates(const std::vector<decision::Teller> &tellers)
+    void setCandidates(const std::vector<decision::RelayCandidate> &relayCandidates)
     {
-        for (const decision::Teller &teller : tellers)
-            candidates.add(teller);
-        news.setCandidates(candidates);
+        for (const decision::RelayCandidate &candidate : relayCandidates)
+            candidates.add(candidate);
+        relay.setCandidates(candidates);
     }
-    void listen()
+    void subscribe()
     {
         setCandidates({{"first", "zone"}, {"second", "other"}});
-        news.onLinkUp("first");
-        news.onLinkUp("second");
+        relay.onLinkUp("first");
+        relay.onLinkUp("second");
     }
-    inner::TableNews told(std::uint64_t after, std::uint64_t upTo, Duration serviceTime,
-                          std::vector<inner::NewsRow> changed = {}) const
+    inner::TableUpdate update(std::uint64_t after, std::uint64_t upTo, Duration serviceTime,
+                              std::vector<inner::TableUpdateRow> changed = {}) const
     {
         return {"t", after, upTo, serviceTime, std::move(changed), false};
     }
@@ -107,8 +107,8 @@
     Metrics metrics;
     FakeFeed store;
     FakeLinks links;
-    decision::TellerOrder candidates;
-    TableNews news {
+    decision::RelayOrder candidates;
+    TableRelay relay {
         {timers, store, links, log, metrics, "self", "zone", "owners", true, [] { return 0.5; }}};
     int answers = 0;
     std::vector<std::string> rows;
@@ -118,129 +118,129 @@
 
 TEST_CASE_METHOD(Fixture, "A listener takes rows in the order of their versions, each once")
 {
-    listen();
+    subscribe();
     CHECK(links.connected["first"] == 1);
     timers.advance(1s);
-    news.onNews("first", told(100, 102, clock(), {{"a", "1", 101}, {"b", "1", 102}}));
-    news.onNews("second", told(100, 102, clock(), {{"a", "1", 101}, {"b", "1", 102}}));
-    news.onNews("first", told(102, 103, clock(), {{"a", "2", 103}}));
+    relay.onUpdate("first", update(100, 102, clock(), {{"a", "1", 101}, {"b", "1", 102}}));
+    relay.onUpdate("second", update(100, 102, clock(), {{"a", "1", 101}, {"b", "1", 102}}));
+    relay.onUpdate("first", update(102, 103, clock(), {{"a", "2", 103}}));
     // News that were overtaken on their way.
-    news.onNews("second", told(100, 101, clock() - 10ms, {{"a", "1", 101}}));
+    relay.onUpdate("second", update(100, 101, clock() - 10ms, {{"a", "1", 101}}));
     CHECK(rows == std::vector<std::string> {"a=1", "b=1", "a=2"});
-    CHECK(store.asked.empty());
+    CHECK(store.polls.empty());
 }
 
 TEST_CASE_METHOD(Fixture, "News prove something only with a newer clock of the store beside them")
 {
-    listen();
+    subscribe();
     for (int i = 0; i < 10; ++i) {
         timers.advance(2s);
-        news.onNews("first", told(100, 100, clock()));
+        relay.onUpdate("first", update(100, 100, clock()));
     }
-    CHECK(store.asked.empty());
+    CHECK(store.polls.empty());
     // The teller goes on telling, and has heard nothing.
     const Duration last = clock();
     for (int i = 0; i < 5; ++i) {
         timers.advance(1s);
-        news.onNews("first", told(100, 100, last));
+        relay.onUpdate("first", update(100, 100, last));
     }
-    CHECK(store.asked.size() == 1);
-    CHECK(store.asked[0].first == 100);
+    CHECK(store.polls.size() == 1);
+    CHECK(store.polls[0].first == 100);
 }
 
 TEST_CASE_METHOD(Fixture, "News from whoever is not listened to count for nothing")
 {
-    listen();
+    subscribe();
     timers.advance(1s);
-    news.onNews("third", told(100, 101, clock(), {{"a", "1", 101}}));
+    relay.onUpdate("third", update(100, 101, clock(), {{"a", "1", 101}}));
     CHECK(rows.empty());
 }
 
 TEST_CASE_METHOD(Fixture, "What was left out, or leaves a gap, is read a moment later")
 {
-    listen();
+    subscribe();
     timers.advance(1s);
-    inner::TableNews large = told(100, 105, clock());
-    large.leftOut = true;
-    news.onNews("second", large);
-    CHECK(store.asked.empty());
+    inner::TableUpdate large = update(100, 105, clock());
+    large.rowsOmitted = true;
+    relay.onUpdate("second", large);
+    CHECK(store.polls.empty());
     // The other teller tells the rows meanwhile.
     timers.advance(100ms);
-    news.onNews("first", told(100, 105, clock(), {{"a", "1", 105}}));
+    relay.onUpdate("first", update(100, 105, clock(), {{"a", "1", 105}}));
     timers.advance(2s);
-    CHECK(store.asked.empty());
+    CHECK(store.polls.empty());
     // It tells of later ones only: something is missing in between.
-    news.onNews("first", told(107, 109, clock(), {{"a", "3", 109}}));
+    relay.onUpdate("first", update(107, 109, clock(), {{"a", "3", 109}}));
     timers.advance(2s);
-    REQUIRE(store.asked.size() == 1);
-    CHECK(store.asked[0] == std::make_pair(std::uint64_t(105), Duration(0)));
+    REQUIRE(store.polls.size() == 1);
+    CHECK(store.polls[0] == std::make_pair(std::uint64_t(105), Duration(0)));
     CHECK(rows == std::vector<std::string> {"a=1"});
 }
 
 TEST_CASE_METHOD(Fixture, "Silent tellers are followed by others")
 {
     setCandidates({{"first", "zone"}, {"second", "other"}, {"third", "zone"}});
-    std::string silent;
+    std::string silentRelay;
     for (const auto &[address, count] : links.connected)
         if (count > 0 && address != "second")
-            silent = address;
-    REQUIRE(!silent.empty());
-    const std::string other = silent == "first" ? "third" : "first";
+            silentRelay = address;
+    REQUIRE(!silentRelay.empty());
+    const std::string other = silentRelay == "first" ? "third" : "first";
     timers.advance(10s);
-    CHECK(links.connected[silent] == 0);
+    CHECK(links.connected[silentRelay] == 0);
     CHECK(links.connected[other] == 1);
 }
 
 TEST_CASE_METHOD(Fixture, "A teller asks in short questions and tells each listener what it lacks")
 {
-    news.onFollow(1, {{{"t", 100}}, true});
-    REQUIRE(store.asked.size() == 1);
-    CHECK(store.asked[0].second == 2s);
-    CHECK(links.told.size() == 1);
-    CHECK(links.told[0].second.rows.empty());
+    relay.onSubscribe(1, {{{"t", 100}}, true});
+    REQUIRE(store.polls.size() == 1);
+    CHECK(store.polls[0].second == 2s);
+    CHECK(links.updates.size() == 1);
+    CHECK(links.updates[0].second.rows.empty());
     timers.advance(1s);
     services::TableChanges changes;
     changes.changes.push_back({{"a", "1", "101"}, false});
     changes.next = 101;
     changes.serviceTime = clock();
     store.answer(changes);
-    REQUIRE(links.told.size() == 2);
-    CHECK(links.told[1].second.rows.size() == 1);
-    CHECK(links.told[1].second.after == 100);
-    CHECK(links.told[1].second.upTo == 101);
-    CHECK(links.told[1].second.serviceTime == *changes.serviceTime);
+    REQUIRE(links.updates.size() == 2);
+    CHECK(links.updates[1].second.rows.size() == 1);
+    CHECK(links.updates[1].second.after == 100);
+    CHECK(links.updates[1].second.upTo == 101);
+    CHECK(links.updates[1].second.serviceTime == *changes.serviceTime);
     // One that comes later is told what it lacks, also from before the teller's snapshot: that has
     // all rows.
-    news.onFollow(2, {{{"t", 100}}, true});
-    CHECK(links.told.back().second.rows.size() == 1);
-    news.onFollow(3, {{{"t", 50}}, true});
-    CHECK(!links.told.back().second.leftOut);
-    CHECK(links.told.back().second.rows.size() == 1);
+    relay.onSubscribe(2, {{{"t", 100}}, true});
+    CHECK(links.updates.back().second.rows.size() == 1);
+    relay.onSubscribe(3, {{{"t", 50}}, true});
+    CHECK(!links.updates.back().second.rowsOmitted);
+    CHECK(links.updates.back().second.rows.size() == 1);
     // One that has another teller for rows hears only that there are some.
-    news.onFollow(4, {{{"t", 100}}, false});
-    CHECK(links.told.back().second.leftOut);
-    CHECK(links.told.back().second.rows.empty());
+    relay.onSubscribe(4, {{{"t", 100}}, false});
+    CHECK(links.updates.back().second.rowsOmitted);
+    CHECK(links.updates.back().second.rows.empty());
     // Nobody listens any more: no more short questions.
     for (const inner::LinkId link : {1, 2, 3})
-        news.onLinkDown(link);
-    news.onFollow(4, {});
-    CHECK(!news.isTeller());
+        relay.onLinkDown(link);
+    relay.onSubscribe(4, {});
+    CHECK(!relay.isRelay());
 }
 
 TEST_CASE_METHOD(Fixture, "Large rows are told within the zone and left out across zones")
 {
-    news.onFollow(1, {{{"t", 100}}, true});
-    news.onFollow(11, {{{"t", 100}}, true});
-    links.told.clear();
+    relay.onSubscribe(1, {{{"t", 100}}, true});
+    relay.onSubscribe(11, {{{"t", 100}}, true});
+    links.updates.clear();
     services::TableChanges changes;
     changes.changes.push_back({{"a", std::string(20'000, 'x'), "101"}, false});
     changes.next = 101;
     changes.serviceTime = clock();
     store.answer(changes);
     timers.advance(1s);
-    REQUIRE(links.told.size() == 2);
-    for (const auto &[link, told] : links.told)
-        CHECK(told.leftOut == (link == 11));
+    REQUIRE(links.updates.size() == 2);
+    for (const auto &[link, update] : links.updates)
+        CHECK(update.rowsOmitted == (link == 11));
 }
 
 namespace {
@@ -268,29 +268,29 @@
         store.answer(changes);
         timers.advance(1s);
     };
-    news.onFollow(1, {{{"t", 100}}, true, true});
+    relay.onSubscribe(1, {{{"t", 100}}, true, true});
     answer(1, 101);
-    links.told.clear();
+    links.updates.clear();
 
     // 1 and 11 know the row, the second in another zone; 2 does not understand differences; 3 does
     // not know the row.
-    news.onFollow(11, {{{"t", 101}}, true, true});
-    news.onFollow(2, {{{"t", 101}}, true, false});
-    links.told.clear();
+    relay.onSubscribe(11, {{{"t", 101}}, true, true});
+    relay.onSubscribe(2, {{{"t", 101}}, true, false});
+    links.updates.clear();
     answer(2, 105);
     answer(3, 107);
-    news.onFollow(3, {{{"t", 100}}, true, true});
+    relay.onSubscribe(3, {{{"t", 100}}, true, true});
     std::map<inner::LinkId, std::string> known = {{1, document(1)}, {11, document(1)}};
-    for (const auto &[link, told] : links.told) {
+    for (const auto &[link, update] : links.updates) {
         CAPTURE(link);
         if (link == 2 || link == 3) {
-            CHECK(told.leftOut);
+            CHECK(update.rowsOmitted);
             continue;
         }
-        REQUIRE(told.rows.size() == 1);
-        CHECK(told.rows[0].differsFrom == (told.upTo == 105 ? 101 : 105));
-        CHECK(told.rows[0].value.size() < 200);
-        known[link] = *services::applyDifference(known[link], told.rows[0].value);
+        REQUIRE(update.rows.size() == 1);
+        CHECK(update.rows[0].baseVersion == (update.upTo == 105 ? 101 : 105));
+        CHECK(update.rows[0].value.size() < 200);
+        known[link] = *services::applyDifference(known[link], update.rows[0].value);
     }
     CHECK(known[1] == document(3));
     CHECK(known[11] == document(3));
@@ -298,25 +298,26 @@
 
 TEST_CASE_METHOD(Fixture, "A listener that lacks what a difference was made from reads the row")
 {
-    listen();
+    subscribe();
     timers.advance(1s);
     const auto differing = [&](int from, int to, std::uint64_t before, std::uint64_t version) {
-        inner::NewsRow row {"a", services::differenceOf(document(from), document(to)), version};
-        row.differsFrom = before;
+        inner::TableUpdateRow row {"a", services::differenceOf(document(from), document(to)),
+                                   version};
+        row.baseVersion = before;
         return row;
     };
-    news.onNews("first", told(100, 101, clock(), {{"a", document(1), 101}}));
-    news.onNews("first",
-                told(101, 105, clock(), {differing(1, 2, 101, 103), differing(2, 3, 103, 105)}));
+    relay.onUpdate("first", update(100, 101, clock(), {{"a", document(1), 101}}));
+    relay.onUpdate(
+        "first", update(101, 105, clock(), {differing(1, 2, 101, 103), differing(2, 3, 103, 105)}));
     REQUIRE(rows.size() == 2);
     CHECK(rows.back() == "a=" + document(3));
-    CHECK(store.asked.empty());
+    CHECK(store.polls.empty());
     // From a version that was never here.
-    news.onNews("first", told(105, 109, clock(), {differing(4, 5, 107, 109)}));
+    relay.onUpdate("first", update(105, 109, clock(), {differing(4, 5, 107, 109)}));
     timers.advance(2s);
     CHECK(rows.size() == 2);
-    REQUIRE(store.asked.size() == 1);
-    CHECK(store.asked[0] == std::make_pair(std::uint64_t(105), Duration(0)));
+    REQUIRE(store.polls.size() == 1);
+    CHECK(store.polls[0] == std::make_pair(std::uint64_t(105), Duration(0)));
 }
 
 namespace {
@@ -340,74 +341,74 @@
 // most of 986 hosts read from the store what was left out, 11,000 times for owners on one day.
 TEST_CASE_METHOD(Fixture, "A listener that is behind is told everything in parts")
 {
-    news.onFollow(1, {{{"t", 100}}, true, true});
+    relay.onSubscribe(1, {{{"t", 100}}, true, true});
     store.answer(changesOf(1000, 101, clock()));
     timers.advance(1s);
-    links.told.clear();
-    news.onFollow(2, {{{"t", 100}}, true, true});
+    links.updates.clear();
+    relay.onSubscribe(2, {{{"t", 100}}, true, true});
     std::set<std::string> rows;
     std::uint64_t upTo = 100;
     for (int part = 0; part < 100; ++part) {
-        REQUIRE(links.told.size() == std::size_t(part) + 1);
-        const inner::TableNews told = links.told.back().second;
-        REQUIRE(!told.leftOut);
-        CHECK(told.after == upTo);
+        REQUIRE(links.updates.size() == std::size_t(part) + 1);
+        const inner::TableUpdate update = links.updates.back().second;
+        REQUIRE(!update.rowsOmitted);
+        CHECK(update.after == upTo);
         std::size_t bytes = 0;
-        for (const inner::NewsRow &row : told.rows) {
+        for (const inner::TableUpdateRow &row : update.rows) {
             CHECK(rows.insert(row.key).second);
-            CHECK(row.version > told.after);
-            CHECK(row.version <= told.upTo);
+            CHECK(row.version > update.after);
+            CHECK(row.version <= update.upTo);
             bytes += row.value.size();
         }
         CHECK(bytes <= 32u << 10);
-        upTo = told.upTo;
-        if (!told.isPart)
+        upTo = update.upTo;
+        if (!update.isPartial)
             break;
-        inner::FollowTables next {{{"t", upTo}}, true, true};
-        next.continues = true;
-        news.onFollow(2, next);
+        inner::SubscribeTables next {{{"t", upTo}}, true, true};
+        next.isContinuation = true;
+        relay.onSubscribe(2, next);
     }
     CHECK(upTo == 201);
     CHECK(rows.size() == 1000);
     // A listener of an earlier version takes no parts and reads.
-    news.onFollow(3, {{{"t", 100}}, true});
-    CHECK(links.told.back().second.leftOut);
+    relay.onSubscribe(3, {{{"t", 100}}, true});
+    CHECK(links.updates.back().second.rowsOmitted);
 }
 
 TEST_CASE_METHOD(Fixture, "A part of the news proves nothing, and the next one is asked for")
 {
-    listen();
+    subscribe();
     timers.advance(1s);
     links.sent.clear();
-    inner::TableNews part = told(100, 105, clock(), {{"a", "1", 103}, {"b", "1", 105}});
-    part.isPart = true;
-    news.onNews("first", part);
+    inner::TableUpdate part = update(100, 105, clock(), {{"a", "1", 103}, {"b", "1", 105}});
+    part.isPartial = true;
+    relay.onUpdate("first", part);
     CHECK(rows == std::vector<std::string> {"a=1", "b=1"});
     REQUIRE(links.sent.size() == 1);
-    const auto next = std::get<inner::FollowTables>(links.sent[0].second);
-    CHECK(next.continues);
+    const auto next = std::get<inner::SubscribeTables>(links.sent[0].second);
+    CHECK(next.isContinuation);
     REQUIRE(next.tables.size() == 1);
     CHECK(next.tables[0].after == 105);
     // What follows never comes: the proof is as old as it was.
     timers.advance(4s);
-    REQUIRE(!store.asked.empty());
-    CHECK(store.asked[0].first == 105);
+    REQUIRE(!store.polls.empty());
+    CHECK(store.polls[0].first == 105);
 }
 
 TEST_CASE_METHOD(Fixture, "What is kept for listeners follows the table, not its past")
 {
-    news.onFollow(1, {{{"t", 100}}, true, true});
+    relay.onSubscribe(1, {{{"t", 100}}, true, true});
     std::uint64_t version = 101;
     for (int round = 0; round < 200; ++round, version += 12) {
         store.answer(changesOf(100, version, clock(), 20));
         timers.advance(100ms);
     }
-    links.told.clear();
-    news.onFollow(2, {{{"t", 100}}, true, true});
-    REQUIRE(links.told.size() == 1);
+    links.updates.clear();
+    relay.onSubscribe(2, {{{"t", 100}}, true, true});
+    REQUIRE(links.updates.size() == 1);
     // The newest state of each, and the few superseded ones that came since it was looked at.
-    CHECK(links.told[0].second.rows.size() >= 100);
-    CHECK(links.told[0].second.rows.size() <= 600);
+    CHECK(links.updates[0].second.rows.size() >= 100);
+    CHECK(links.updates[0].second.rows.size() <= 600);
     // Rows that are gone are not kept for ever: who may lack one reads the table.
     for (int i = 0; i < 10; ++i, version += 72) {
         services::TableChanges gone = changesOf(700, version, clock(), 0, true);
@@ -416,8 +417,8 @@
         store.answer(gone);
         timers.advance(100ms);
     }
-    news.onFollow(3, {{{"t", 100}}, true, true});
-    CHECK(links.told.back().second.leftOut);
+    relay.onSubscribe(3, {{{"t", 100}}, true, true});
+    CHECK(links.updates.back().second.rowsOmitted);
 }
 
 namespace {
@@ -428,22 +429,22 @@
     StartFixture()
     {
         store.serviceTime = timers.now().time_since_epoch() - 1000s;
-        tellerStore.serviceTime = store.serviceTime;
+        relayStore.serviceTime = store.serviceTime;
     }
     void start()
     {
-        news.snapshot("t", [this](auto snapshot) {
+        subscriber.snapshot("t", [this](auto snapshot) {
             REQUIRE(snapshot.ok());
             read = *std::move(snapshot);
         });
     }
-    void findTellers()
+    void findRelays()
     {
         candidates.add({"first", "zone"});
         candidates.add({"second", "other"});
-        news.setCandidates(candidates);
-        news.onLinkUp("first");
-        news.onLinkUp("second");
+        subscriber.setCandidates(candidates);
+        subscriber.onLinkUp("first");
+        subscriber.onLinkUp("second");
     }
     // Carries messages between the two until none is left.
     void carry()
@@ -451,11 +452,11 @@
         for (std::size_t i = 0; i < links.sent.size(); ++i) {
             if (links.sent[i].first != "first")
                 continue;
-            teller.onFollow(1, std::get<inner::FollowTables>(links.sent[i].second));
-            const auto told = std::move(tellerLinks.told);
-            tellerLinks.told.clear();
-            for (const auto &[link, message] : told)
-                news.onNews("first", message);
+            relay.onSubscribe(1, std::get<inner::SubscribeTables>(links.sent[i].second));
+            const auto updates = std::move(relayLinks.updates);
+            relayLinks.updates.clear();
+            for (const auto &[link, message] : updates)
+                subscriber.onUpdate("first", message);
         }
         links.sent.clear();
     }
@@ -468,13 +469,13 @@
     }()};
     Metrics metrics;
     FakeFeed store;
-    FakeFeed tellerStore;
+    FakeFeed relayStore;
     FakeLinks links;
-    FakeLinks tellerLinks;
-    decision::TellerOrder candidates;
-    TableNews news {
+    FakeLinks relayLinks;
+    decision::RelayOrder candidates;
+    TableRelay subscriber {
         {timers, store, links, log, metrics, "self", "zone", "owners", false, [] { return 0.5; }}};
-    TableNews teller {{timers, tellerStore, tellerLinks, log, metrics, "first", "zone", "owners",
+    TableRelay relay {{timers, relayStore, relayLinks, log, metrics, "first", "zone", "owners",
                        true, [] { return 0.5; }}};
     std::optional<services::TableSnapshot> read;
 };
@@ -485,28 +486,28 @@
 // half of all bytes there on a calm day, and seconds of its link when all came back at once.
 TEST_CASE_METHOD(StartFixture, "A host without room reads a table from its teller")
 {
-    teller.snapshot("t", [](const auto &) {});
-    teller.changes("t", 100, wait, [](const auto &) {});
-    teller.onFollow(9, {{{"t", 100}}, true, true});
-    tellerStore.answer(changesOf(1000, 101, *tellerStore.serviceTime));
+    relay.snapshot("t", [](const auto &) {});
+    relay.changes("t", 100, wait, [](const auto &) {});
+    relay.onSubscribe(9, {{{"t", 100}}, true, true});
+    relayStore.answer(changesOf(1000, 101, *relayStore.serviceTime));
     timers.advance(1s);
-    tellerLinks.told.clear();
+    relayLinks.updates.clear();
 
     start();
     CHECK(store.snapshots == 0);
-    findTellers();
+    findRelays();
     carry();
     REQUIRE(read);
     CHECK(read->rows.size() == 1000);
     CHECK(read->next == 201);
-    CHECK(read->serviceTime == tellerStore.serviceTime);
+    CHECK(read->serviceTime == relayStore.serviceTime);
     CHECK(store.snapshots == 0);
     // It goes on from there, and can tell others itself.
-    news.changes("t", read->next, wait, [](const auto &) {});
-    news.onFollow(7, {{{"t", 0}}, true, true});
-    REQUIRE(!links.told.empty());
-    CHECK(!links.told.back().second.leftOut);
-    CHECK(links.told.back().second.rows.size() > 10);
+    subscriber.changes("t", read->next, wait, [](const auto &) {});
+    subscriber.onSubscribe(7, {{{"t", 0}}, true, true});
+    REQUIRE(!links.updates.empty());
+    CHECK(!links.updates.back().second.rowsOmitted);
+    CHECK(links.updates.back().second.rows.size() > 10);
 }
 
 TEST_CASE_METHOD(StartFixture, "A host reads from the store when its teller can't tell the table")
@@ -514,28 +515,28 @@
     SECTION("It has not read it")
     {
         start();
-        findTellers();
+        findRelays();
         carry();
     }
     SECTION("It says nothing")
     {
         start();
-        findTellers();
+        findRelays();
         timers.advance(1500ms);
     }
     SECTION("It falls silent between two parts")
     {
-        teller.snapshot("t", [](const auto &) {});
-        teller.changes("t", 100, wait, [](const auto &) {});
-        teller.onFollow(9, {{{"t", 100}}, true, true});
-        tellerStore.answer(changesOf(1000, 101, *tellerStore.serviceTime));
+        relay.snapshot("t", [](const auto &) {});
+        relay.changes("t", 100, wait, [](const auto &) {});
+        relay.onSubscribe(9, {{{"t", 100}}, true, true});
+        relayStore.answer(changesOf(1000, 101, *relayStore.serviceTime));
         timers.advance(1s);
-        tellerLinks.told.clear();
+        relayLinks.updates.clear();
         start();
-        findTellers();
-        teller.onFollow(1, std::get<inner::FollowTables>(links.sent.front().second));
-        REQUIRE(tellerLinks.told.back().second.isPart);
-        news.onNews("first", tellerLinks.told.back().second);
+        findRelays();
+        relay.onSubscribe(1, std::get<inner::SubscribeTables>(links.sent.front().second));
+        REQUIRE(relayLinks.updates.back().second.isPartial);
+        subscriber.onUpdate("first", relayLinks.updates.back().second);
         CHECK(!read);
         timers.advance(1500ms);
     }
@@ -550,24 +551,24 @@
 
 TEST_CASE_METHOD(StartFixture, "Rows that change while a table is told are told once more")
 {
-    teller.snapshot("t", [](const auto &) {});
-    teller.changes("t", 100, wait, [](const auto &) {});
-    teller.onFollow(9, {{{"t", 100}}, true, true});
-    tellerStore.answer(changesOf(1000, 101, *tellerStore.serviceTime));
+    relay.snapshot("t", [](const auto &) {});
+    relay.changes("t", 100, wait, [](const auto &) {});
+    relay.onSubscribe(9, {{{"t", 100}}, true, true});
+    relayStore.answer(changesOf(1000, 101, *relayStore.serviceTime));
     timers.advance(1s);
-    tellerLinks.told.clear();
+    relayLinks.updates.clear();
     start();
-    findTellers();
-    teller.onFollow(1, std::get<inner::FollowTables>(links.sent.front().second));
-    news.onNews("first", tellerLinks.told.back().second);
+    findRelays();
+    relay.onSubscribe(1, std::get<inner::SubscribeTables>(links.sent.front().second));
+    subscriber.onUpdate("first", relayLinks.updates.back().second);
     links.sent.erase(links.sent.begin());
-    tellerLinks.told.clear();
-    services::TableChanges changes = changesOf(1, 300, *tellerStore.serviceTime, 5);
+    relayLinks.updates.clear();
+    services::TableChanges changes = changesOf(1, 300, *relayStore.serviceTime, 5);
     changes.changes.push_back({{"row1", "", "301"}, true});
     changes.next = 301;
-    teller.changes("t", 201, wait, [](const auto &) {});
-    tellerStore.answer(changes);
-    tellerLinks.told.clear();
+    relay.changes("t", 201, wait, [](const auto &) {});
+    relayStore.answer(changes);
+    relayLinks.updates.clear();
     carry();
     REQUIRE(read);
     CHECK(read->next == 301);
--- a/tests/host/world.cpp
+++ b/tests/host/world.cpp
@@ -52,7 +52,7 @@
         return up && !isCut && !world.store.silent && world.store.cut.count(address) == 0;
     }
     // Calls without an answer end now instead of after their timeout.
-    void giveUpStoreCalls();
+    void cancelStoreCalls();
     void hang(std::function<void(absl::Status)> answer);
     void call(std::function<absl::Status()> work, bool write,
               std::function<void(absl::Status)> answer, bool counts = true);
@@ -327,7 +327,7 @@
         },
         *this,
         *this,
-        [this] { giveUpStoreCalls(); },
+        [this] { cancelStoreCalls(); },
         *connector,
         *this,
         logOf(theIndex),
@@ -387,7 +387,7 @@
     });
 }
 
-void ModelHost::giveUpStoreCalls()
+void ModelHost::cancelStoreCalls()
 {
     std::map<std::uint64_t, std::function<void(absl::Status)>> open;
     open.swap(hanging);
