--- a/src/bench/relaycommand.cpp
+++ b/src/bench/relaycommand.cpp
@@ -25,12 +25,13 @@
 
 int runRelays(int argc, char **argv)
 {
-    TCLAP::CmdLine command("Plays hosts that follow the tables of one store, in virtual time.");
+    TCLAP::CmdLine command("Simulates hosts that follow the tables of one store, in virtual time.");
     TCLAP::UnlabeledValueArg<std::string> file("plan", "Plan file (docs/LOAD.md)", true, "", "PLAN",
                                                command);
-    TCLAP::MultiArg<int> hosts(
-        "n", "hosts", "Number of hosts instead of the plan's; again for more", false, "N", command);
-    TCLAP::ValueArg<int> seed("s", "seed", "Seed of the draws", false, 1, "N", command);
+    TCLAP::MultiArg<int> hosts("n", "hosts",
+                               "Number of hosts instead of the plan's; may be repeated", false, "N",
+                               command);
+    TCLAP::ValueArg<int> seed("s", "seed", "Seed of the random numbers", false, 1, "N", command);
     command.parse(argc, argv);
     settings::Findings findings;
     const std::string text = settings::readFile(file.getValue(), findings);
@@ -42,8 +43,9 @@
     std::vector<int> sizes = hosts.getValue();
     if (sizes.empty())
         sizes.push_back(plan.hosts);
-    std::cout << " hosts at start    after calls/s  busiest askers config ms  server ms in zone KB "
-                 "across KB\n";
+    std::cout
+        << " hosts at start    after calls/s  busiest pollers config ms  server ms in zone KB "
+           "across KB\n";
     bool good = true;
     for (const int size : sizes) {
         plan.hosts = size;
--- a/src/bench/relaymodel.cpp
+++ b/src/bench/relaymodel.cpp
@@ -27,7 +27,7 @@
 constexpr char servers[] = "servers";
 constexpr char configuration[] = "configuration";
 
-// The rows of the platform, with questions for changes that stay open.
+// Simulated table service with long polls for changes.
 class ModelTables
 {
 public:
@@ -81,7 +81,7 @@
 
 class Model;
 
-// One host: the real followers, news and gate on its own timers.
+// One host: the real followers, TableRelay and StoreGate on its own timers.
 struct Host : public services::TableService,
               public services::TableFeed,
               public host::TableRelay::Links
@@ -91,7 +91,7 @@
 
     void start();
 
-    // The store. Only changes and snapshots are asked for.
+    // Store. Only changes and snapshots are implemented.
     template <typename Result>
     void call(std::function<Result()> work, std::function<void(absl::StatusOr<Result>)> callback);
     void read(const std::string &, const std::string &, services::RowCallback callback) override
@@ -110,7 +110,7 @@
     void changes(const std::string &table, std::uint64_t after, Duration wait,
                  services::ChangesCallback callback) override;
 
-    // The links.
+    // TableRelay::Links
     void connect(const std::string &to) override;
     void drop(const std::string &to) override;
     absl::Status sendTo(const std::string &to, inner::Message message) override;
@@ -121,7 +121,7 @@
 
     void onOwner(const services::TableRow &row);
     void onVersion(std::map<std::string, int> &seen, const services::TableRow &row);
-    // Nothing has happened to it for the time in which a change has to be known.
+    // Whether the host is up and has had no fault since then.
     bool isUnaffected(Instant since) const { return up && faultedUntil < since; }
 
     Model &model;
@@ -139,11 +139,11 @@
     decision::RelayOrder relayOrder;
     std::map<std::string, int> configurations;
     std::map<std::string, int> serverStates;
-    // Links by the other end, and the other way round.
+    // Links by the peer's address, and addresses by link.
     std::map<std::string, int> wantedLinks;
     std::map<std::string, inner::LinkId> links;
     std::map<inner::LinkId, std::string> peersByLink;
-    // Calls that are open at the store.
+    // Calls to the store in flight.
     std::map<std::uint64_t, std::function<void()>> openCalls;
     std::uint64_t lastCall = 0;
     Instant lastCallAt {};
@@ -230,7 +230,7 @@
            [this](const services::TableRow &row) { onVersion(configurations, row); });
 }
 
-// A row of an owner: its zone.
+// The value is the owner's address and zone.
 void Host::onOwner(const services::TableRow &row)
 {
     const std::size_t blank = row.value.find(' ');
@@ -238,7 +238,7 @@
     timers.post([this] { tableRelay->setCandidates(relayOrder); });
 }
 
-// A row that holds its version and bytes after it.
+// The value is a version and padding.
 void Host::onVersion(std::map<std::string, int> &seen, const services::TableRow &row)
 {
     const int version = std::atoi(row.value.c_str());
@@ -352,7 +352,7 @@
         return absl::UnavailableError("no link");
     Host *other = model.find(peer->second);
     const auto bytes = inner::encode(message);
-    // Of the frame and of TCP/IP.
+    // Frame and TCP/IP headers.
     constexpr std::uint64_t headers = 58;
     (other->zone == zone ? model.result.bytesWithinZones : model.result.bytesAcrossZones) +=
         headers + (bytes.ok() ? bytes->size() : 0);
@@ -421,7 +421,7 @@
     }
 }
 
-// Tellers are those that others listen to.
+// Applies the fault to one relay or to all.
 void Model::injectFault(const RelayFault &fault)
 {
     std::vector<Host *> relays;
@@ -447,7 +447,7 @@
     tables.put(table, "row", value);
     const Instant changed = timers.now();
     const Duration bound = table == configuration ? plan.configurationTime : plan.leaveTime;
-    // The first one comes before most hosts know whom to listen to.
+    // The first version is written before most hosts have found a relay.
     if (version > 1)
         measurePropagation(table, version, changed);
     timers.subscribeAfter(bound, [this, table, version, changed] {
@@ -462,7 +462,7 @@
     });
 }
 
-// Looks every 10 ms until all hosts that are calm know the change.
+// Checks every 10 ms whether all unaffected hosts know the change.
 void Model::measurePropagation(const std::string &table, int version, Instant changed)
 {
     const bool allKnow = std::all_of(hosts.begin(), hosts.end(), [&](const auto &host) {
@@ -486,7 +486,7 @@
     for (const auto &host : hosts)
         timers.subscribeAfter(std::chrono::duration_cast<Duration>(plan.startSpread * draw(random)),
                               [&host] { host->start(); });
-    // The configuration comes first, and groups get their owners one after the other.
+    // The configuration is written first, then groups get their owners one after another.
     timers.subscribeAfter(500ms, [this] { writeVersion(configuration, 1); });
     for (int i = 0; i < plan.groups; ++i)
         timers.subscribeAfter(1s + i * 2s / plan.groups, [this, i] {
--- a/src/bench/relaymodel.h
+++ b/src/bench/relaymodel.h
@@ -9,11 +9,11 @@
 
 namespace kelptally::bench {
 
-// What happens to one teller, or to all.
+// Faults of relays.
 enum class RelayFaultKind {
     Kill,
     Freeze,
-    // The store answers it no more, while the other hosts hear it.
+    // The store is unreachable for it; other hosts still are reachable.
     CutFromStore,
 };
 
@@ -22,44 +22,43 @@
     RelayFaultKind kind = RelayFaultKind::Kill;
     Duration at {0};
     Duration length {0};
-    // All tellers at once, instead of one.
+    // Affects all relays at once instead of one.
     bool affectsAll = false;
 };
 
-// A deployment of hosts that follow the tables of one store, and what goes wrong.
+// A deployment of hosts that follow the tables of one store, and the faults to inject.
 struct RelayPlan
 {
     int hosts = 30;
     int zones = 6;
     int groups = 20;
     Duration length {std::chrono::seconds(48)};
-    // Hosts start within this time.
+    // All hosts start within this time.
     Duration startSpread {std::chrono::milliseconds(300)};
-    // Bounds within which a configuration is in force, and a leaving server is known.
+    // Bounds within which all hosts must know a new configuration and a leaving server.
     Duration configurationTime {std::chrono::seconds(6)};
     Duration leaveTime {std::chrono::seconds(10)};
-    // The configuration and a server change each time after this, from twelve seconds on.
+    // Interval between changes of the configuration and a server, from twelve seconds on.
     Duration changePeriod {std::chrono::seconds(5)};
     int configurationBytes = 12'000;
     std::vector<RelayFault> faults;
 };
 
-// What was seen. Calls are those that reach the store.
+// Results of a simulation. Calls are those that reach the store.
 struct RelayResult
 {
     int callsAtStart = 0;
     int callsAfterStart = 0;
-    // Of the busiest second.
     int maxCallsPerSecond = 0;
     double callsPerSecond = 0;
-    // From a change to the last host that knew it; hosts in trouble at that time left out.
+    // Longest time until all hosts knew a change; hosts with a fault at that time are excluded.
     Duration maxConfigurationDelay {0};
     Duration maxServerDelay {0};
     std::uint64_t bytesWithinZones = 0;
     std::uint64_t bytesAcrossZones = 0;
-    // Hosts that asked the store in the last ten seconds.
+    // Hosts that called the store in the last ten seconds.
     int pollingHosts = 0;
-    // What must never happen, in words.
+    // Violated invariants, as text.
     std::vector<std::string> violations;
 };
 
--- a/src/decision/pollpacer.cpp
+++ b/src/decision/pollpacer.cpp
@@ -6,18 +6,17 @@
 
 namespace {
 
-// Changes within this time of each other come in a row, and then wait for each other: first so
-// long, and longer the longer the row. News of a configuration have three seconds, and owners are
-// also learnt from other hosts.
+// Changes within this window of each other form a burst. The pause grows by burstPause with each
+// change after the second, up to maxBurstLength times.
 constexpr Duration burstWindow = std::chrono::milliseconds(1200);
 constexpr Duration burstPause = std::chrono::milliseconds(300);
 constexpr int maxBurstLength = 3;
-// To notice a lost question and to ask again.
+// Time to detect a lost poll and to repeat it.
 constexpr Duration retryAllowance = std::chrono::seconds(1);
-// What is left to a leaving primary for its replacement.
+// Time for the replacement of a leaving primary.
 constexpr Duration replacementTime = std::chrono::seconds(4);
 constexpr Duration minPollWait = std::chrono::milliseconds(500);
-// Silence of a connection is noticed no later than this after it began.
+// Bounds the time until a dead connection is detected.
 constexpr Duration maxPollWait = std::chrono::seconds(10);
 
 } // namespace
@@ -26,7 +25,6 @@
 {
     const bool inBurst = now - lastChangesAt_ < burstWindow;
     lastChangesAt_ = now;
-    // The first two come by themselves.
     burstLength_ = inBurst ? std::min(burstLength_ + 1, maxBurstLength + 1) : 0;
     return burstLength_ < 2 ? Duration(0) : (burstLength_ - 1) * burstPause;
 }
--- a/src/decision/pollpacer.h
+++ b/src/decision/pollpacer.h
@@ -4,30 +4,26 @@
 
 namespace kelptally::decision {
 
-// How often a host asks the table service for changes. Each question is a call, and all hosts
-// together have a few thousand of them a second.
-//
-// The load it answers: an answer comes with the first change, so that 24 servers that register one
-// after another made 24 calls of each host: 4,000 of the 7,200 calls of a calm day with 77 hosts.
+// Limits how often a host polls the table service during a burst of changes. A poll is answered by
+// the first change, so without a pause each change of a burst would cost a call per host.
 class PollPacer
 {
 public:
-    // An answer has brought changes; how long to wait before the next question. A change that comes
-    // by itself, and the one after it, are told at once.
+    // Returns the pause before the next poll after an answer with changes; zero for the first two
+    // changes of a burst.
     Duration pauseAfterChanges(Instant now);
 
 private:
     Instant lastChangesAt_ {};
-    // Answers with changes that came within a short time of each other.
+    // Preceding answers in the current burst, up to a limit.
     int burstLength_ = 0;
 };
 
-// Longest that one question for changes may stay open, where what it tells must be known within the
-// bound: a question whose answer is lost, or whose connection has gone silent, is noticed half a
-// second after that, and asked again on a new connection.
+// Returns how long a poll may stay open so that changes are known within the bound: leaves time to
+// detect a lost answer or a dead connection and to poll again on a new connection.
 Duration pollWaitWithin(Duration bound);
-// The same for leaving servers: they are given half a second less than they have, and use is made
-// of them until as long after their word as a question may have been open.
+// The same for servers that are leaving: leaves a leaving primary the time to be replaced before
+// its leave time ends.
 Duration pollWaitForLeaving(Duration leaveTime);
 
 } // namespace kelptally::decision
--- a/src/decision/relaychoice.cpp
+++ b/src/decision/relaychoice.cpp
@@ -7,9 +7,8 @@
 
 namespace {
 
-// Parts of the time for which a question of a host of its own stays open. A teller's news are 0.4
-// of it old at most, and a listener's 0.9 before it asks; the whole time is known to hold the
-// bounds.
+// Fractions of the poll wait of a host without relays. minAgeFraction + ageFractionSpread must stay
+// below 1, so that a subscriber polls before such a host would.
 constexpr double relayWaitFraction = 0.4;
 constexpr double minAgeFraction = 0.65;
 constexpr double ageFractionSpread = 0.25;
@@ -19,13 +18,13 @@
 constexpr Duration maxDiscoveryWait = std::chrono::seconds(5);
 constexpr Duration minPollWait = std::chrono::milliseconds(500);
 
-// FNV-1a: the same on every host, whatever it was built with.
+// FNV-1a: unlike std::hash, the same in every build.
 std::uint64_t hashOf(const std::string &text)
 {
     std::uint64_t hash = 14695981039346656037ull;
     for (const char c : text)
         hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ull;
-    // Its low bits alone differ little between addresses that differ in their last digit.
+    // Mixes the bits, as addresses that differ in the last digit have similar hashes.
     return hash ^ hash >> 29;
 }
 
@@ -63,7 +62,7 @@
 std::vector<std::string> RelayOrder::choose(const std::string &zone, std::size_t count,
                                             const std::set<std::string> &avoided) const
 {
-    // 1. The first ones of each zone, no more than are wanted.
+    // 1. The first `count` candidates of each zone.
     struct Candidate
     {
         std::tuple<bool, bool, std::uint64_t> rank;
@@ -80,7 +79,7 @@
             candidates.push_back({{!isFirst, name != zone, hashOf(zone + "/" + address)}, address});
         }
     }
-    // 2. Of these the first ones for this zone.
+    // 2. Of these the first `count` in the order for this zone.
     std::sort(candidates.begin(), candidates.end(), [](const Candidate &a, const Candidate &b) {
         return std::tie(a.rank, a.address) < std::tie(b.rank, b.address);
     });
--- a/src/host/hosthttphandler.cpp
+++ b/src/host/hosthttphandler.cpp
@@ -72,7 +72,7 @@
         return reply->send(caller::jsonResponse(configuration()));
     if (request.method == HttpMethod::Post && request.path == "/admin/v1/drain")
         return drain(request.body, reply);
-    refuse(reply, Reason::UnknownPath, "a host takes status, configuration and drain only");
+    refuse(reply, Reason::UnknownPath, "a host serves only status, configuration and drain");
 }
 
 void HostHttpHandler::refuse(const caller::HttpReplyPtr &reply, Reason reason,
@@ -82,14 +82,15 @@
     reply->send(caller::problemResponse(caller::makeProblem(reason, detail)));
 }
 
-// Only the host that is asked: each is stopped by itself.
+// Drains this host only; the body must name it.
 void HostHttpHandler::drain(const std::string &body, const caller::HttpReplyPtr &reply)
 {
     const auto json = parseJson(body);
     const std::string host = json.ok() ? json->textOf("host") : std::string();
     if (host != parts_.process.host())
         return refuse(reply, Reason::MalformedRequest,
-                      "this is host " + parts_.process.host() + "; name it, or ask the other one");
+                      "this is host " + parts_.process.host()
+                          + "; call the host that is to be drained");
     parts_.log.info("operator_drain").with("already", parts_.process.isDraining());
     JsonWriter answer;
     answer.beginObject().key("processes").beginArray().beginObject();
@@ -121,7 +122,7 @@
     return admin::statusToJson(status, version, [](const GroupName &) { return true; });
 }
 
-// The routes as this host serves them; the operator's own document has more fields than it needs.
+// Returns the routes in force. Fields of the original document that a host doesn't use are absent.
 std::string HostHttpHandler::configuration() const
 {
     const session::Catalogue *catalogue = parts_.process.catalogue();
--- a/src/host/hosthttphandler.h
+++ b/src/host/hosthttphandler.h
@@ -8,9 +8,9 @@
 
 namespace kelptally::host {
 
-// What balancers and operators ask a host over HTTP: readiness, metrics, and the operators' calls
-// that make sense for one host. The paths and documents are those of the administration API, so
-// that kelptallyctl works here, too.
+// Serves a host's HTTP endpoints: health, readiness, metrics and the administration calls that
+// apply to a single host. Paths and documents are those of the administration API, so kelptallyctl
+// works against a host, too.
 class HostHttpHandler : public caller::HttpHandler
 {
 public:
@@ -19,9 +19,9 @@
         HostProcess &process;
         Metrics &metrics;
         EventLog &log;
-        // Where the balancer asks, besides /readyz.
+        // Path of the balancer's readiness check, in addition to /readyz.
         std::string readinessPath;
-        // SHA-256 of the operators' key; empty: their calls are refused.
+        // SHA-256 of the operators' key; when empty, administration calls are refused.
         std::string operatorKeyHash;
         // Stops the process as SIGTERM does.
         std::function<void()> stop;
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -11,23 +11,21 @@
 
 namespace {
 
-// A balancer asks once a second and takes a process out after two misses: until then new callers
-// still come.
+// Time until the balancer has seen the host as not ready twice and sends it no more callers.
 constexpr Duration balancerDetectionTime = std::chrono::milliseconds(2300);
 constexpr Duration drainStepPeriod = std::chrono::milliseconds(50);
-// Idle sessions closed in one step, so that their callers don't all come back in one instant.
+// Limit of idle sessions closed in one step, so that their callers don't all reconnect at once.
 constexpr std::size_t maxClosedPerStep = 20;
-// A statement that begins less than this before the end of the grace may not end within it.
+// Statements are refused this long before the end of the grace period, as they may not finish.
 constexpr Duration statementReserve = std::chrono::milliseconds(2300);
-// A server that is well accepts a connection within this time, from any zone.
+// A reachable server accepts a connection within this time from any zone.
 constexpr Duration reachabilityTimeout = std::chrono::milliseconds(150);
-// Opening a connection to the store took 1 to 3 ms where it was measured.
 constexpr Duration storeProbeTimeout = std::chrono::milliseconds(150);
-// So many other processes are asked who owns a group, and to take one, by one message. An owner has
-// links with all hosts, and each of their entries may ask in the moment in which an owner is lost.
+// Limits of the peers that receive one request to locate or to take over a group, as many hosts may
+// send one when an owner is lost.
 constexpr std::size_t maxLocateRecipients = 8;
 constexpr std::size_t maxTakeOverRecipients = 24;
-// Left of the grace when the process ends in any case.
+// Reserve at the end of the grace period; the process stops then in any case.
 constexpr Duration shutdownReserve = std::chrono::milliseconds(700);
 
 } // namespace
@@ -108,7 +106,7 @@
     return peer != host_.peers_.end() && peer->second.zone == host_.settings_.zone;
 }
 
-// Others get the next message, so that all come by turns.
+// Sends to at most maxRecipients peers, in rotation over all links.
 void HostProcess::sendToSomePeers(std::size_t maxRecipients, const inner::Message &message)
 {
     auto next = linkAddresses_.upper_bound(lastAskedLink_);
@@ -121,7 +119,7 @@
     }
 }
 
-// Owners are the ones that tell others: whoever sends statements has links with them anyway.
+// Owners are the relay candidates, as hosts that send statements are linked with them anyway.
 void HostProcess::onOwnerChanged(const GroupName &group)
 {
     router_->onOwnerChanged(group);
@@ -154,7 +152,7 @@
         .with("routes", std::uint64_t(catalogue_.get()->routes.size()))
         .with("keys", std::uint64_t(catalogue_.get()->keys.size()));
     groups_->setCatalogue(catalogue_.shared());
-    // The servers of a group are told once somebody has a use for them.
+    // Servers that were listed before the configuration named their group are reported again.
     for (const auto &[group, options] : catalogue_.get()->groups) {
         if (before && before->groups.count(group) != 0)
             continue;
@@ -163,8 +161,7 @@
     }
 }
 
-// Anybody may write an entry: one for a group that no configuration names is kept, and used only
-// once one does.
+// Servers of a group that the configuration doesn't name are kept, but not used until it does.
 bool HostProcess::isNamed(const GroupName &group) const
 {
     return catalogue_.get() != nullptr && catalogue_.get()->groups.count(group) != 0;
@@ -185,8 +182,7 @@
 void HostProcess::onServerRefused(const ServerName &server, const FieldError &error)
 {
     ports_.metrics
-        .counter("kelptally_server_entries_refused_total",
-                 "Entries of servers that can't be understood",
+        .counter("kelptally_server_entries_refused_total", "Invalid entries of servers",
                  {{"reason", fieldFaultName(error.fault)}})
         .Increment();
     ports_.log.warning("server_entry_refused", fieldFaultName(error.fault))
@@ -195,7 +191,7 @@
     serverList_.onMissing(server);
 }
 
-// A group whose primary is near gets its owner before the first statement asks for one.
+// Claims a group with its primary in this zone before the first statement needs an owner.
 void HostProcess::claimIfPrimaryInZone(const GroupName &group)
 {
     const auto zone = primaryZones_.find(group);
@@ -262,17 +258,17 @@
 void HostProcess::drainStep()
 {
     const Duration passed = ports_.timers.now() - drainBegan_;
-    // 1. Groups go to others at once; callers go on coming until the balancer has noticed.
+    // 1. Groups are handed over at once; callers are accepted until the balancer has noticed.
     groups_->handOverAll(peers_);
-    // 2. Then sessions end between operations.
+    // 2. Then idle sessions are closed.
     if (passed >= balancerDetectionTime) {
         callers_->stopAccepting();
         callers_->closeIdle(maxClosedPerStep);
     }
-    // 3. What begins so late could not end in time.
+    // 3. Statements that could not finish in time are refused.
     if (passed >= settings_.grace - statementReserve)
         router_->stopTaking();
-    // 4. The end: nothing is left, or the grace nearly is.
+    // 4. Ends when nothing is left or the grace period is nearly over.
     const bool empty = passed >= balancerDetectionTime && callers_->count() == 0
         && groups_->isQuiet() && router_->inProgress() == 0;
     if (!empty && passed < settings_.grace - shutdownReserve) {
@@ -285,8 +281,7 @@
     whenDrained_();
 }
 
-// Idle connections that may have gone silent with the one that was noticed must not take the next
-// statements.
+// Closes idle connections unused since then, as they may be broken like the one that fell silent.
 void HostProcess::closeStaleConnections(Instant since)
 {
     groups_->dropIdle(since);
@@ -298,9 +293,10 @@
     Metrics &metrics = ports_.metrics;
     metrics.gauge("kelptally_sessions", "Callers' sessions that are open")
         .Set(double(callers_->count()));
-    metrics.gauge("kelptally_statements_in_progress", "Statements of this entry without an answer")
+    metrics
+        .gauge("kelptally_statements_in_progress", "Statements from callers of this host in flight")
         .Set(double(router_->inProgress()));
-    metrics.gauge("kelptally_statements_queued", "Statements that wait in groups owned here")
+    metrics.gauge("kelptally_statements_queued", "Statements queued in groups owned by this host")
         .Set(double(groups_->queued()));
     metrics.gauge("kelptally_groups_owned", "Groups that this process owns")
         .Set(double(groups_->ownership().owned().size()));
@@ -339,7 +335,7 @@
             metrics.gauge("kelptally_owner_connections", "Open connections to a server", labels),
             server.connectionsOpen);
         setGroupGauge(metrics.gauge("kelptally_owner_replica_age_seconds",
-                                    "How far a replica is behind", labels),
+                                    "Replication lag of a replica", labels),
                       toMilliseconds(server.lag) / 1000);
     }
 }
@@ -355,7 +351,7 @@
         static_cast<void>(links_->sendOn(link, inner::Stopping {self_}));
     groups_->onPeerUp(link, peer);
     groups_->ownership().onPeerUp(peer.process);
-    // The other end's link to this process says nothing of the one from here.
+    // Only for the link dialled here; a link dialled by the peer doesn't prove that one is up.
     if (links_->linkTo(peer.process.address) == link) {
         router_->onLinkUp(peer.process);
         tableRelay_.onLinkUp(peer.process.address);
@@ -364,7 +360,7 @@
 
 void HostProcess::onPeerMessage(inner::LinkId link, inner::Message message)
 {
-    // Answers come on the link that was dialled here.
+    // Answers come on the link dialled here.
     const auto address = linkAddresses_.find(link);
     const bool isAnswer = std::holds_alternative<inner::StatementDone>(message)
         || std::holds_alternative<inner::AliveAnswer>(message);
@@ -448,7 +444,7 @@
                                                           record->epoch, record->owner.address}));
 }
 
-// The answer names the owner's address only; its run is known when it is the one that answers.
+// The answer has the owner's address only; its incarnation is known if the owner itself answers.
 void HostProcess::handle(inner::LinkId, inner::LocateAnswer &message)
 {
     const bool itself = message.owner == message.from.address;
--- a/src/host/hostprocess.h
+++ b/src/host/hostprocess.h
@@ -18,38 +18,38 @@
 
 namespace kelptally::host {
 
-// What the process asks of whatever accepts callers' connections.
+// Accepts callers' connections and holds their sessions.
 class CallerConnections
 {
 public:
     virtual ~CallerConnections() = default;
 
     virtual void stopAccepting() = 0;
-    // Closes the sessions that have neither a statement nor a transaction open, at most so many.
+    // Closes at most maxCount sessions that have neither a statement nor a transaction open.
     virtual void closeIdle(std::size_t maxCount) = 0;
     virtual std::size_t count() const = 0;
 };
 
-// Entry and owner in one process, on one thread: callers' sessions, the groups that it owns, and
-// the links to the other processes. Everything is called on the duty thread, or before it starts.
+// A host's process: callers' sessions, the groups that it owns, and the links to other processes.
+// Methods must be called on the duty thread or before it starts.
 class HostProcess : public inner::PeerEvents
 {
 public:
-    // Makes the links to other processes; called once, at the start.
+    // Creates the links to other processes; called once by start().
     using MakeLinks = std::function<absl::StatusOr<std::unique_ptr<inner::PeerLinks>>(
         const ProcessId &self, std::function<ConfigVersion()> configVersion,
         inner::PeerEvents &events)>;
 
     struct Ports
     {
-        // Tells this run of the process from every other at its address.
+        // Distinguishes this run of the process from others at the same address.
         Incarnation incarnation = 0;
         TimerService &timers;
         MakeLinks makeLinks;
         group::FailoverController::Prober probe;
         services::TableService &table;
         services::TableFeed &feed;
-        // Ends all calls that are open at the two, and closes their connections.
+        // Fails all open calls to `table` and `feed` and closes their connections.
         std::function<void()> cancelStoreCalls;
         group::ServerConnector &connector;
         group::PromotionService &promotions;
@@ -60,50 +60,50 @@
     HostProcess(const settings::HostSettings &settings, const Ports &ports);
     ~HostProcess() override;
 
-    // Fails when the links cannot listen.
+    // Returns an error when the links can't listen.
     absl::Status start(CallerConnections &callers);
 
-    // A configuration was read; older ones are ignored.
+    // Installs a configuration; one older than the current one is ignored.
     void onCatalogue(session::CataloguePtr catalogue);
     group::ServerList &servers() { return serverList_; }
-    // A server's entry that can't be understood names no server.
+    // Handles an invalid server entry: the server counts as missing.
     void onServerRefused(const ServerName &server, const FieldError &error);
 
-    // The changes of the table service's tables, as few hosts ask for them and tell the others.
+    // Changes of the table service's tables, from relays or by polling.
     services::TableFeed &feed() { return tableRelay_; }
 
     struct OpenedSession
     {
-        // Null when it is refused.
+        // Null when refused.
         std::shared_ptr<session::CallerSession> session;
         Reason refused = Reason::None;
     };
 
-    // Refused when the configuration has no such database, or no organisation has the key.
+    // Refuses unknown databases and, where a key is required, keys of no organisation.
     OpenedSession openSession(const std::string &database, const Sha256Digest &key,
                               session::SessionOutput &output);
-    // Whether anything is known yet, so that unknown databases can be told from early callers.
+    // Whether a configuration has been read; before that every database is unknown.
     bool hasCatalogue() const { return catalogue_.get() != nullptr; }
 
     session::Router &router() { return *router_; }
     group::GroupHost &groups() { return *groups_; }
 
-    // Empty when the balancer should send callers here, else why not.
+    // Empty when the host is ready for callers, else the reason why not.
     std::string notReady() const;
 
-    // Takes over the grace of a stop and the time that leaving servers have.
+    // Applies the settings that may change at run time: grace and server-leave-time.
     void reload(const settings::HostSettings &settings);
 
-    // Graceful stop: calls back when nothing is left, or the grace is nearly over.
+    // Starts a graceful stop; calls back when it is complete or the grace period is nearly over.
     void drain(std::function<void()> whenDone);
 
     const HostName &host() const { return settings_.host; }
     const ProcessId &self() const { return self_; }
-    // Null before the first one.
+    // Null before the first configuration.
     const session::Catalogue *catalogue() const { return catalogue_.get(); }
     bool isDraining() const { return draining_; }
 
-    // Brings gauges up to date before the metrics are read.
+    // Updates the gauges before the metrics are read.
     void collect();
 
     // PeerEvents
@@ -147,7 +147,7 @@
     settings::HostSettings settings_;
     const Ports ports_;
     const ProcessId self_;
-    // The links as the news of tables use them.
+    // The links as TableRelay uses them.
     class RelayLinks : public TableRelay::Links
     {
     public:
@@ -186,9 +186,9 @@
     std::unique_ptr<session::Router> router_;
     CallerConnections *callers_ = nullptr;
     std::map<inner::LinkId, std::string> linkAddresses_;
-    // The last one that was asked for something that any may answer.
+    // Last link used by sendToSomePeers().
     inner::LinkId lastAskedLink_ = 0;
-    // Processes that a link is up with and that are not being stopped.
+    // Linked processes that are not stopping, by address.
     std::map<std::string, inner::Hello> peers_;
     std::map<GroupName, ZoneName> primaryZones_;
     std::uint64_t lastSession_ = 0;
@@ -196,7 +196,7 @@
     bool lastReady_ = false;
     Instant drainBegan_ {};
     std::function<void()> whenDrained_;
-    // Gauges of groups and servers that were set last; they go down with their group.
+    // Gauges of groups and servers set by the last collect(), which the next one resets.
     std::vector<prometheus::Gauge *> groupGauges_;
 };
 
--- a/src/host/tablerelay.cpp
+++ b/src/host/tablerelay.cpp
@@ -11,25 +11,25 @@
 
 namespace {
 
-// Each host listens to so many: one may die without anybody asking the service.
+// With two relays per host the loss of one doesn't make its subscribers poll the service.
 constexpr std::size_t relaysPerHost = 2;
-// Rows that are gone are kept for listeners that are behind; those further behind read the table.
+// Removed rows kept for subscribers that lag; those further behind read from the service.
 constexpr std::size_t maxTombstones = 256;
-// The history is gone through once it has grown by so much, at least to twice its length.
+// The history is compacted when it exceeds twice its last compacted length by this many changes.
 constexpr std::size_t compactionGrowth = 256;
-// Of a large row, for listeners that know one of its last versions.
+// Changes of one large row that are kept with their differences.
 constexpr int maxDifferencesPerRow = 8;
-// A host that finds no teller looks once more before it follows the tables itself.
+// Polls of the candidate table before a host without relays follows all tables itself.
 constexpr int maxDiscoveryPolls = 2;
-// The service's clock went back by more than answers overtake each other: it is another one.
+// A step back of the service's clock beyond this is a clock reset, not a reordered answer.
 constexpr Duration clockResetThreshold = std::chrono::seconds(30);
-// A teller that told nothing is not listened to for so long.
+// How long a silent relay is excluded from the choice.
 constexpr Duration relayAvoidTime = std::chrono::seconds(15);
 
-// A host without room waits so long for the first look at the owners, and for each part of a table.
+// Limits of the wait for a snapshot from a relay: until a relay is known, and for each part.
 constexpr Duration maxRelayDiscoveryTime = std::chrono::seconds(7);
 constexpr Duration maxRelaySilence = std::chrono::milliseconds(1200);
-// Rows of fewer bytes are told whole: a difference would save little.
+// Smaller rows are always sent whole.
 constexpr std::size_t minLargeRowBytes = 2u << 10;
 
 services::RowChange toChange(const inner::TableUpdateRow &row, Duration serviceTime)
@@ -69,9 +69,9 @@
     *alive_ = false;
 }
 
-// What the follower of a table asks
+// Requests of the local follower
 
-// Hosts with room for groups, and tellers, read from the service; the others wait for a teller.
+// Relays and hosts that can own groups read from the service; the others wait for a relay.
 void TableRelay::snapshot(const std::string &table, services::SnapshotCallback callback)
 {
     if (parts_.hasCapacity || table == parts_.candidateTable || isRelay())
@@ -111,7 +111,7 @@
                                       });
 }
 
-// Waiting for a teller
+// Snapshots from a relay
 
 void TableRelay::startSnapshotTimer(const std::string &table, Duration limit)
 {
@@ -129,7 +129,7 @@
     return relay != relays_.end() && relay->second.isPreferred;
 }
 
-// One table after the other; they come in parts.
+// Requests the next part of each pending table.
 void TableRelay::requestSnapshots(const std::string &address)
 {
     if (!isPreferredRelay(address))
@@ -154,7 +154,7 @@
 void TableRelay::onSnapshotPart(const std::string &from, const inner::TableUpdate &update)
 {
     PendingSnapshot &pending = pendingSnapshots_.at(update.table);
-    // The answer to an earlier question.
+    // Ignores an answer to an earlier request.
     if (!isPreferredRelay(from) || update.after != pending.upTo)
         return;
     if (update.rowsOmitted)
@@ -209,7 +209,7 @@
     readSnapshot(table, std::move(callback));
 }
 
-// All rows, for listeners that know nothing yet.
+// Fills the history with all rows, so that new subscribers can be served from it.
 void TableRelay::resetHistory(Table &table, const services::TableSnapshot &snapshot)
 {
     table.isKnown = true;
@@ -264,7 +264,7 @@
     });
 }
 
-// Whether to ask the service
+// Polls of the service
 
 Instant TableRelay::pollDueAt(const Table &table) const
 {
@@ -276,7 +276,7 @@
         return confirmationLimit;
     if (discoveryDone_)
         return Instant::min();
-    // Nobody is known yet. The leading table is asked first, as it may name somebody.
+    // No relay is known yet: the candidate table is polled first, as it may name one.
     if (table.name != parts_.candidateTable)
         return confirmationLimit;
     Duration shortest = table.wait;
@@ -292,14 +292,14 @@
     if (!table.hasRequest)
         return;
     const Instant now = parts_.timers.now();
-    // 1. A teller asks all the time, in short questions.
+    // 1. A relay always has a short poll open.
     if (isRelay()) {
         const Duration wait = decision::relayPollWait(table.wait);
         if (table.pendingPoll == 0 || table.pendingPollWait > wait)
             startPoll(table, wait, "teller");
         return;
     }
-    // 2. Anybody else when something is missing.
+    // 2. Any other host polls when rows are missing or its state is too old.
     if (table.pendingPoll != 0 && !(table.needsPoll && table.pendingPollWait > Duration(0)))
         return;
     const Instant due = pollDueAt(table);
@@ -333,8 +333,7 @@
 {
     parts_.metrics
         .counter("kelptally_table_questions_total",
-                 "Questions for changes to the table service, by why this host asks itself",
-                 {{"reason", why}})
+                 "Polls of the table service for changes, by reason", {{"reason", why}})
         .Increment();
     const bool isRoutine = isRelay();
     parts_.log.line(isRoutine ? LogLevel::Debug : LogLevel::Info, "table_asked", why)
@@ -359,7 +358,7 @@
     if (table.pendingPoll == poll)
         table.pendingPoll = 0;
     if (!answer.ok()) {
-        // The follower reads the whole table, or asks again.
+        // The follower reads a new snapshot or repeats its request.
         table.isKnown = false;
         if (!table.hasRequest)
             return;
@@ -375,23 +374,23 @@
     confirm(table, answer->serviceTime);
     publish(table);
     deliver(table);
-    // Tellers that the leading table has named are chosen before anything else is asked for.
+    // Deferred so that relays named by the candidate table are chosen before the next poll.
     const bool isCandidateTable = table.name == parts_.candidateTable;
     parts_.timers.subscribeAt(parts_.timers.now(), [this, alive = alive_, isCandidateTable] {
         if (!*alive)
             return;
         discoveryDone_ =
             discoveryDone_ || (isCandidateTable && discoveryPolls_ >= maxDiscoveryPolls);
-        // Nobody owns a group yet, or none that could tell.
+        // The candidate table names no usable relay.
         if (isCandidateTable && relays_.empty())
             readAllPendingFromService();
         pollDueTables();
     });
 }
 
-// What is known
+// History
 
-// As the service has told it. Only who tells others needs the difference.
+// Converts a row from the service. Only relays compute the difference.
 TableRelay::Change TableRelay::changeOf(const Table &table, const services::RowChange &row) const
 {
     Change change;
@@ -408,7 +407,7 @@
     return change;
 }
 
-// Rows that are known already are left out; those that are new follow without a gap.
+// Appends the changes after table.upTo; they must follow it without a gap.
 void TableRelay::appendChanges(Table &table, std::vector<Change> changes, std::uint64_t upTo)
 {
     for (Change &change : changes) {
@@ -427,8 +426,8 @@
         compactHistory(table);
 }
 
-// Takes out what a later change of the same row has superseded, so that the history is as long as
-// the table and not as its past. Large rows keep a chain of differences while it is short.
+// Removes superseded changes, so that the history is bounded by the size of the table. The last
+// differences of a large row and the last removed rows are kept.
 void TableRelay::compactHistory(Table &table)
 {
     std::set<std::string> seen;
@@ -460,8 +459,8 @@
                             });
 }
 
-// The service's clock runs as this host's does, and the fastest news so far bound how far apart
-// they are.
+// Records that the table is current as of serviceTime. The smallest offset seen between the two
+// clocks converts it to local time, so that transit time never makes the state look newer.
 void TableRelay::confirm(Table &table, std::optional<Duration> serviceTime)
 {
     const Instant now = parts_.timers.now();
@@ -479,7 +478,7 @@
     table.confirmedAt = std::min(now, Instant(*serviceTime + *clockOffset_));
 }
 
-// Of a large row only the newest value is there, and no other is needed.
+// Of a large row only the newest value is returned.
 std::vector<services::RowChange> TableRelay::changesAfter(const Table &table,
                                                           std::uint64_t version) const
 {
@@ -498,7 +497,8 @@
     return changes;
 }
 
-// An answer without rows is one, too: it tells the follower how old its knowledge is.
+// Answers the open request, also without changes: serviceTime tells the follower up to when its
+// state is current.
 void TableRelay::deliver(Table &table)
 {
     if (!table.hasRequest)
@@ -513,7 +513,7 @@
     callback(std::move(changes));
 }
 
-// Listening
+// Updates from relays
 
 void TableRelay::onUpdate(const std::string &from, const inner::TableUpdate &update)
 {
@@ -524,7 +524,7 @@
     if (found == tables_.end() || relay == relays_.end())
         return;
     Table &table = found->second;
-    // Told late, or by a host that has heard nothing since.
+    // A late update, or one from a relay that is behind.
     if (table.serviceTime && update.serviceTime < *table.serviceTime)
         return;
     if (!table.serviceTime || *table.serviceTime < update.serviceTime)
@@ -548,7 +548,7 @@
     requestNextPart(from, table.name, table.upTo);
 }
 
-// Nothing when a row is told as a difference from a value that is not known here.
+// Returns nothing when the base version of a difference is not available.
 std::optional<std::vector<TableRelay::Change>>
 TableRelay::decodeChanges(const Table &table, const inner::TableUpdate &update) const
 {
@@ -586,7 +586,7 @@
 
 void TableRelay::schedulePoll(Table &table)
 {
-    // The teller that tells rows gets a moment, too.
+    // Leaves the preferred relay time to send the rows.
     const Duration spread = table.wait / spreadDivisor;
     if (!table.needsPoll)
         table.pollAt = parts_.timers.now() + spread
@@ -663,8 +663,8 @@
     pollDueTables();
 }
 
-// One that is dead, cut off or without the service tells nothing; the next in order takes its
-// place.
+// Replaces relays without updates for `limit`: they are down, unreachable or cut off from the
+// service.
 void TableRelay::replaceSilentRelays(Duration limit)
 {
     const Instant now = parts_.timers.now();
--- a/src/host/tablerelay.h
+++ b/src/host/tablerelay.h
@@ -17,16 +17,16 @@
 
 namespace kelptally::host {
 
-// The changes of the table service's tables as one host hears them. Few hosts, the tellers, ask the
-// service; the others listen to them over the links between hosts, and ask for themselves only when
-// what they have heard is too old to prove that nothing has changed since.
+// Distributes changes of the table service's tables. A few hosts, the relays, poll the service and
+// forward updates to the other hosts, their subscribers, over the links between hosts. A subscriber
+// polls the service itself only when its last confirmed state is too old.
 //
-// Every host still judges by itself: news count by their version, and prove something only with the
-// service's own clock beside it. Late news, and such as overtake each other, change nothing.
+// Updates are ordered by version, and the service's clock in an update tells up to when it is
+// current, so late, duplicate and reordered updates are harmless.
 class TableRelay : public services::TableFeed
 {
 public:
-    // How the hosts reach each other.
+    // Connections to other hosts.
     class Links
     {
     public:
@@ -36,7 +36,7 @@
         virtual void drop(const std::string &address) = 0;
         virtual absl::Status sendTo(const std::string &address, inner::Message message) = 0;
         virtual absl::Status sendOn(inner::LinkId link, inner::Message message) = 0;
-        // Whether the other end is in this host's zone, where bytes cost nothing.
+        // Whether the peer is in this host's zone; traffic across zones is charged.
         virtual bool isSameZone(inner::LinkId link) const = 0;
     };
 
@@ -49,11 +49,11 @@
         Metrics &metrics;
         std::string self;
         std::string zone;
-        // The table that tells who may be a teller.
+        // The table whose rows name the hosts that may be relays.
         std::string candidateTable;
-        // This host has room for groups, so that it should claim some at a cold start.
+        // Whether this host can own groups; it then reads tables from the service at its start.
         bool hasCapacity = true;
-        // Between 0 and 1, another one each time and for each host.
+        // Returns a random number from 0 to 1.
         std::function<double()> draw;
     };
 
@@ -64,26 +64,26 @@
     void changes(const std::string &table, std::uint64_t after, Duration wait,
                  services::ChangesCallback callback) override;
 
-    // The hosts that may be tellers, as far as they are known; called again when they change. They
-    // stay where they are.
+    // Sets the hosts that may be relays and chooses among them; to be called again after each
+    // change of the order. The object must outlive this one.
     void setCandidates(const decision::RelayOrder &candidates);
 
     void onLinkUp(const std::string &address);
     void onLinkDown(inner::LinkId link);
-    // From a listener, and from a teller.
+    // Handles a message from a subscriber (onSubscribe) or from a relay (onUpdate).
     void onSubscribe(inner::LinkId link, const inner::SubscribeTables &request);
     void onUpdate(const std::string &from, const inner::TableUpdate &update);
 
-    // Whether this host asks the service for itself and others.
+    // Whether this host polls the service on behalf of others.
     bool isRelay() const { return isChosenRelay_ || !subscribers_.empty(); }
 
 private:
-    // A change as it is kept for listeners. The value of a large row stands in Table::large.
+    // A change in the history. The value of a large row is in Table::largeRows.
     struct Change
     {
         services::RowChange row;
         bool isLarge = false;
-        // As in inner::TableUpdateRow; empty when no difference is known.
+        // As in inner::TableUpdateRow; 0 and empty when there is no difference.
         std::uint64_t baseVersion = 0;
         std::string difference;
     };
@@ -95,30 +95,30 @@
     struct Table
     {
         std::string name;
-        // The newest state of each row that changed after the first version, up to the second, is
-        // in the history, by version. After a snapshot that are all rows.
+        // The history holds, ordered by version, the newest state of each row that changed after
+        // the version `from`, up to `upTo`. Meaningful when isKnown is set.
         bool isKnown = false;
         std::uint64_t from = 0;
         std::uint64_t upTo = 0;
         std::deque<Change> history;
-        // The history has all rows.
+        // Whether the history started from a snapshot and so holds every row.
         bool hasAllRows = false;
-        // Its length when superseded changes were taken out last.
+        // Length of the history after its last compaction.
         std::size_t compactedSize = 0;
-        // The newest value of each large row, from which the next one differs.
+        // Newest value of each large row; the base of the next difference.
         std::map<std::string, LargeRow> largeRows;
-        // The service's clock at the newest proof, and the same moment by this host's.
+        // When the table was last confirmed current, by the service's clock and by this host's.
         std::optional<Duration> serviceTime;
         Instant confirmedAt {};
-        // Its follower's question.
+        // The local follower's open request.
         bool hasRequest = false;
         std::uint64_t after = 0;
         Duration wait {0};
         services::ChangesCallback callback;
-        // The newest question to the service, while it is under way, and how long it may stay open.
+        // Newest poll of the service in flight, 0 if none, and how long it may stay open.
         std::uint64_t pendingPoll = 0;
         Duration pendingPollWait {0};
-        // Something has changed up to a version that was not told.
+        // Set when changes up to neededVersion must be read from the service at pollAt.
         bool needsPoll = false;
         std::uint64_t neededVersion = 0;
         Instant pollAt {};
@@ -127,7 +127,7 @@
     };
     struct Subscriber
     {
-        // Tables and the version that each was told.
+        // Version up to which each subscribed table has been sent.
         std::map<std::string, std::uint64_t> sentVersions;
         bool withRows = true;
         bool acceptsParts = false;
@@ -135,11 +135,11 @@
     struct RelayState
     {
         Instant lastUpdateAt {};
-        // The one that tells rows, too.
+        // The relay that is asked for rows; the others only announce versions.
         bool isPreferred = false;
     };
 
-    // A table that this host has not read yet, and waits for from its teller.
+    // The first snapshot of a table while it is being received from the preferred relay.
     struct PendingSnapshot
     {
         services::SnapshotCallback callback;
@@ -148,15 +148,15 @@
         TimerId timer = 0;
     };
 
-    // Listeners that must read, and tellers that have much to tell, spread it over this part of the
-    // time for which a question stays open.
+    // Polls by subscribers that miss rows, and large updates by relays, are spread over the poll
+    // wait divided by this.
     static constexpr int spreadDivisor = 8;
 
     static std::uint64_t versionOf(const services::TableRow &row);
     static std::size_t sizeOf(const Change &change);
     static bool isLarge(const services::TableRow &row);
 
-    // The first reading of a table, from the service or from the teller.
+    // First snapshot of a table, from the service or from a relay.
     void readSnapshot(const std::string &table, services::SnapshotCallback callback);
     void onSnapshot(const std::string &table, const services::TableSnapshot &snapshot);
     void startSnapshotTimer(const std::string &table, Duration limit);
@@ -201,19 +201,19 @@
     const Parts parts_;
     std::map<std::string, Table> tables_;
     std::map<std::string, PendingSnapshot> pendingSnapshots_;
-    // Tables that are being read from the service.
+    // Tables whose snapshot is being read from the service.
     std::set<std::string> readingTables_;
     const decision::RelayOrder *candidates_ = nullptr;
-    // Tellers that this host listens to, and when each was heard.
+    // Relays to which this host is subscribed.
     std::map<std::string, RelayState> relays_;
-    // Tellers that told nothing, until when another is taken.
+    // Relays that fell silent, and until when they are excluded from the choice.
     std::map<std::string, Instant> avoidedUntil_;
     bool isChosenRelay_ = false;
     std::map<inner::LinkId, Subscriber> subscribers_;
     std::optional<Duration> clockOffset_;
     const double discoveryDraw_;
     const Instant startedAt_;
-    // How often the leading table was asked for tellers, and whether their lack is real.
+    // Polls of the candidate table to find relays, and whether that search has ended.
     int discoveryPolls_ = 0;
     Instant lastDiscoveryAt_ {};
     bool discoveryDone_ = false;
--- a/src/host/tablerelaypublisher.cpp
+++ b/src/host/tablerelaypublisher.cpp
@@ -2,20 +2,20 @@
 
 #include <algorithm>
 
-// What a teller does for those that listen to it.
+// The part of TableRelay that sends updates to subscribers.
 namespace kelptally::host {
 
 namespace {
 
-// Rows of more bytes are told in parts of about this size, each once its listener has had the one
-// before, or read by a listener that takes no parts: on links of 20 Mbit/s 50 listeners get 32 KB
-// within 0.7 s.
+// Larger updates are sent in parts of about this size, each requested by the subscriber after the
+// one before, so that a relay's link is never filled. A subscriber that accepts no parts reads the
+// rows from the service.
 constexpr std::size_t maxPartBytes = 32u << 10;
-// Of a table that a listener reads for the first time.
+// Limit for one row of a first snapshot, which goes to one subscriber at a time.
 constexpr std::size_t maxSnapshotRowBytes = 512u << 10;
-// Where bytes cross zones a call for reading is dearer than this, and cheaper than more.
+// Beyond this, a subscriber's own read costs less than the traffic between zones.
 constexpr std::size_t maxCrossZoneBytes = 16u << 10;
-// More than this goes out spread over time.
+// Larger updates are spread over time.
 constexpr std::size_t maxImmediateBytes = 2u << 10;
 
 } // namespace
@@ -40,14 +40,14 @@
     pollDueTables();
 }
 
-// It is known here, or being read.
+// Whether the table is known or being read.
 bool TableRelay::canProvide(const std::string &table) const
 {
     const auto known = tables_.find(table);
     return (known != tables_.end() && known->second.isKnown) || readingTables_.count(table) != 0;
 }
 
-// Whoever waits for the whole table reads it.
+// Tells a subscriber to read the table from the service.
 void TableRelay::sendRowsOmitted(inner::LinkId link, const std::string &table)
 {
     inner::TableUpdate update;
@@ -56,7 +56,7 @@
     static_cast<void>(parts_.links.sendOn(link, std::move(update)));
 }
 
-// Of rows that some listener has not been told.
+// Size of the changes that some subscriber has not been sent.
 std::size_t TableRelay::pendingBytes(const Table &table) const
 {
     std::uint64_t oldest = table.upTo;
@@ -71,8 +71,8 @@
     return bytes;
 }
 
-// Much news goes out spread over a part of the time that there is, so that it holds up no
-// statement.
+// Sends the table's changes to all subscribers. Large updates are spread over time so that they
+// don't delay statements.
 void TableRelay::publish(const Table &table)
 {
     const bool isSpread = pendingBytes(table) > maxImmediateBytes;
@@ -97,8 +97,9 @@
     }
 }
 
-// A large row goes as its differences from what the listener knows, or else whole; nothing when a
-// later change tells all. Known are the versions of large rows that it will have by then.
+// Sends a large row as a difference if the subscriber has its base, else whole; returns nothing
+// when a later change of the row replaces this one. `known` holds the versions of large rows that
+// the subscriber will have after the rows before this one.
 std::optional<inner::TableUpdateRow>
 TableRelay::makeUpdateRow(const Table &table, const Change &change, const Subscriber &subscriber,
                           std::uint64_t after, std::map<std::string, std::uint64_t> &known)
@@ -125,8 +126,8 @@
     return updateRow;
 }
 
-// A part ends with all rows of one version, as one write changes several. What does not fit into
-// one message, a row included, is left out.
+// A part never splits a version, as one write may change several rows. Rows that exceed the limits
+// are omitted, and the subscriber reads them itself.
 void TableRelay::fillUpdate(inner::TableUpdate &update, const Table &table,
                             const Subscriber &subscriber, bool isSameZone)
 {
@@ -135,7 +136,7 @@
         : isSameZone                                  ? maxPartBytes
                                                       : maxCrossZoneBytes;
     const bool inParts = isSameZone && subscriber.withRows && subscriber.acceptsParts;
-    // A change reaches all listeners at once, a first reading one.
+    // A change goes to all subscribers at once, a first snapshot to one.
     const std::size_t maxRowBytes = update.after == 0 ? maxSnapshotRowBytes : maxPartBytes;
     std::map<std::string, std::uint64_t> known;
     std::size_t bytes = 0;
--- a/src/inner/messages.h
+++ b/src/inner/messages.h
@@ -374,52 +374,52 @@
     bool needsRoom = false;
 };
 
-// One table that the sender follows, and the version up to which it knows it.
+// A subscription to one table, from the version up to which the sender knows it.
 struct TableSubscription
 {
     std::string table;
     std::uint64_t after = 0;
 };
 
-// The sender wants to be told of changes of these tables from now on, instead of asking the table
-// service; an empty list ends that.
+// Subscribes the sender to updates of these tables, instead of polling the table service; an empty
+// list unsubscribes.
 struct SubscribeTables
 {
     std::vector<TableSubscription> tables;
-    // Whether rows are told, too. Another teller does that, and this one tells only that there are
-    // changes.
+    // Whether updates contain rows. If not, they only announce versions, as another relay sends the
+    // rows.
     bool withRows = true;
-    // Whether rows may be told as differences, and in parts.
+    // Whether rows may be sent as differences and updates in parts.
     bool acceptsParts = false;
-    // Asks for what follows a part; tables that are not named stay followed as they are.
+    // Requests the next part of an update; subscriptions to other tables are kept.
     bool isContinuation = false;
 };
 
-// A row that changed, or is gone.
+// A row that was changed or removed.
 struct TableUpdateRow
 {
     std::string key;
     std::string value;
     std::uint64_t version = 0;
     bool removed = false;
-    // The value is a difference (services/textdifference) from that of this earlier version of the
-    // row; 0: it is whole.
+    // If not 0, the value is a difference (services/textdifference) from this earlier version of
+    // the row.
     std::uint64_t baseVersion = 0;
 };
 
-// What the table service has told the sender of one table.
+// Changes of one table, from a relay to a subscriber.
 struct TableUpdate
 {
     std::string table;
-    // The rows are all that changed after the first version, up to the second.
+    // The rows are all that changed after version `after`, up to version `upTo`.
     std::uint64_t after = 0;
     std::uint64_t upTo = 0;
-    // The table service's own clock when it said so.
+    // The table service's clock when it confirmed this state.
     Duration serviceTime {0};
     std::vector<TableUpdateRow> rows;
-    // Changes are left out, as too large: the receiver reads them itself.
+    // The rows are omitted as too large; the receiver reads them from the service.
     bool rowsOmitted = false;
-    // There are more changes after the second version: the service's clock proves nothing yet.
+    // More changes follow after `upTo`, so the table is not yet confirmed as of serviceTime.
     bool isPartial = false;
 };
 
--- a/tests/bench/relay_test.cpp
+++ b/tests/bench/relay_test.cpp
@@ -37,19 +37,19 @@
     CHECK(large.violations == std::vector<std::string>());
     CHECK(large.callsPerSecond < 1.5 * small.callsPerSecond);
     CHECK(large.pollingHosts <= 8);
-    // The whole calm day.
+    // Calls of the whole run.
     CHECK(large.callsAtStart + large.callsAfterStart < 3000);
     CHECK(large.maxCallsPerSecond < 2000);
 }
 
-TEST_CASE("Calm hosts know a change a moment after it is made")
+TEST_CASE("Unaffected hosts know a change soon after it is made")
 {
     const RelayResult result = simulateRelays(planOf(120), 2);
     CHECK(result.maxConfigurationDelay < 1500ms);
     CHECK(result.maxServerDelay < 200ms);
 }
 
-TEST_CASE("Bounds hold on every host when tellers die, stand still or lose the store")
+TEST_CASE("Bounds hold on every host when relays die, freeze or lose the store")
 {
     for (const bool affectsAll : {false, true})
         for (const RelayFaultKind kind :
@@ -64,7 +64,7 @@
         }
 }
 
-TEST_CASE("Bounds hold with few hosts and tight bounds, too")
+TEST_CASE("Tight bounds hold with few hosts")
 {
     for (const int hosts : {1, 2, 3, 8}) {
         CAPTURE(hosts);
@@ -80,7 +80,7 @@
     }
 }
 
-TEST_CASE("Hosts that lose all tellers at once stay under the store's rate")
+TEST_CASE("Hosts that lose all relays at once stay under the store's rate")
 {
     RelayPlan plan = planOf(600);
     plan.groups = 100;
@@ -88,6 +88,6 @@
     plan.faults.push_back({RelayFaultKind::Kill, 20s, 0s, true});
     const RelayResult result = simulateRelays(plan, 3);
     CHECK(result.violations == std::vector<std::string>());
-    // At the start each host reads three tables within 0.3 s; the busiest second is that one.
+    // The maximum is at the start, when each host reads three tables within 0.3 s.
     CHECK(result.maxCallsPerSecond < 2400);
 }
--- a/tests/decision/pollpacer_test.cpp
+++ b/tests/decision/pollpacer_test.cpp
@@ -12,15 +12,15 @@
 
 } // namespace
 
-TEST_CASE("Changes that come by themselves are told at once")
+TEST_CASE("Isolated changes cause no pause")
 {
     PollPacer pacer;
     for (int i = 0; i < 10; ++i)
         CHECK(pacer.pauseAfterChanges(start + i * 1500ms) == Duration(0));
 }
 
-// 24 servers register within four seconds; each answer comes with the next change.
-TEST_CASE("Changes in a row wait for each other")
+// Each of many changes in quick succession must not cost a poll.
+TEST_CASE("Polls during a burst of changes are paused")
 {
     PollPacer pacer;
     int calls = 0;
@@ -29,15 +29,15 @@
         ++calls;
         at += 10ms;
         at += pacer.pauseAfterChanges(start + at);
-        // The next change.
+        // Time of the next change.
         at = (at / 160ms + 1) * 160ms;
     }
-    // 25 without a pause.
+    // Without pauses there would be 25.
     CHECK(calls <= 8);
     CHECK(pacer.pauseAfterChanges(start + at + 2s) == Duration(0));
 }
 
-TEST_CASE("A question stays open for less than what it tells may take")
+TEST_CASE("The wait of a poll is shorter than the bound for its changes")
 {
     CHECK(pollWaitWithin(3s) == 2s);
     CHECK(pollWaitWithin(5s) == 4s);
--- a/tests/decision/relaychoice_test.cpp
+++ b/tests/decision/relaychoice_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("All hosts together listen to one teller for each zone, their own zone's first")
+TEST_CASE("Hosts choose one relay per zone, their own zone's first")
 {
     for (const int count : {6, 20, 200}) {
         const auto all = owners(count, 6);
@@ -44,23 +44,22 @@
     }
 }
 
-TEST_CASE("The order of candidates does not matter, and a zone without any has tellers")
+TEST_CASE("The choice is independent of input order and works for a zone without candidates")
 {
     auto all = owners(12, 3);
     const auto chosen = chooseRelays(all, "elsewhere", 2);
     CHECK(chosen.size() == 2);
     std::reverse(all.begin(), all.end());
     CHECK(chooseRelays(all, "elsewhere", 2) == chosen);
-    // Owners whose zone is not known come last.
+    // Candidates of unknown zone come last.
     all.push_back({"unknown:1", ""});
     CHECK(chooseRelays(all, "elsewhere", 2) == chosen);
     CHECK(chooseRelays({{"unknown:1", ""}}, "z", 2) == std::vector<std::string> {"unknown:1"});
     CHECK(chooseRelays({}, "z", 2).empty());
 }
 
-// A teller of the fleet has 164 listeners; on a link of 20 Mbit/s a table of 1 MB takes them a
-// minute.
-TEST_CASE("Tellers with room go before others of their zone")
+// A relay with a slow link would delay updates to all its subscribers.
+TEST_CASE("Candidates with capacity come before others of their zone")
 {
     auto all = owners(60, 6);
     for (int zone = 0; zone < 6; ++zone) {
@@ -76,7 +75,7 @@
     }
 }
 
-TEST_CASE("A listener asks after its teller's next answer is due, and before the bound")
+TEST_CASE("A subscriber polls after its relay's next answer is due and before the bound")
 {
     for (const Duration wait : {2s, 5s, 6s, 10s}) {
         for (const double draw : {0.0, 0.5, 1.0}) {
@@ -88,9 +87,9 @@
     CHECK(relayPollWait(400ms) == 400ms);
     CHECK(relayDiscoveryDelay(20s, 1, false) <= 6s);
     CHECK(relayDiscoveryDelay(2s, 0, true) == 0s);
-    // Hosts with room look first.
+    // Hosts with capacity search first.
     CHECK(relayDiscoveryDelay(2s, 0.5, true) < relayDiscoveryDelay(2s, 0, false));
     CHECK(relayDiscoveryDelay(2s, 1, true) < relayDiscoveryDelay(2s, 0.5, false));
-    // Not all at once, should all have room.
+    // Spread in time even if all hosts have capacity.
     CHECK(relayDiscoveryDelay(5s, 1, true) >= 3s);
 }
--- a/tests/host/tablerelay_test.cpp
+++ b/tests/host/tablerelay_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A store that is asked and does not answer by itself.
+// Records polls; the test answers them.
 struct FakeFeed : public services::TableFeed
 {
     void snapshot(const std::string &, services::SnapshotCallback callback) override
@@ -66,10 +66,10 @@
         requestChanges(100);
     }
 
-    // The store's clock, which is 1,000 s behind.
+    // The service's clock, which is 1,000 s behind.
     Duration clock() const { return timers.now().time_since_epoch() - 1000s; }
 
-    // What a follower does: it asks on from where it stands.
+    // Requests changes again after each answer, like a follower.
     void requestChanges(std::uint64_t after)
     {
         relay.changes("t", after, wait, [this](const absl::StatusOr<services::TableChanges> &got) {
@@ -116,7 +116,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(Fixture, "A listener takes rows in the order of their versions, each once")
+TEST_CASE_METHOD(Fixture, "A subscriber applies each row once, in the order of versions")
 {
     subscribe();
     CHECK(links.connected["first"] == 1);
@@ -124,13 +124,13 @@
     relay.onUpdate("first", update(100, 102, clock(), {{"a", "1", 101}, {"b", "1", 102}}));
     relay.onUpdate("second", update(100, 102, clock(), {{"a", "1", 101}, {"b", "1", 102}}));
     relay.onUpdate("first", update(102, 103, clock(), {{"a", "2", 103}}));
-    // News that were overtaken on their way.
+    // A reordered update.
     relay.onUpdate("second", update(100, 101, clock() - 10ms, {{"a", "1", 101}}));
     CHECK(rows == std::vector<std::string> {"a=1", "b=1", "a=2"});
     CHECK(store.polls.empty());
 }
 
-TEST_CASE_METHOD(Fixture, "News prove something only with a newer clock of the store beside them")
+TEST_CASE_METHOD(Fixture, "Only updates with a newer service time confirm the state")
 {
     subscribe();
     for (int i = 0; i < 10; ++i) {
@@ -138,7 +138,7 @@
         relay.onUpdate("first", update(100, 100, clock()));
     }
     CHECK(store.polls.empty());
-    // The teller goes on telling, and has heard nothing.
+    // The relay sends updates but gets no answers from the service.
     const Duration last = clock();
     for (int i = 0; i < 5; ++i) {
         timers.advance(1s);
@@ -148,7 +148,7 @@
     CHECK(store.polls[0].first == 100);
 }
 
-TEST_CASE_METHOD(Fixture, "News from whoever is not listened to count for nothing")
+TEST_CASE_METHOD(Fixture, "Updates from a host that is not a chosen relay are ignored")
 {
     subscribe();
     timers.advance(1s);
@@ -156,7 +156,7 @@
     CHECK(rows.empty());
 }
 
-TEST_CASE_METHOD(Fixture, "What was left out, or leaves a gap, is read a moment later")
+TEST_CASE_METHOD(Fixture, "Omitted rows and gaps are read from the service after a delay")
 {
     subscribe();
     timers.advance(1s);
@@ -164,12 +164,12 @@
     large.rowsOmitted = true;
     relay.onUpdate("second", large);
     CHECK(store.polls.empty());
-    // The other teller tells the rows meanwhile.
+    // The other relay sends the rows meanwhile.
     timers.advance(100ms);
     relay.onUpdate("first", update(100, 105, clock(), {{"a", "1", 105}}));
     timers.advance(2s);
     CHECK(store.polls.empty());
-    // It tells of later ones only: something is missing in between.
+    // A gap: versions 106 and 107 are missing.
     relay.onUpdate("first", update(107, 109, clock(), {{"a", "3", 109}}));
     timers.advance(2s);
     REQUIRE(store.polls.size() == 1);
@@ -177,7 +177,7 @@
     CHECK(rows == std::vector<std::string> {"a=1"});
 }
 
-TEST_CASE_METHOD(Fixture, "Silent tellers are followed by others")
+TEST_CASE_METHOD(Fixture, "Silent relays are replaced")
 {
     setCandidates({{"first", "zone"}, {"second", "other"}, {"third", "zone"}});
     std::string silentRelay;
@@ -191,7 +191,7 @@
     CHECK(links.connected[other] == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "A teller asks in short questions and tells each listener what it lacks")
+TEST_CASE_METHOD(Fixture, "A relay uses short polls and sends each subscriber the rows it lacks")
 {
     relay.onSubscribe(1, {{{"t", 100}}, true});
     REQUIRE(store.polls.size() == 1);
@@ -209,25 +209,25 @@
     CHECK(links.updates[1].second.after == 100);
     CHECK(links.updates[1].second.upTo == 101);
     CHECK(links.updates[1].second.serviceTime == *changes.serviceTime);
-    // One that comes later is told what it lacks, also from before the teller's snapshot: that has
+    // A later subscriber is sent what it lacks, also from before the relay's snapshot, which has
     // all rows.
     relay.onSubscribe(2, {{{"t", 100}}, true});
     CHECK(links.updates.back().second.rows.size() == 1);
     relay.onSubscribe(3, {{{"t", 50}}, true});
     CHECK(!links.updates.back().second.rowsOmitted);
     CHECK(links.updates.back().second.rows.size() == 1);
-    // One that has another teller for rows hears only that there are some.
+    // A subscriber without rows is only told the version.
     relay.onSubscribe(4, {{{"t", 100}}, false});
     CHECK(links.updates.back().second.rowsOmitted);
     CHECK(links.updates.back().second.rows.empty());
-    // Nobody listens any more: no more short questions.
+    // Without subscribers it is no relay any more.
     for (const inner::LinkId link : {1, 2, 3})
         relay.onLinkDown(link);
     relay.onSubscribe(4, {});
     CHECK(!relay.isRelay());
 }
 
-TEST_CASE_METHOD(Fixture, "Large rows are told within the zone and left out across zones")
+TEST_CASE_METHOD(Fixture, "Large rows are sent within the zone and omitted across zones")
 {
     relay.onSubscribe(1, {{{"t", 100}}, true});
     relay.onSubscribe(11, {{{"t", 100}}, true});
@@ -245,7 +245,7 @@
 
 namespace {
 
-// A document of 40 KB, more than is told whole, with one value.
+// A document too large to be sent whole, with one value.
 std::string document(int value)
 {
     std::string text;
@@ -256,9 +256,8 @@
 
 } // namespace
 
-// With 164 listeners for each teller a configuration of 200 KB was read from the store by each host
-// of the fleet, at each change of one time-out.
-TEST_CASE_METHOD(Fixture, "A large row that changes a little is told as a difference")
+// A small change of a large row must not make each subscriber read the row from the service.
+TEST_CASE_METHOD(Fixture, "A small change of a large row is sent as a difference")
 {
     const auto answer = [&](int value, std::uint64_t version) {
         services::TableChanges changes;
@@ -272,8 +271,7 @@
     answer(1, 101);
     links.updates.clear();
 
-    // 1 and 11 know the row, the second in another zone; 2 does not understand differences; 3 does
-    // not know the row.
+    // 1 and 11 (in another zone) know the row; 2 accepts no differences; 3 doesn't know the row.
     relay.onSubscribe(11, {{{"t", 101}}, true, true});
     relay.onSubscribe(2, {{{"t", 101}}, true, false});
     links.updates.clear();
@@ -296,7 +294,8 @@
     CHECK(known[11] == document(3));
 }
 
-TEST_CASE_METHOD(Fixture, "A listener that lacks what a difference was made from reads the row")
+TEST_CASE_METHOD(Fixture,
+                 "A subscriber without the base of a difference reads the row from the service")
 {
     subscribe();
     timers.advance(1s);
@@ -312,7 +311,7 @@
     REQUIRE(rows.size() == 2);
     CHECK(rows.back() == "a=" + document(3));
     CHECK(store.polls.empty());
-    // From a version that was never here.
+    // The base version 107 is unknown.
     relay.onUpdate("first", update(105, 109, clock(), {differing(4, 5, 107, 109)}));
     timers.advance(2s);
     CHECK(rows.size() == 2);
@@ -337,9 +336,8 @@
 
 } // namespace
 
-// While 1,000 groups got their owners a teller kept the last 256 rows, and told 32 KB at a time:
-// most of 986 hosts read from the store what was left out, 11,000 times for owners on one day.
-TEST_CASE_METHOD(Fixture, "A listener that is behind is told everything in parts")
+// Subscribers that lag must not fall back to reading the table from the service.
+TEST_CASE_METHOD(Fixture, "A lagging subscriber is sent all changes in parts")
 {
     relay.onSubscribe(1, {{{"t", 100}}, true, true});
     store.answer(changesOf(1000, 101, clock()));
@@ -370,12 +368,12 @@
     }
     CHECK(upTo == 201);
     CHECK(rows.size() == 1000);
-    // A listener of an earlier version takes no parts and reads.
+    // A subscriber of an earlier version accepts no parts and reads from the service.
     relay.onSubscribe(3, {{{"t", 100}}, true});
     CHECK(links.updates.back().second.rowsOmitted);
 }
 
-TEST_CASE_METHOD(Fixture, "A part of the news proves nothing, and the next one is asked for")
+TEST_CASE_METHOD(Fixture, "A partial update confirms nothing, and the next part is requested")
 {
     subscribe();
     timers.advance(1s);
@@ -389,13 +387,13 @@
     CHECK(next.isContinuation);
     REQUIRE(next.tables.size() == 1);
     CHECK(next.tables[0].after == 105);
-    // What follows never comes: the proof is as old as it was.
+    // The next part is lost: the confirmation stays old.
     timers.advance(4s);
     REQUIRE(!store.polls.empty());
     CHECK(store.polls[0].first == 105);
 }
 
-TEST_CASE_METHOD(Fixture, "What is kept for listeners follows the table, not its past")
+TEST_CASE_METHOD(Fixture, "The history is bounded by the size of the table")
 {
     relay.onSubscribe(1, {{{"t", 100}}, true, true});
     std::uint64_t version = 101;
@@ -406,10 +404,10 @@
     links.updates.clear();
     relay.onSubscribe(2, {{{"t", 100}}, true, true});
     REQUIRE(links.updates.size() == 1);
-    // The newest state of each, and the few superseded ones that came since it was looked at.
+    // The newest state of each row, and superseded ones since the last compaction.
     CHECK(links.updates[0].second.rows.size() >= 100);
     CHECK(links.updates[0].second.rows.size() <= 600);
-    // Rows that are gone are not kept for ever: who may lack one reads the table.
+    // Removed rows are kept up to a limit; a subscriber that may lack one reads the table.
     for (int i = 0; i < 10; ++i, version += 72) {
         services::TableChanges gone = changesOf(700, version, clock(), 0, true);
         for (auto &change : gone.changes)
@@ -423,7 +421,7 @@
 
 namespace {
 
-// A host without room that has just started, and one that has read the table.
+// A starting host without capacity, and its relay.
 struct StartFixture
 {
     StartFixture()
@@ -446,7 +444,7 @@
         subscriber.onLinkUp("first");
         subscriber.onLinkUp("second");
     }
-    // Carries messages between the two until none is left.
+    // Delivers messages between the two until none is left.
     void carry()
     {
         for (std::size_t i = 0; i < links.sent.size(); ++i) {
@@ -482,9 +480,8 @@
 
 } // namespace
 
-// Each of 986 hosts read 3,000 servers and the configuration from the store at its start, 1.3 MB:
-// half of all bytes there on a calm day, and seconds of its link when all came back at once.
-TEST_CASE_METHOD(StartFixture, "A host without room reads a table from its teller")
+// Hosts that start together must not all read whole tables from the service.
+TEST_CASE_METHOD(StartFixture, "A host without capacity reads a table from its relay")
 {
     relay.snapshot("t", [](const auto &) {});
     relay.changes("t", 100, wait, [](const auto &) {});
@@ -502,7 +499,7 @@
     CHECK(read->next == 201);
     CHECK(read->serviceTime == relayStore.serviceTime);
     CHECK(store.snapshots == 0);
-    // It goes on from there, and can tell others itself.
+    // It continues from there and can serve subscribers itself.
     subscriber.changes("t", read->next, wait, [](const auto &) {});
     subscriber.onSubscribe(7, {{{"t", 0}}, true, true});
     REQUIRE(!links.updates.empty());
@@ -510,21 +507,21 @@
     CHECK(links.updates.back().second.rows.size() > 10);
 }
 
-TEST_CASE_METHOD(StartFixture, "A host reads from the store when its teller can't tell the table")
+TEST_CASE_METHOD(StartFixture, "A host reads from the service when its relay can't send the table")
 {
-    SECTION("It has not read it")
+    SECTION("The relay has not read it")
     {
         start();
         findRelays();
         carry();
     }
-    SECTION("It says nothing")
+    SECTION("The relay doesn't answer")
     {
         start();
         findRelays();
         timers.advance(1500ms);
     }
-    SECTION("It falls silent between two parts")
+    SECTION("The relay falls silent between two parts")
     {
         relay.snapshot("t", [](const auto &) {});
         relay.changes("t", 100, wait, [](const auto &) {});
@@ -540,7 +537,7 @@
         CHECK(!read);
         timers.advance(1500ms);
     }
-    SECTION("There is none")
+    SECTION("There is no relay")
     {
         start();
         timers.advance(8s);
@@ -549,7 +546,7 @@
     CHECK(read);
 }
 
-TEST_CASE_METHOD(StartFixture, "Rows that change while a table is told are told once more")
+TEST_CASE_METHOD(StartFixture, "Rows that change while a table is being sent are sent again")
 {
     relay.snapshot("t", [](const auto &) {});
     relay.changes("t", 100, wait, [](const auto &) {});
