--- /dev/null
+++ b/src/decision/relaychoice.h
@@ -0,0 +1,75 @@
+#pragma once
+
+#include "core/clock.h"
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <set>
+#include <string>
+#include <tuple>
+#include <vector>
+
+namespace kelptally::decision {
+
+// Choice of relays: the few hosts that poll the table service and forward changes to the others, so
+// that calls to the service don't grow with the number of hosts.
+
+struct RelayCandidate
+{
+    std::string address;
+    // Empty when unknown.
+    std::string zone;
+    // Whether it has the processor time and bandwidth for many subscribers.
+    bool hasCapacity = false;
+};
+
+// The hosts that may be relays, in an order on which all hosts agree. Updated incrementally, as
+// sorting all candidates at each change is too slow for large deployments.
+class RelayOrder
+{
+public:
+    // Adds a candidate, or replaces the one with the same address.
+    void add(const RelayCandidate &candidate);
+    void remove(const std::string &address);
+    std::size_t size() const { return candidates_.size(); }
+
+    // Returns the relays for a host in the zone: the first candidate of its own zone, then the
+    // first ones of other zones, in an order specific to the zone, then any. Within a zone
+    // candidates with capacity come first. As all hosts agree on the first of a zone, there is
+    // about one relay per zone. A host that finds itself among them polls the service.
+    // Candidates in `avoided` are skipped.
+    std::vector<std::string> choose(const std::string &zone, std::size_t count,
+                                    const std::set<std::string> &avoided = {}) const;
+
+private:
+    // Candidates with capacity first, then by the hash of the address.
+    using Rank = std::tuple<bool, std::uint64_t, std::string>;
+    using RankedCandidates = std::set<Rank>;
+
+    static Rank rankOf(const RelayCandidate &candidate);
+
+    // By address.
+    std::map<std::string, RelayCandidate> candidates_;
+    std::map<std::string, RankedCandidates> byZone_;
+};
+
+// RelayOrder::choose() for a list of candidates.
+std::vector<std::string> chooseRelays(const std::vector<RelayCandidate> &candidates,
+                                      const std::string &zone, std::size_t count);
+
+// How long a relay's poll may stay open, where a host without relays would use `wait`. Shorter, as
+// each answer confirms to all subscribers that they are current.
+Duration relayPollWait(Duration wait);
+
+// Age of its last confirmation at which a subscriber polls the service itself. Leaves time for a
+// relay's poll and one lost message, and a tenth of `wait` for the service's answer. `draw`, from 0
+// to 1, spreads subscribers that lose their relays at the same time.
+Duration maxConfirmationAge(Duration wait, double draw);
+
+// Delay before each search for a relay by a host that knows none. The first hosts to search find
+// none, follow the tables themselves and claim groups; later ones find these as relays. Hosts with
+// capacity search first, so that they are the ones that claim groups.
+Duration relayDiscoveryDelay(Duration wait, double draw, bool hasCapacity);
+
+} // namespace kelptally::decision
--- a/src/host/hostpages.cpp
+++ b/src/host/hosthttphandler.cpp
@@ -1,4 +1,4 @@
-#include "host/hostpages.h"
+#include "host/hosthttphandler.h"
 
 #include "admin/statusjson.h"
 #include "caller/problem.h"
@@ -33,13 +33,13 @@
 
 } // namespace
 
-HostPages::HostPages(Parts parts) : parts_(std::move(parts))
+HostHttpHandler::HostHttpHandler(Parts parts) : parts_(std::move(parts))
 {
     if (!parts_.operatorKeyHash.empty())
         keys_.add(TeamName(), {parts_.operatorKeyHash});
 }
 
-void HostPages::onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply)
+void HostHttpHandler::onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply)
 {
     if (request.path == "/metrics") {
         parts_.process.collect();
@@ -56,7 +56,8 @@
     refuse(reply, Reason::UnknownPath, std::string());
 }
 
-void HostPages::onOperator(const caller::HttpRequest &request, const caller::HttpReplyPtr &reply)
+void HostHttpHandler::onOperator(const caller::HttpRequest &request,
+                                 const caller::HttpReplyPtr &reply)
 {
     const auto key = caller::bearerKey(request.authorization);
     if (!key || !keys_.organisationOf(*key))
@@ -71,23 +72,25 @@
         return reply->send(caller::jsonResponse(configuration()));
     if (request.method == HttpMethod::Post && request.path == "/admin/v1/drain")
         return drain(request.body, reply);
-    refuse(reply, Reason::UnknownPath, "a host takes status, configuration and drain only");
+    refuse(reply, Reason::UnknownPath, "a host serves only status, configuration and drain");
 }
 
-void HostPages::refuse(const caller::HttpReplyPtr &reply, Reason reason, const std::string &detail)
+void HostHttpHandler::refuse(const caller::HttpReplyPtr &reply, Reason reason,
+                             const std::string &detail)
 {
     parts_.metrics.countRefusal(reason);
     reply->send(caller::problemResponse(caller::makeProblem(reason, detail)));
 }
 
-// Only the host that is asked: each is stopped by itself.
-void HostPages::drain(const std::string &body, const caller::HttpReplyPtr &reply)
+// Drains this host only; the body must name it.
+void HostHttpHandler::drain(const std::string &body, const caller::HttpReplyPtr &reply)
 {
     const auto json = parseJson(body);
     const std::string host = json.ok() ? json->textOf("host") : std::string();
     if (host != parts_.process.host())
         return refuse(reply, Reason::MalformedRequest,
-                      "this is host " + parts_.process.host() + "; name it, or ask the other one");
+                      "this is host " + parts_.process.host()
+                          + "; call the host that is to be drained");
     parts_.log.info("operator_drain").with("already", parts_.process.isDraining());
     JsonWriter answer;
     answer.beginObject().key("processes").beginArray().beginObject();
@@ -97,7 +100,7 @@
     parts_.stop();
 }
 
-std::string HostPages::status() const
+std::string HostHttpHandler::status() const
 {
     const session::Catalogue *catalogue = parts_.process.catalogue();
     const ConfigVersion version = catalogue == nullptr ? 0 : catalogue->version;
@@ -119,8 +122,8 @@
     return admin::statusToJson(status, version, [](const GroupName &) { return true; });
 }
 
-// The routes as this host serves them; the operator's own document has more fields than it needs.
-std::string HostPages::configuration() const
+// Returns the routes in force. Fields of the original document that a host doesn't use are absent.
+std::string HostHttpHandler::configuration() const
 {
     const session::Catalogue *catalogue = parts_.process.catalogue();
     std::string document;
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -11,48 +11,46 @@
 
 namespace {
 
-// A balancer asks once a second and takes a process out after two misses: until then new callers
-// still come.
-constexpr Duration balancerNotices = std::chrono::milliseconds(2300);
+// Time until the balancer has seen the host as not ready twice and sends it no more callers.
+constexpr Duration balancerDetectionTime = std::chrono::milliseconds(2300);
 constexpr Duration drainStepPeriod = std::chrono::milliseconds(50);
-// Idle sessions closed in one step, so that their callers don't all come back in one instant.
-constexpr std::size_t closedPerStep = 20;
-// A statement that begins less than this before the end of the grace may not end within it.
-constexpr Duration lastStatements = std::chrono::milliseconds(2300);
-// A server that is well accepts a connection within this time, from any zone.
-constexpr Duration reachTimeout = std::chrono::milliseconds(150);
-// Opening a connection to the store took 1 to 3 ms where it was measured.
+// Limit of idle sessions closed in one step, so that their callers don't all reconnect at once.
+constexpr std::size_t maxClosedPerStep = 20;
+// Statements are refused this long before the end of the grace period, as they may not finish.
+constexpr Duration statementReserve = std::chrono::milliseconds(2300);
+// A reachable server accepts a connection within this time from any zone.
+constexpr Duration reachabilityTimeout = std::chrono::milliseconds(150);
 constexpr Duration storeProbeTimeout = std::chrono::milliseconds(150);
-// So many other processes are asked who owns a group, and to take one, by one message. An owner has
-// links with all hosts, and each of their entries may ask in the moment in which an owner is lost.
-constexpr std::size_t mostAsked = 8;
-constexpr std::size_t mostOffered = 24;
-// Left of the grace when the process ends in any case.
-constexpr Duration leftAtEnd = std::chrono::milliseconds(700);
+// Limits of the peers that receive one request to locate or to take over a group, as many hosts may
+// send one when an owner is lost.
+constexpr std::size_t maxLocateRecipients = 8;
+constexpr std::size_t maxTakeOverRecipients = 24;
+// Reserve at the end of the grace period; the process stops then in any case.
+constexpr Duration shutdownReserve = std::chrono::milliseconds(700);
 
 } // namespace
 
 HostProcess::HostProcess(const settings::HostSettings &settings, const Ports &ports)
     : settings_(settings), ports_(ports), self_ {settings.peerAddress(), ports.incarnation},
-      times_(ports.metrics), random_(static_cast<std::minstd_rand::result_type>(
-                                 std::hash<std::string>()(self_.address) ^ ports.incarnation)),
+      stageTimes_(ports.metrics), random_(static_cast<std::minstd_rand::result_type>(
+                                      std::hash<std::string>()(self_.address) ^ ports.incarnation)),
       store_({ports.timers, ports.table, ports.feed, ports.log, ports.metrics,
               settings.storeTimeout,
               [this](std::function<void(bool)> callback) { probeStore(std::move(callback)); },
-              ports.giveUpStoreCalls, [this] { return draw(); }}),
-      news_({ports.timers, store_, newsLinks_, ports.log, ports.metrics, self_.address,
-             settings.zone, group::OwnershipTable::table, decision::hasRoom(settings.processors, 0),
-             [this] { return draw(); }}),
-      retoldVisits_(ports.metrics.visits("retold_groups")),
+              ports.cancelStoreCalls, [this] { return draw(); }}),
+      tableRelay_({ports.timers, store_, relayLinks_, ports.log, ports.metrics, self_.address,
+                   settings.zone, group::OwnershipTable::table,
+                   decision::hasRoom(settings.processors, 0), [this] { return draw(); }}),
+      renotifiedGroups_(ports.metrics.visits("retold_groups")),
       serverList_(ports.timers, ports.log, ports.metrics,
                   [this](const GroupName &group, const std::vector<group::ListedServer> &servers) {
                       onServers(group, servers);
                   }),
-      near_({ports.timers, ports.connector, ports.log, ports.metrics, times_, settings.zone,
-             [this](Instant since) { onSilence(since); },
-             [this](const OrganisationName &organisation) {
-                 return groups_->quotas().hasQuota(organisation);
-             }})
+      localReads_({ports.timers, ports.connector, ports.log, ports.metrics, stageTimes_,
+                   settings.zone, [this](Instant since) { closeStaleConnections(since); },
+                   [this](const OrganisationName &organisation) {
+                       return groups_->quotas().hasQuota(organisation);
+                   }})
 { }
 
 HostProcess::~HostProcess() = default;
@@ -70,36 +68,36 @@
         timers,
         *links_,
         store_,
-        news_,
+        tableRelay_,
         store_,
         ports_.connector,
         ports_.promotions,
         ports_.log,
         ports_.metrics,
-        times_,
+        stageTimes_,
         ports_.probe,
         self_,
         settings_.zone,
         settings_.processors,
         [this](const GroupName &group) {
-            sendToSome(mostAsked, inner::Locate {0, group});
+            sendToSomePeers(maxLocateRecipients, inner::Locate {0, group});
         },
-        [this](const inner::TakeOver &message) { sendToSome(mostOffered, message); },
+        [this](const inner::TakeOver &message) { sendToSomePeers(maxTakeOverRecipients, message); },
         [this](const GroupName &group) { onOwnerChanged(group); },
-        [this](Instant since) { onSilence(since); },
+        [this](Instant since) { closeStaleConnections(since); },
         [this] { return store_.isSilent(); },
         {settings_.quotaWindow, settings_.quotaOver, settings_.quotaSlack},
         settings_.ways});
     router_ = std::make_unique<session::Router>(
-        session::Router::Parts {timers, *links_, groups_->ownership(), *groups_, near_, ports_.log,
-                                ports_.metrics, times_, self_});
+        session::Router::Parts {timers, *links_, groups_->ownership(), *groups_, localReads_,
+                                ports_.log, ports_.metrics, stageTimes_, self_});
     groups_->setServerLeaveTime(settings_.serverLeaveTime);
     groups_->start();
     store_.onBack([this](Duration lostFor) { groups_->ownership().onStoreRecovered(lostFor); });
     return absl::OkStatus();
 }
 
-bool HostProcess::NewsLinks::isNear(inner::LinkId link) const
+bool HostProcess::RelayLinks::isSameZone(inner::LinkId link) const
 {
     const auto address = host_.linkAddresses_.find(link);
     if (address == host_.linkAddresses_.end())
@@ -108,11 +106,11 @@
     return peer != host_.peers_.end() && peer->second.zone == host_.settings_.zone;
 }
 
-// Others get the next message, so that all come by turns.
-void HostProcess::sendToSome(std::size_t most, const inner::Message &message)
+// Sends to at most maxRecipients peers, in rotation over all links.
+void HostProcess::sendToSomePeers(std::size_t maxRecipients, const inner::Message &message)
 {
     auto next = linkAddresses_.upper_bound(lastAskedLink_);
-    const std::size_t count = std::min(most, linkAddresses_.size());
+    const std::size_t count = std::min(maxRecipients, linkAddresses_.size());
     for (std::size_t i = 0; i < count; ++i, ++next) {
         if (next == linkAddresses_.end())
             next = linkAddresses_.begin();
@@ -121,16 +119,16 @@
     }
 }
 
-// Owners are the ones that tell others: whoever sends statements has links with them anyway.
+// Owners are the relay candidates, as hosts that send statements are linked with them anyway.
 void HostProcess::onOwnerChanged(const GroupName &group)
 {
     router_->onOwnerChanged(group);
-    if (candidatesChanged_)
+    if (candidateUpdatePending_)
         return;
-    candidatesChanged_ = true;
+    candidateUpdatePending_ = true;
     ports_.timers.subscribeAt(ports_.timers.now(), [this] {
-        candidatesChanged_ = false;
-        news_.setCandidates(groups_->ownership().owners());
+        candidateUpdatePending_ = false;
+        tableRelay_.setCandidates(groups_->ownership().owners());
     });
 }
 
@@ -154,17 +152,16 @@
         .with("routes", std::uint64_t(catalogue_.get()->routes.size()))
         .with("keys", std::uint64_t(catalogue_.get()->keys.size()));
     groups_->setCatalogue(catalogue_.shared());
-    // The servers of a group are told once somebody has a use for them.
+    // Servers that were listed before the configuration named their group are reported again.
     for (const auto &[group, options] : catalogue_.get()->groups) {
         if (before && before->groups.count(group) != 0)
             continue;
-        retoldVisits_.Increment();
+        renotifiedGroups_.Increment();
         serverList_.republish(group);
     }
 }
 
-// Anybody may write an entry: one for a group that no configuration names is kept, and used only
-// once one does.
+// Servers of a group that the configuration doesn't name are kept, but not used until it does.
 bool HostProcess::isNamed(const GroupName &group) const
 {
     return catalogue_.get() != nullptr && catalogue_.get()->groups.count(group) != 0;
@@ -178,15 +175,14 @@
         if (server.primary)
             primaryZones_[group] = server.zone;
     groups_->setServers(group, servers);
-    near_.setServers(group, servers);
-    wantOwner(group);
+    localReads_.setServers(group, servers);
+    claimIfPrimaryInZone(group);
 }
 
 void HostProcess::onServerRefused(const ServerName &server, const FieldError &error)
 {
     ports_.metrics
-        .counter("kelptally_server_entries_refused_total",
-                 "Entries of servers that can't be understood",
+        .counter("kelptally_server_entries_refused_total", "Invalid entries of servers",
                  {{"reason", fieldFaultName(error.fault)}})
         .Increment();
     ports_.log.warning("server_entry_refused", fieldFaultName(error.fault))
@@ -195,8 +191,8 @@
     serverList_.onMissing(server);
 }
 
-// A group whose primary is near gets its owner before the first statement asks for one.
-void HostProcess::wantOwner(const GroupName &group)
+// Claims a group with its primary in this zone before the first statement needs an owner.
+void HostProcess::claimIfPrimaryInZone(const GroupName &group)
 {
     const auto zone = primaryZones_.find(group);
     if (!draining_ && zone != primaryZones_.end() && zone->second == settings_.zone)
@@ -262,20 +258,20 @@
 void HostProcess::drainStep()
 {
     const Duration passed = ports_.timers.now() - drainBegan_;
-    // 1. Groups go to others at once; callers go on coming until the balancer has noticed.
+    // 1. Groups are handed over at once; callers are accepted until the balancer has noticed.
     groups_->handOverAll(peers_);
-    // 2. Then sessions end between operations.
-    if (passed >= balancerNotices) {
+    // 2. Then idle sessions are closed.
+    if (passed >= balancerDetectionTime) {
         callers_->stopAccepting();
-        callers_->closeIdle(closedPerStep);
+        callers_->closeIdle(maxClosedPerStep);
     }
-    // 3. What begins so late could not end in time.
-    if (passed >= settings_.grace - lastStatements)
+    // 3. Statements that could not finish in time are refused.
+    if (passed >= settings_.grace - statementReserve)
         router_->stopTaking();
-    // 4. The end: nothing is left, or the grace nearly is.
-    const bool empty = passed >= balancerNotices && callers_->count() == 0 && groups_->isIdle()
-        && router_->inProgress() == 0;
-    if (!empty && passed < settings_.grace - leftAtEnd) {
+    // 4. Ends when nothing is left or the grace period is nearly over.
+    const bool empty = passed >= balancerDetectionTime && callers_->count() == 0
+        && groups_->isIdle() && router_->inProgress() == 0;
+    if (!empty && passed < settings_.grace - shutdownReserve) {
         ports_.timers.subscribeAfter(drainStepPeriod, [this] { drainStep(); });
         return;
     }
@@ -285,12 +281,11 @@
     whenDrained_();
 }
 
-// Idle connections that may have gone silent with the one that was noticed must not take the next
-// statements.
-void HostProcess::onSilence(Instant since)
+// Closes idle connections unused since then, as they may be broken like the one that fell silent.
+void HostProcess::closeStaleConnections(Instant since)
 {
     groups_->closeStaleIdle(since);
-    near_.closeStaleIdle(since);
+    localReads_.closeStaleIdle(since);
 }
 
 void HostProcess::collect()
@@ -298,9 +293,10 @@
     Metrics &metrics = ports_.metrics;
     metrics.gauge("kelptally_sessions", "Callers' sessions that are open")
         .Set(double(callers_->count()));
-    metrics.gauge("kelptally_statements_in_progress", "Statements of this entry without an answer")
+    metrics
+        .gauge("kelptally_statements_in_progress", "Statements from callers of this host in flight")
         .Set(double(router_->inProgress()));
-    metrics.gauge("kelptally_statements_queued", "Statements that wait in groups owned here")
+    metrics.gauge("kelptally_statements_queued", "Statements queued in groups owned by this host")
         .Set(double(groups_->queued()));
     metrics.gauge("kelptally_groups_owned", "Groups that this process owns")
         .Set(double(groups_->ownership().owned().size()));
@@ -339,7 +335,7 @@
             metrics.gauge("kelptally_owner_connections", "Open connections to a server", labels),
             server.connectionsOpen);
         setGroupGauge(metrics.gauge("kelptally_owner_replica_age_seconds",
-                                    "How far a replica is behind", labels),
+                                    "Replication lag of a replica", labels),
                       toMilliseconds(server.lag) / 1000);
     }
 }
@@ -355,16 +351,16 @@
         static_cast<void>(links_->sendOn(link, inner::Stopping {self_}));
     groups_->onPeerUp(link, peer);
     groups_->ownership().onPeerUp(peer.process);
-    // The other end's link to this process says nothing of the one from here.
+    // Only for the link dialled here; a link dialled by the peer doesn't prove that one is up.
     if (links_->linkTo(peer.process.address) == link) {
         router_->onLinkUp(peer.process);
-        news_.onLinkUp(peer.process.address);
+        tableRelay_.onLinkUp(peer.process.address);
     }
 }
 
 void HostProcess::onPeerMessage(inner::LinkId link, inner::Message message)
 {
-    // Answers come on the link that was dialled here.
+    // Answers come on the link dialled here.
     const auto address = linkAddresses_.find(link);
     const bool isAnswer = std::holds_alternative<inner::StatementDone>(message)
         || std::holds_alternative<inner::AliveAnswer>(message);
@@ -384,7 +380,7 @@
     if (!linked)
         peers_.erase(address);
     groups_->onPeerDown(link);
-    news_.onLinkDown(link);
+    tableRelay_.onLinkDown(link);
     router_->onLinkDown(address);
 }
 
@@ -424,7 +420,7 @@
         return;
     if (message.reach.empty())
         return groups_->ownership().onTakeOverRequested(message.group, message.epoch);
-    ports_.probe(message.reach, reachTimeout,
+    ports_.probe(message.reach, reachabilityTimeout,
                  [this, group = message.group, epoch = message.epoch](ProbeOutcome outcome) {
                      if (outcome == ProbeOutcome::Accepted)
                          groups_->ownership().onTakeOverRequested(group, epoch);
@@ -448,7 +444,7 @@
                                                           record->epoch, record->owner.address}));
 }
 
-// The answer names the owner's address only; its run is known when it is the one that answers.
+// The answer has the owner's address only; its incarnation is known if the owner itself answers.
 void HostProcess::handle(inner::LinkId, inner::LocateAnswer &message)
 {
     const bool itself = message.owner == message.from.address;
@@ -456,16 +452,16 @@
     groups_->ownership().learnOwner(message.group, {message.epoch, {message.owner, incarnation}});
 }
 
-void HostProcess::handle(inner::LinkId link, inner::FollowTables &message)
+void HostProcess::handle(inner::LinkId link, inner::SubscribeTables &message)
 {
-    news_.onFollow(link, message);
+    tableRelay_.onSubscribe(link, message);
 }
 
-void HostProcess::handle(inner::LinkId link, inner::TableNews &message)
+void HostProcess::handle(inner::LinkId link, inner::TableUpdate &message)
 {
     const auto address = linkAddresses_.find(link);
     if (address != linkAddresses_.end())
-        news_.onNews(address->second, message);
+        tableRelay_.onUpdate(address->second, message);
 }
 
 void HostProcess::handle(inner::LinkId link, inner::OwnershipEndRequest &message)
