--- a/src/group/grouprunner.cpp
+++ b/src/group/grouprunner.cpp
@@ -525,7 +525,7 @@
     if (server == nullptr)
         return false;
     const ServerPool::Taken taken = server->take(job->values, job->statement.organisation);
-    countPlace(*job, taken.place);
+    countConnectionAction(*job, taken.place);
     if (!taken.connection)
         return false;
     start(job, *server, taken.connection);
@@ -533,12 +533,12 @@
 }
 
 // Once for each statement and place that it meets in a row.
-void GroupRunner::countPlace(Job &job, decision::ConnectionAction place)
+void GroupRunner::countConnectionAction(Job &job, decision::ConnectionAction place)
 {
     if (job.place == place)
         return;
     job.place = place;
-    parts_.times.countPlace(place);
+    parts_.times.countConnectionAction(place);
 }
 
 bool GroupRunner::startInTransaction(const JobPtr &job, Transaction &transaction)
--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -150,7 +150,7 @@
     void pump();
     void pumpSoon();
     bool tryStart(const JobPtr &job, Instant now);
-    void countPlace(Job &job, decision::ConnectionAction place);
+    void countConnectionAction(Job &job, decision::ConnectionAction place);
     bool startInTransaction(const JobPtr &job, Transaction &transaction);
     GroupServer *chooseServer(const JobPtr &job, Instant now);
     GroupServer *chooseReader(const JobPtr &job, Instant now);
--- a/src/group/grouprunnerchoice.cpp
+++ b/src/group/grouprunnerchoice.cpp
@@ -7,14 +7,14 @@
 // Which server a statement goes to.
 namespace kelptally::group {
 
-using session::mayReadAnywhere;
+using session::mayRunOnReplica;
 using session::needsPrimary;
 
 GroupServer *GroupRunner::chooseServer(const JobPtr &job, Instant now)
 {
     if (!needsPrimary(job->statement))
         return chooseReader(job, now);
-    const bool writes = !mayReadAnywhere(job->statement);
+    const bool writes = !mayRunOnReplica(job->statement);
     if (writes && (writesHeld_ || !commits_.maySend(now)))
         return nullptr;
     GroupServer *primary = find(keeper_.primary());
--- a/src/group/nearreads.cpp
+++ b/src/group/nearreads.cpp
@@ -63,8 +63,8 @@
 }
 
 // What a group's owner has told with an answer.
-void NearReads::learn(const inner::RunStatement &statement, Instant sent,
-                      const inner::StatementDone &done)
+void NearReads::onOwnerAnswer(const inner::RunStatement &statement, Instant sent,
+                              const inner::StatementDone &done)
 {
     if (!done.logPosition)
         return;
--- a/src/group/nearreads.h
+++ b/src/group/nearreads.h
@@ -13,7 +13,7 @@
 // so that they cross no zone. Right by themselves: the read names a position that holds whatever
 // it must see, taken from what owners have told with their answers, and the replica refuses it if
 // its log lacks that position. Connections come from a share that the group's owner lends.
-class NearReads : public session::NearExecutor
+class NearReads : public session::LocalReadExecutor
 {
 public:
     struct Parts
@@ -35,8 +35,8 @@
     void setServers(const GroupName &group, const std::vector<ListedServer> &servers);
 
     bool run(const inner::RunStatement &statement, session::DoneCallback callback) override;
-    void learn(const inner::RunStatement &statement, Instant sent,
-               const inner::StatementDone &done) override;
+    void onOwnerAnswer(const inner::RunStatement &statement, Instant sent,
+                       const inner::StatementDone &done) override;
     // Closes idle connections that have not answered since.
     void dropIdle(Instant since);
 
--- a/src/group/ownership.cpp
+++ b/src/group/ownership.cpp
@@ -43,7 +43,7 @@
     const std::set<GroupName> wantedGroups = std::move(wantedGroups_);
     wantedGroups_.clear();
     for (const GroupName &group : wantedGroups)
-        wantOwner(group);
+        requestOwner(group);
     const std::map<GroupName, std::size_t> proactiveClaims = std::move(pendingProactiveClaims_);
     pendingProactiveClaims_.clear();
     for (const auto &[group, groups] : proactiveClaims)
@@ -105,7 +105,7 @@
     return true;
 }
 
-void OwnershipTable::learnOwner(const GroupName &group, const session::OwnerRef &owner)
+void OwnershipTable::applyReportedOwner(const GroupName &group, const session::OwnerRef &owner)
 {
     Entry &entry = entries_[group];
     if (owner.process.address.empty() || (entry.known && owner.epoch <= entry.record.epoch))
--- a/src/group/ownership.h
+++ b/src/group/ownership.h
@@ -59,7 +59,7 @@
         double processors;
         // Connects to a process's address; reports whether the connection was refused.
         std::function<void(const std::string &address, std::function<void(bool refused)>)> probe;
-        // Asks other processes for the group's owner; the answers arrive in learnOwner().
+        // Asks other processes for the group's owner; the answers arrive in applyReportedOwner().
         std::function<void(const GroupName &)> queryPeers;
         // Sends the request to all connected peers.
         std::function<void(const inner::TakeOver &)> broadcastTakeOver;
@@ -80,15 +80,15 @@
     void stopClaiming() { claiming_ = false; }
 
     std::optional<session::OwnerRef> owner(const GroupName &group) const override;
-    void wantOwner(const GroupName &group) override;
-    // Like wantOwner(), ahead of the first statement for the group. The claims of all `groups`
+    void requestOwner(const GroupName &group) override;
+    // Like requestOwner(), ahead of the first statement for the group. The claims of all `groups`
     // groups are spread over time.
     void claimProactively(const GroupName &group, std::size_t groups);
-    void suspectOwner(const GroupName &group, const session::OwnerRef &owner,
-                      const std::string &reason) override;
+    void reportOwnerUnreachable(const GroupName &group, const session::OwnerRef &owner,
+                                const std::string &reason) override;
     void refreshOwner(const GroupName &group) override;
     // Takes over the owner that another process knows, in case the store rejects this process.
-    void learnOwner(const GroupName &group, const session::OwnerRef &owner) override;
+    void applyReportedOwner(const GroupName &group, const session::OwnerRef &owner) override;
 
     // All processes that own groups, without duplicates, with their zones.
     const decision::TellerOrder &owners() const { return owners_; }
@@ -281,7 +281,7 @@
     decision::TellerOrder owners_;
     // Number of owned groups by process address.
     std::map<std::string, int> ownedBy_;
-    // Calls of wantOwner() and claimProactively() that wait for the initial snapshot.
+    // Calls of requestOwner() and claimProactively() that wait for the initial snapshot.
     std::set<GroupName> wantedGroups_;
     std::map<GroupName, std::size_t> pendingProactiveClaims_;
     std::set<GroupName> guardsToClear_;
--- a/src/group/ownershipclaims.cpp
+++ b/src/group/ownershipclaims.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-void OwnershipTable::wantOwner(const GroupName &group)
+void OwnershipTable::requestOwner(const GroupName &group)
 {
     if (!isReady()) {
         wantedGroups_.insert(group);
@@ -44,8 +44,9 @@
                           + decision::claimAhead(claimant(group), groups));
 }
 
-void OwnershipTable::suspectOwner(const GroupName &group, const session::OwnerRef &suspect,
-                                  const std::string &reason)
+void OwnershipTable::reportOwnerUnreachable(const GroupName &group,
+                                            const session::OwnerRef &suspect,
+                                            const std::string &reason)
 {
     const auto now = owner(group);
     if (!now || now->epoch != suspect.epoch || now->process == parts_.self)
@@ -212,7 +213,7 @@
 void OwnershipTable::retryClaim(const GroupName &group, const std::string &reason)
 {
     if (reason == reasonUnowned || reason == reasonProactive || reason == reasonRestarted)
-        parts_.timers.subscribeAfter(claimRetryDelay, [this, group] { wantOwner(group); });
+        parts_.timers.subscribeAfter(claimRetryDelay, [this, group] { requestOwner(group); });
 }
 
 // Prepares a claim that replaces the known row, which was read at serviceTime.
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -271,7 +271,7 @@
     }
     // 3. What begins so late could not end in time.
     if (passed >= settings_.grace - lastStatements)
-        router_->stopTaking();
+        router_->refuseNewOperations();
     // 4. The end: nothing is left, or the grace nearly is.
     const bool empty = passed >= balancerNotices && callers_->count() == 0 && groups_->isQuiet()
         && router_->inProgress() == 0;
@@ -369,7 +369,7 @@
     const bool isAnswer = std::holds_alternative<inner::StatementDone>(message)
         || std::holds_alternative<inner::AliveAnswer>(message);
     if (isAnswer && address != linkAddresses_.end())
-        router_->onHeard(address->second);
+        router_->onPeerResponse(address->second);
     std::visit([this, link](auto &fields) { handle(link, fields); }, message);
 }
 
@@ -453,7 +453,8 @@
 {
     const bool itself = message.owner == message.from.address;
     const Incarnation incarnation = itself ? message.from.incarnation : 0;
-    groups_->ownership().learnOwner(message.group, {message.epoch, {message.owner, incarnation}});
+    groups_->ownership().applyReportedOwner(message.group,
+                                            {message.epoch, {message.owner, incarnation}});
 }
 
 void HostProcess::handle(inner::LinkId link, inner::FollowTables &message)
--- a/src/session/callersession.cpp
+++ b/src/session/callersession.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t maxPrepared = 1024;
 // A transaction that was open when its key was taken away goes on for so long: longer than most
 // take, and a fifth of the five seconds within which a configuration has to be in force.
-constexpr Duration lastStatements = std::chrono::milliseconds(1000);
+constexpr Duration revokedKeyGracePeriod = std::chrono::milliseconds(1000);
 
 } // namespace
 
@@ -25,9 +25,9 @@
     parts_.timers.cancel(idleTimer_);
     // 1. A failed transaction takes nothing but its end.
     if (state_ == SessionState::Failed)
-        return endFailed(statement);
-    if (state_ == SessionState::InTransaction && hasLostKey())
-        return endWithKey(statement);
+        return runInFailedTransaction(statement);
+    if (state_ == SessionState::InTransaction && isKeyRevoked())
+        return endRevokedTransaction(statement);
     // 2. What needs no server is answered here.
     switch (statement.kind) {
     case StatementKind::Begin:
@@ -39,7 +39,7 @@
     case StatementKind::SetValue:
     case StatementKind::Prepare:
     case StatementKind::Deallocate:
-        return runHere(statement);
+        return runLocally(statement);
     default:
         break;
     }
@@ -82,7 +82,7 @@
         return refuseOperation(statement, refused);
     mode_ = statement.kind == StatementKind::Begin ? inner::TransactionMode::ReadWrite
                                                    : inner::TransactionMode::ReadOnly;
-    opened_ = false;
+    begunAtOwner_ = false;
     state_ = SessionState::InTransaction;
     answer({});
 }
@@ -113,20 +113,20 @@
     fail(reason, Executed::No, "the route or the key is not in force any more");
 }
 
-bool CallerSession::hasLostKey() const
+bool CallerSession::isKeyRevoked() const
 {
     if (organisation_.empty())
         return false;
     const OrganisationName *now = parts_.catalogue.organisationOf(key_);
     if (now != nullptr && *now == organisation_)
         return false;
-    const std::optional<Instant> since = parts_.catalogue.followedAt(version_);
-    return since && parts_.timers.now() - *since >= lastStatements;
+    const std::optional<Instant> since = parts_.catalogue.supersededAt(version_);
+    return since && parts_.timers.now() - *since >= revokedKeyGracePeriod;
 }
 
-void CallerSession::endWithKey(const Statement &statement)
+void CallerSession::endRevokedTransaction(const Statement &statement)
 {
-    if (opened_)
+    if (begunAtOwner_)
         parts_.router.endTransaction(route_.group, number_);
     const bool ends =
         statement.kind == StatementKind::Commit || statement.kind == StatementKind::Rollback;
@@ -144,7 +144,7 @@
 
 // Nothing of a failed transaction is kept, so a commit is refused and anything else that ends it is
 // done.
-void CallerSession::endFailed(const Statement &statement)
+void CallerSession::runInFailedTransaction(const Statement &statement)
 {
     if (statement.kind == StatementKind::Rollback) {
         leaveTransaction(SessionState::Idle);
@@ -159,7 +159,7 @@
 
 void CallerSession::rollBack()
 {
-    if (opened_)
+    if (begunAtOwner_)
         parts_.router.endTransaction(route_.group, number_);
     leaveTransaction(SessionState::Idle);
 }
@@ -167,11 +167,11 @@
 void CallerSession::leaveTransaction(SessionState state)
 {
     state_ = state;
-    opened_ = false;
+    begunAtOwner_ = false;
     mode_ = inner::TransactionMode::None;
 }
 
-void CallerSession::runHere(const Statement &statement)
+void CallerSession::runLocally(const Statement &statement)
 {
     switch (statement.kind) {
     case StatementKind::SetValue:
@@ -200,7 +200,7 @@
     message.session = number_;
     message.verb = verb;
     message.inTransaction = state_ == SessionState::InTransaction;
-    if (message.inTransaction && !opened_)
+    if (message.inTransaction && !begunAtOwner_)
         message.begins = mode_;
     message.statementId = statement.id;
     if (prepared != nullptr) {
@@ -219,7 +219,7 @@
     message.timeLeft = route_.statementTimeout;
     message.objective = route_.objective;
     message.priority = route_.priority;
-    opened_ = opened_ || message.inTransaction;
+    begunAtOwner_ = begunAtOwner_ || message.inTransaction;
     request_ = parts_.router.run(
         std::move(message),
         [self = shared_from_this(), verb, id = std::move(statement.id)](inner::StatementDone done) {
@@ -281,12 +281,12 @@
     if (answer.reason != Reason::None)
         parts_.metrics.countRefusal(answer.reason);
     if (state_ == SessionState::InTransaction)
-        watchIdle();
+        startIdleTimer();
     output_->answer(answer, state_);
 }
 
 // A caller that rests inside a transaction holds a server connection that others need.
-void CallerSession::watchIdle()
+void CallerSession::startIdleTimer()
 {
     const Catalogue *catalogue = parts_.catalogue.get();
     if (catalogue == nullptr || catalogue->transactionIdle == Duration(0))
@@ -296,7 +296,7 @@
         const auto self = weak.lock();
         if (!self || self->answering_ || self->state_ != SessionState::InTransaction)
             return;
-        if (self->opened_)
+        if (self->begunAtOwner_)
             self->parts_.router.endTransaction(self->route_.group, self->number_);
         self->leaveTransaction(SessionState::Failed);
         self->parts_.log.info("transaction_idle").with("session", self->number_);
@@ -310,7 +310,7 @@
     if (request_ != 0)
         parts_.router.cancel(request_);
     request_ = 0;
-    if (opened_ && state_ == SessionState::InTransaction)
+    if (begunAtOwner_ && state_ == SessionState::InTransaction)
         parts_.router.endTransaction(route_.group, number_);
     state_ = SessionState::Idle;
 }
--- a/src/session/callersession.h
+++ b/src/session/callersession.h
@@ -80,19 +80,19 @@
     Reason beginOperation();
     // The key's organisation was another when the transaction began, and has not been its for a
     // while.
-    bool hasLostKey() const;
+    bool isKeyRevoked() const;
     void refuseOperation(const Statement &statement, Reason reason);
-    void endWithKey(const Statement &statement);
-    void runHere(const Statement &statement);
+    void endRevokedTransaction(const Statement &statement);
+    void runLocally(const Statement &statement);
     void begin(const Statement &statement);
-    void endFailed(const Statement &statement);
+    void runInFailedTransaction(const Statement &statement);
     void rollBack();
     void send(Statement statement, inner::SessionVerb verb, const Prepared *prepared);
     void onDone(inner::SessionVerb verb, const std::string &id, inner::StatementDone done);
     void answer(Answer answer);
     void fail(Reason reason, Executed executed, const std::string &detail,
               Duration retryAfter = {});
-    void watchIdle();
+    void startIdleTimer();
     void leaveTransaction(SessionState state);
 
     const Parts parts_;
@@ -110,7 +110,7 @@
     ConfigVersion version_ = 0;
     inner::TransactionMode mode_ = inner::TransactionMode::None;
     // A statement of the transaction has been sent to the owner.
-    bool opened_ = false;
+    bool begunAtOwner_ = false;
     std::optional<Position> position_;
     inner::RequestId request_ = 0;
     TimerId idleTimer_ = 0;
--- a/src/session/catalogue.cpp
+++ b/src/session/catalogue.cpp
@@ -34,7 +34,7 @@
     return catalogue_ ? catalogue_->keys.organisationOf(key) : nullptr;
 }
 
-std::optional<Instant> CurrentCatalogue::followedAt(ConfigVersion version) const
+std::optional<Instant> CurrentCatalogue::supersededAt(ConfigVersion version) const
 {
     for (const Installed &each : installed_)
         if (each.version > version)
--- a/src/session/catalogue.h
+++ b/src/session/catalogue.h
@@ -77,7 +77,7 @@
     const OrganisationName *organisationOf(const Sha256Digest &key) const;
     // When the first version after this one came into force, as far back as that is known; nothing
     // when none has.
-    std::optional<Instant> followedAt(ConfigVersion version) const;
+    std::optional<Instant> supersededAt(ConfigVersion version) const;
 
 private:
     struct Installed
--- a/src/session/router.cpp
+++ b/src/session/router.cpp
@@ -12,29 +12,29 @@
 // While answers are owed, owners are looked at this often.
 constexpr Duration tickPeriod = std::chrono::milliseconds(40);
 // An owner that was silent for this long is asked whether it is there.
-constexpr Duration askAfter = std::chrono::milliseconds(120);
+constexpr Duration probeAfter = std::chrono::milliseconds(120);
 // And after this long, two questions, another link to it is dialled beside the one that may have
 // gone silent.
-constexpr Duration renewAfter = std::chrono::milliseconds(200);
+constexpr Duration redialAfter = std::chrono::milliseconds(200);
 // And counts as gone after this long: four questions and the way of an answer between zones.
 constexpr Duration silentAfter = std::chrono::milliseconds(450);
 // A tick that comes later than this means that this process itself stood still.
-constexpr Duration ownPause = std::chrono::milliseconds(160);
+constexpr Duration stallThreshold = std::chrono::milliseconds(160);
 // A link that went comes back within this time if both ends live: a reset one is dialled again
 // after 25 to 50 ms. Statements that may not be repeated wait for it, and for the owner's answer.
 constexpr Duration resumeTime = std::chrono::milliseconds(300);
 // Ends of transactions are sent again on the next link if they are not older than the time in which
 // a silent link is noticed; in number chosen, not measured.
-constexpr Duration resendEndsFor = std::chrono::milliseconds(2500);
+constexpr Duration endResendWindow = std::chrono::milliseconds(2500);
 constexpr std::size_t maxResentEnds = 256;
 // What a caller is told to wait for an owner: about the time of a takeover.
 constexpr Duration takeoverTime = std::chrono::milliseconds(500);
 // What a caller of a host that stops is told to wait before it comes back through another.
-constexpr Duration elsewhereSoon = std::chrono::milliseconds(20);
+constexpr Duration drainRetryAfter = std::chrono::milliseconds(20);
 // Chosen, not measured: a statement that meets so many lost owners is given up.
 constexpr int maxAttempts = 6;
 // An owner answers by the deadline of a statement; this long after it the answer is lost.
-constexpr Duration lateAnswer = std::chrono::milliseconds(500);
+constexpr Duration answerGracePeriod = std::chrono::milliseconds(500);
 const std::string linkDown = "link_down";
 
 } // namespace
@@ -56,15 +56,15 @@
         lastTick_ = parts_.timers.now();
         parts_.timers.subscribeAfter(tickPeriod, [this] { tick(); });
     }
-    if (taking_ || continuesTransaction(pending_.at(id).statement))
-        runNear(id);
+    if (acceptsNewOperations_ || continuesTransaction(pending_.at(id).statement))
+        tryLocalRead(id);
     else
-        refuse(id, Reason::Draining, Executed::No, "this host is being stopped", elsewhereSoon);
+        refuse(id, Reason::Draining, Executed::No, "this host is being stopped", drainRetryAfter);
     return id;
 }
 
 // Tries the way without the owner first.
-void Router::runNear(inner::RequestId id)
+void Router::tryLocalRead(inner::RequestId id)
 {
     const std::optional<OwnerRef> owner = parts_.owners.owner(pending_.at(id).statement.group);
     const bool ownedHere = owner && owner->process == parts_.self;
@@ -74,10 +74,10 @@
         if (done.reason == Reason::None)
             return finish(id, std::move(done));
         parts_.metrics.countRetry(done.reason);
-        place(id);
+        dispatch(id);
     };
-    if (ownedHere || !parts_.near.run(pending_.at(id).statement, callback))
-        place(id);
+    if (ownedHere || !parts_.localReads.run(pending_.at(id).statement, callback))
+        dispatch(id);
 }
 
 void Router::cancel(inner::RequestId id)
@@ -85,7 +85,7 @@
     const auto found = pending_.find(id);
     if (found == pending_.end())
         return;
-    leavePeer(found->second);
+    detachFromPeer(found->second);
     pending_.erase(found);
 }
 
@@ -97,42 +97,44 @@
     const std::string address = found->second.address;
     transactions_.erase(found);
     if (address.empty())
-        return parts_.local.endTransaction(0, endOf(group, session));
-    const inner::EndTransaction end = endOf(group, session);
+        return parts_.local.endTransaction(0, makeEndTransaction(group, session));
+    const inner::EndTransaction end = makeEndTransaction(group, session);
     static_cast<void>(parts_.links.sendTo(address, end));
-    noteEnd(peers_[address], end);
+    recordEnd(peers_[address], end);
 }
 
-inner::EndTransaction Router::endOf(const GroupName &group, std::uint64_t session) const
+inner::EndTransaction Router::makeEndTransaction(const GroupName &group,
+                                                 std::uint64_t session) const
 {
     return {group, session, lastSent_};
 }
 
 // Without a link the owner rolls back by itself, unless the link comes back soon.
-void Router::noteEnd(Peer &peer, const inner::EndTransaction &end)
+void Router::recordEnd(Peer &peer, const inner::EndTransaction &end)
 {
     const Instant now = parts_.timers.now();
-    peer.ended.emplace_back(now, end);
-    while (peer.ended.size() > maxResentEnds || now - peer.ended.front().first > resendEndsFor)
-        peer.ended.pop_front();
+    peer.recentEnds.emplace_back(now, end);
+    while (peer.recentEnds.size() > maxResentEnds
+           || now - peer.recentEnds.front().first > endResendWindow)
+        peer.recentEnds.pop_front();
 }
 
-void Router::place(inner::RequestId id)
+void Router::dispatch(inner::RequestId id)
 {
     Pending &pending = pending_.at(id);
     // 1. A transaction stays where it began.
     if (continuesTransaction(pending.statement)) {
-        const auto place = transactions_.find(pending.statement.session);
-        if (place == transactions_.end())
+        const auto location = transactions_.find(pending.statement.session);
+        if (location == transactions_.end())
             return refuse(id, Reason::TransactionEnded, Executed::No,
                           "the owner of the transaction is gone");
-        const std::string &address = place->second.address;
+        const std::string &address = location->second.address;
         if (address.empty())
-            return runHere(id, pending);
+            return runLocally(id, pending);
         if (sendTo(id, pending, {0, {address, 0}}))
             return;
-        if (mayComeBack(peers_[address]))
-            return waitFor(id, pending);
+        if (mayReconnect(peers_[address]))
+            return awaitOwner(id, pending);
         refuse(id, Reason::TransactionEnded, Executed::No,
                "the owner of the transaction cannot be reached");
         return;
@@ -140,19 +142,19 @@
     // 2. Anything else goes to the owner of now.
     const std::optional<OwnerRef> owner = parts_.owners.owner(pending.statement.group);
     if (!owner) {
-        parts_.owners.wantOwner(pending.statement.group);
-        return waitFor(id, pending);
+        parts_.owners.requestOwner(pending.statement.group);
+        return awaitOwner(id, pending);
     }
     pending.epoch = owner->epoch;
     if (owner->process == parts_.self)
-        return runHere(id, pending);
+        return runLocally(id, pending);
     const auto peer = peers_.find(owner->process.address);
     if (peer != peers_.end() && peer->second.silent) {
-        parts_.owners.suspectOwner(pending.statement.group, *owner, "silent");
-        return waitFor(id, pending);
+        parts_.owners.reportOwnerUnreachable(pending.statement.group, *owner, "silent");
+        return awaitOwner(id, pending);
     }
     if (!sendTo(id, pending, *owner))
-        waitFor(id, pending);
+        awaitOwner(id, pending);
 }
 
 bool Router::sendTo(inner::RequestId id, Pending &pending, const OwnerRef &owner)
@@ -160,7 +162,7 @@
     const std::string &address = owner.process.address;
     const Instant now = parts_.timers.now();
     Peer &peer = peers_[address];
-    need(peer, now);
+    markNeeded(peer, now);
     pending.statement.timeLeft = std::max(Duration(0), pending.deadline - now);
     pending.statement.requestId = ++lastSent_;
     const absl::Status sent = parts_.links.sendTo(address, pending.statement);
@@ -172,7 +174,7 @@
         peer.downSince = now;
     if (!sent.ok())
         return false;
-    ++peer.open;
+    ++peer.inFlight;
     sent_[pending.statement.requestId] = id;
     pending.address = address;
     pending.sentAt = now;
@@ -182,7 +184,7 @@
     return true;
 }
 
-void Router::runHere(inner::RequestId id, Pending &pending)
+void Router::runLocally(inner::RequestId id, Pending &pending)
 {
     const Instant now = parts_.timers.now();
     pending.sentAt = now;
@@ -199,7 +201,7 @@
     });
 }
 
-void Router::waitFor(inner::RequestId id, Pending &pending)
+void Router::awaitOwner(inner::RequestId id, Pending &pending)
 {
     pending.address.clear();
     waiting_.push_back(id);
@@ -207,7 +209,7 @@
 }
 
 // A statement of an open transaction can go nowhere else.
-bool Router::isGivenUp(const Pending &pending, Instant now) const
+bool Router::shouldAbandon(const Pending &pending, Instant now) const
 {
     if (now >= pending.deadline)
         return true;
@@ -216,7 +218,7 @@
         && now >= search->second.giveUpAt(pending.arrived);
 }
 
-void Router::placeWaiting()
+void Router::dispatchWaiting()
 {
     std::vector<inner::RequestId> ids;
     ids.swap(waiting_);
@@ -225,10 +227,10 @@
         const auto found = pending_.find(id);
         if (found == pending_.end())
             continue;
-        if (isGivenUp(found->second, now))
+        if (shouldAbandon(found->second, now))
             refuse(id, Reason::NoOwner, Executed::No, "no owner answered in time", takeoverTime);
         else
-            place(id);
+            dispatch(id);
     }
 }
 
@@ -249,19 +251,19 @@
     Pending &pending = found->second;
     if (!pending.address.empty()) {
         parts_.times.addOwner(parts_.timers.now() - pending.sentAt);
-        parts_.near.learn(pending.statement, pending.sentAt, done);
+        parts_.localReads.onOwnerAnswer(pending.statement, pending.sentAt, done);
     }
     if (done.reason == Reason::NotOwner && done.executed == Executed::No) {
-        leavePeer(pending);
+        detachFromPeer(pending);
         if (continuesTransaction(pending.statement))
             return refuse(done.requestId, Reason::TransactionEnded, Executed::No,
                           "the owner has given the group up");
         parts_.metrics.countRetry(Reason::NotOwner);
         const GroupName group = pending.statement.group;
-        const bool news = done.ownerEpoch > pending.epoch;
-        waitFor(done.requestId, pending);
-        if (news)
-            return parts_.owners.learnOwner(group, {done.ownerEpoch, done.owner});
+        const bool ownerIsNewer = done.ownerEpoch > pending.epoch;
+        awaitOwner(done.requestId, pending);
+        if (ownerIsNewer)
+            return parts_.owners.applyReportedOwner(group, {done.ownerEpoch, done.owner});
         return parts_.owners.refreshOwner(group);
     }
     searches_[pending.statement.group].onAnswered();
@@ -276,7 +278,7 @@
         return;
     Pending pending = std::move(found->second);
     pending_.erase(found);
-    leavePeer(pending);
+    detachFromPeer(pending);
     parts_.times.addStatement(pending.statement.rule, parts_.timers.now() - pending.arrived);
     const bool ends =
         pending.statement.verb == inner::SessionVerb::Commit || done.reason != Reason::None;
@@ -297,16 +299,16 @@
     parts_.timers.subscribeAt(parts_.timers.now(), [this, id, done] { finish(id, done); });
 }
 
-void Router::leavePeer(Pending &pending)
+void Router::detachFromPeer(Pending &pending)
 {
     if (pending.address.empty())
         return;
-    --peers_[pending.address].open;
+    --peers_[pending.address].inFlight;
     sent_.erase(pending.statement.requestId);
     pending.address.clear();
 }
 
-void Router::onHeard(const std::string &address)
+void Router::onPeerResponse(const std::string &address)
 {
     Peer &peer = peers_[address];
     peer.lastHeard = parts_.timers.now();
@@ -314,7 +316,7 @@
         return;
     peer.silent = false;
     parts_.log.info("owner_heard_again").with("peer", address);
-    placeWaiting();
+    dispatchWaiting();
 }
 
 void Router::onLinkUp(const ProcessId &process)
@@ -324,19 +326,19 @@
     peer.incarnation = process.incarnation;
     if (restarted)
         onPeerLost(process.address, "restarted");
-    onHeard(process.address);
+    onPeerResponse(process.address);
     if (peer.resend || peer.downSince != Instant())
-        resume(process.address, peer);
-    placeWaiting();
+        resumeLink(process.address, peer);
+    dispatchWaiting();
 }
 
 // The same run of the process is there again: it still has what it was sent, or gets it now.
-void Router::resume(const std::string &address, Peer &peer)
+void Router::resumeLink(const std::string &address, Peer &peer)
 {
     peer.resend = false;
     peer.downSince = Instant();
     const Instant now = parts_.timers.now();
-    for (const auto &[when, end] : peer.ended)
+    for (const auto &[when, end] : peer.recentEnds)
         static_cast<void>(parts_.links.sendTo(address, end));
     std::size_t count = 0;
     for (auto &[id, pending] : pending_) {
@@ -350,7 +352,7 @@
     parts_.log.info("link_resumed").with("peer", address).with("statements", std::uint64_t(count));
 }
 
-bool Router::mayComeBack(const Peer &peer) const
+bool Router::mayReconnect(const Peer &peer) const
 {
     return peer.downSince != Instant() && parts_.timers.now() - peer.downSince < resumeTime;
 }
@@ -379,7 +381,7 @@
     for (const inner::RequestId id : reads)
         onAnswerLost(id, linkDown);
     for (const auto &[group, owner] : suspects)
-        parts_.owners.suspectOwner(group, owner, linkDown);
+        parts_.owners.reportOwnerUnreachable(group, owner, linkDown);
 }
 
 void Router::onOwnerChanged(const GroupName &group)
@@ -387,29 +389,29 @@
     // What may be repeated need not wait for a link to an owner that has been followed.
     const std::optional<OwnerRef> owner = parts_.owners.owner(group);
     if (owner)
-        trustAnew(owner->process.address);
-    std::vector<inner::RequestId> freed;
+        reinstatePeer(owner->process.address);
+    std::vector<inner::RequestId> repeatable;
     for (const auto &[id, pending] : pending_) {
-        const bool elsewhere = !owner || owner->process.address != pending.address;
-        if (pending.statement.group == group && !pending.address.empty() && elsewhere
+        const bool ownerMoved = !owner || owner->process.address != pending.address;
+        if (pending.statement.group == group && !pending.address.empty() && ownerMoved
             && mayRepeat(pending.statement) && peers_[pending.address].downSince != Instant())
-            freed.push_back(id);
+            repeatable.push_back(id);
     }
-    for (const inner::RequestId id : freed)
+    for (const inner::RequestId id : repeatable)
         onAnswerLost(id, "followed");
-    placeWaiting();
+    dispatchWaiting();
 }
 
 // Whoever has just become an owner most likely lives, whatever was known of it: after a cut, hosts
 // that held each other silent claimed a group from each other three times within 0.2 s.
-void Router::trustAnew(const std::string &address)
+void Router::reinstatePeer(const std::string &address)
 {
     const auto found = peers_.find(address);
     if (found == peers_.end())
         return;
     Peer &peer = found->second;
-    const bool hangs = parts_.links.linkTo(address) == 0;
-    if (peer.silent || hangs)
+    const bool disconnected = parts_.links.linkTo(address) == 0;
+    if (peer.silent || disconnected)
         parts_.links.renew(address);
     if (!peer.silent)
         return;
@@ -418,47 +420,47 @@
     peer.lastHeard = parts_.timers.now();
 }
 
-void Router::onPeerLost(const std::string &address, const std::string &why)
+void Router::onPeerLost(const std::string &address, const std::string &cause)
 {
     std::vector<inner::RequestId> lost;
     for (const auto &[id, pending] : pending_)
         if (pending.address == address)
             lost.push_back(id);
     // If the process lives after all, it must not keep them open.
-    for (auto place = transactions_.begin(); place != transactions_.end();) {
-        if (place->second.address != address) {
-            ++place;
+    for (auto location = transactions_.begin(); location != transactions_.end();) {
+        if (location->second.address != address) {
+            ++location;
             continue;
         }
-        noteEnd(peers_[address], endOf(place->second.group, place->first));
-        place = transactions_.erase(place);
+        recordEnd(peers_[address], makeEndTransaction(location->second.group, location->first));
+        location = transactions_.erase(location);
     }
     for (const inner::RequestId id : lost)
-        onAnswerLost(id, why);
+        onAnswerLost(id, cause);
 }
 
-void Router::onAnswerLost(inner::RequestId id, const std::string &why)
+void Router::onAnswerLost(inner::RequestId id, const std::string &cause)
 {
     Pending &pending = pending_.at(id);
     const GroupName group = pending.statement.group;
     const OwnerRef owner {pending.epoch, {pending.address, 0}};
     if (pending.statement.inTransaction && transactions_.erase(pending.statement.session) != 0)
-        noteEnd(peers_[pending.address], endOf(group, pending.statement.session));
-    leavePeer(pending);
-    parts_.log.info("owner_answer_lost", why)
+        recordEnd(peers_[pending.address], makeEndTransaction(group, pending.statement.session));
+    detachFromPeer(pending);
+    parts_.log.info("owner_answer_lost", cause)
         .with("id", pending.statement.statementId)
         .with("group", group)
         .with("peer", owner.process.address)
         .with("repeat", mayRepeat(pending.statement));
     if (pending.epoch != 0)
-        parts_.owners.suspectOwner(group, owner, why);
+        parts_.owners.reportOwnerUnreachable(group, owner, cause);
     if (mayRepeat(pending.statement) && pending.attempts < maxAttempts) {
         parts_.metrics.countRetry(Reason::OwnerUnreachable);
-        return waitFor(id, pending);
+        return awaitOwner(id, pending);
     }
-    const bool kept =
+    const bool mayBeCommitted =
         !pending.statement.inTransaction || pending.statement.verb == inner::SessionVerb::Commit;
-    if (kept && pending.statement.verb != inner::SessionVerb::Read)
+    if (mayBeCommitted && pending.statement.verb != inner::SessionVerb::Read)
         return refuse(id, Reason::Unconfirmed, Executed::Unknown,
                       "the owner was lost with the statement");
     refuse(id, Reason::TransactionEnded, Executed::No, "the owner was lost with the transaction",
@@ -468,52 +470,52 @@
 void Router::tick()
 {
     const Instant now = parts_.timers.now();
-    const bool paused = now - lastTick_ > ownPause;
+    const bool stalled = now - lastTick_ > stallThreshold;
     lastTick_ = now;
     std::vector<inner::RequestId> late;
     for (const auto &[id, pending] : pending_)
-        if (!pending.address.empty() && now >= pending.deadline + lateAnswer)
+        if (!pending.address.empty() && now >= pending.deadline + answerGracePeriod)
             late.push_back(id);
     for (const inner::RequestId id : late)
         onAnswerLost(id, "late");
     std::vector<std::string> watched;
     std::vector<std::string> lost;
     for (auto &[address, peer] : peers_) {
-        if (paused && peer.downSince != Instant())
+        if (stalled && peer.downSince != Instant())
             peer.downSince = now;
-        if (peer.downSince != Instant() && !mayComeBack(peer) && peer.open > 0)
+        if (peer.downSince != Instant() && !mayReconnect(peer) && peer.inFlight > 0)
             lost.push_back(address);
-        if (paused)
+        if (stalled)
             peer.lastHeard = now;
-        peer.needed = peer.open > 0 || (peer.needed && !waiting_.empty());
+        peer.needed = peer.inFlight > 0 || (peer.needed && !waiting_.empty());
         if (peer.needed)
             watched.push_back(address);
     }
     for (const std::string &address : lost)
         onPeerLost(address, linkDown);
     for (const std::string &address : watched)
-        watch(address, peers_[address], now);
-    placeWaiting();
+        checkPeer(address, peers_[address], now);
+    dispatchWaiting();
     ticking_ = !pending_.empty();
     if (ticking_)
         parts_.timers.subscribeAfter(tickPeriod, [this] { tick(); });
 }
 
-void Router::need(Peer &peer, Instant now)
+void Router::markNeeded(Peer &peer, Instant now)
 {
     if (!peer.needed && !peer.silent)
         peer.lastHeard = now;
     peer.needed = true;
 }
 
-void Router::watch(const std::string &address, Peer &peer, Instant now)
+void Router::checkPeer(const std::string &address, Peer &peer, Instant now)
 {
     const Duration quiet = now - peer.lastHeard;
-    if (quiet >= askAfter && now - peer.lastAsked >= askAfter) {
-        peer.lastAsked = now;
-        static_cast<void>(parts_.links.sendTo(address, inner::AliveRequest {++askSequence_}));
+    if (quiet >= probeAfter && now - peer.lastProbed >= probeAfter) {
+        peer.lastProbed = now;
+        static_cast<void>(parts_.links.sendTo(address, inner::AliveRequest {++probeSequence_}));
     }
-    if (quiet >= renewAfter) {
+    if (quiet >= redialAfter) {
         peer.resend = peer.resend || peer.downSince == Instant();
         parts_.links.renew(address);
     }
--- a/src/session/router.h
+++ b/src/session/router.h
@@ -30,14 +30,14 @@
 
     virtual std::optional<OwnerRef> owner(const GroupName &group) const = 0;
     // Nobody acts for the group: somebody has to.
-    virtual void wantOwner(const GroupName &group) = 0;
+    virtual void requestOwner(const GroupName &group) = 0;
     // The owner does not answer any more.
-    virtual void suspectOwner(const GroupName &group, const OwnerRef &owner,
-                              const std::string &why) = 0;
+    virtual void reportOwnerUnreachable(const GroupName &group, const OwnerRef &owner,
+                                        const std::string &cause) = 0;
     // The process that was thought the owner says that it is not.
     virtual void refreshOwner(const GroupName &group) = 0;
     // Another process knows this owner.
-    virtual void learnOwner(const GroupName &group, const OwnerRef &owner) = 0;
+    virtual void applyReportedOwner(const GroupName &group, const OwnerRef &owner) = 0;
 };
 
 // Runs statements of groups that this process owns. The origin tells the entries apart: their link,
@@ -54,17 +54,17 @@
 };
 
 // Runs some statements without their owner.
-class NearExecutor
+class LocalReadExecutor
 {
 public:
-    virtual ~NearExecutor() = default;
+    virtual ~LocalReadExecutor() = default;
 
     // False: not this one. Else calls back exactly once, never from within the call; a reason other
     // than None says that the owner has to do it, and that nothing was changed.
     virtual bool run(const inner::RunStatement &statement, DoneCallback callback) = 0;
     // An owner's answer to a statement that was sent then.
-    virtual void learn(const inner::RunStatement &statement, Instant sent,
-                       const inner::StatementDone &done) = 0;
+    virtual void onOwnerAnswer(const inner::RunStatement &statement, Instant sent,
+                               const inner::StatementDone &done) = 0;
 };
 
 // Takes statements to owners and their answers back. Statements that may be repeated go to the next
@@ -78,7 +78,7 @@
         inner::PeerLinks &links;
         OwnerSource &owners;
         StatementExecutor &local;
-        NearExecutor &near;
+        LocalReadExecutor &localReads;
         EventLog &log;
         Metrics &metrics;
         StageTimes &times;
@@ -94,7 +94,7 @@
     // An owner's answer over its link.
     void onAnswer(inner::StatementDone done);
     // The process has answered on the link from here.
-    void onHeard(const std::string &address);
+    void onPeerResponse(const std::string &address);
     // The link from here to the process.
     void onLinkUp(const ProcessId &process);
     void onLinkDown(const std::string &address);
@@ -102,7 +102,7 @@
 
     std::size_t inProgress() const { return pending_.size(); }
     // From now on nothing new begins here; what is open goes on.
-    void stopTaking() { taking_ = false; }
+    void refuseNewOperations() { acceptsNewOperations_ = false; }
 
 private:
     struct Pending
@@ -120,13 +120,13 @@
     struct Peer
     {
         Instant lastHeard;
-        Instant lastAsked;
+        Instant lastProbed;
         bool silent = false;
         bool dialled = false;
         // Statements wait for it, so that its silence matters.
         bool needed = false;
         // Statements that it owes an answer.
-        int open = 0;
+        int inFlight = 0;
         // The run of the process that was heard last.
         Incarnation incarnation = 0;
         // Since when there has been no link to it; the beginning of time while there is one.
@@ -134,35 +134,35 @@
         // What it owes was sent on a link that is lost or silent, and goes again on the next one.
         bool resend = false;
         // Ends of transactions that may have been lost with the link.
-        std::deque<std::pair<Instant, inner::EndTransaction>> ended;
+        std::deque<std::pair<Instant, inner::EndTransaction>> recentEnds;
     };
 
-    void runNear(inner::RequestId id);
-    void place(inner::RequestId id);
+    void tryLocalRead(inner::RequestId id);
+    void dispatch(inner::RequestId id);
     bool sendTo(inner::RequestId id, Pending &pending, const OwnerRef &owner);
-    void runHere(inner::RequestId id, Pending &pending);
-    void waitFor(inner::RequestId id, Pending &pending);
-    void placeWaiting();
-    bool isGivenUp(const Pending &pending, Instant now) const;
+    void runLocally(inner::RequestId id, Pending &pending);
+    void awaitOwner(inner::RequestId id, Pending &pending);
+    void dispatchWaiting();
+    bool shouldAbandon(const Pending &pending, Instant now) const;
     void finish(inner::RequestId id, inner::StatementDone done);
     void refuse(inner::RequestId id, Reason reason, Executed executed, const std::string &detail,
                 Duration retryAfter = {});
-    void leavePeer(Pending &pending);
+    void detachFromPeer(Pending &pending);
     void onDone(inner::StatementDone done);
     // The end of whatever the session has begun so far.
-    inner::EndTransaction endOf(const GroupName &group, std::uint64_t session) const;
-    void noteEnd(Peer &peer, const inner::EndTransaction &end);
-    void resume(const std::string &address, Peer &peer);
+    inner::EndTransaction makeEndTransaction(const GroupName &group, std::uint64_t session) const;
+    void recordEnd(Peer &peer, const inner::EndTransaction &end);
+    void resumeLink(const std::string &address, Peer &peer);
     // A link that went a moment ago is likely to come back.
-    bool mayComeBack(const Peer &peer) const;
+    bool mayReconnect(const Peer &peer) const;
     // The answers of everything sent to the process will not come.
-    void trustAnew(const std::string &address);
-    void onPeerLost(const std::string &address, const std::string &why);
-    void onAnswerLost(inner::RequestId id, const std::string &why);
+    void reinstatePeer(const std::string &address);
+    void onPeerLost(const std::string &address, const std::string &cause);
+    void onAnswerLost(inner::RequestId id, const std::string &cause);
     void tick();
-    void watch(const std::string &address, Peer &peer, Instant now);
+    void checkPeer(const std::string &address, Peer &peer, Instant now);
     // Its silence counts from now, if it did not matter before.
-    void need(Peer &peer, Instant now);
+    void markNeeded(Peer &peer, Instant now);
 
     const Parts parts_;
     std::unordered_map<inner::RequestId, Pending> pending_;
@@ -170,19 +170,19 @@
     std::unordered_map<GroupName, decision::OwnerSearch> searches_;
     std::unordered_map<std::string, Peer> peers_;
     // Where the open transaction of a session is; the address is empty for this process.
-    struct Place
+    struct TransactionLocation
     {
         std::string address;
         GroupName group;
     };
-    std::unordered_map<std::uint64_t, Place> transactions_;
+    std::unordered_map<std::uint64_t, TransactionLocation> transactions_;
     inner::RequestId lastId_ = 0;
     // Statements by the number under which an owner has them. Each owner that one is given to gets
     // another number, so that the answer of an earlier one is told apart.
     std::unordered_map<inner::RequestId, inner::RequestId> sent_;
     inner::RequestId lastSent_ = 0;
-    std::uint64_t askSequence_ = 0;
-    bool taking_ = true;
+    std::uint64_t probeSequence_ = 0;
+    bool acceptsNewOperations_ = true;
     bool ticking_ = false;
     Instant lastTick_;
 };
--- a/src/session/stagetimes.cpp
+++ b/src/session/stagetimes.cpp
@@ -10,19 +10,20 @@
 namespace {
 
 // In seconds: the stages of a calm day take from 0.1 to 200 ms, a route's longest wait is seconds.
-const std::vector<double> bounds = {0.001, 0.0025, 0.005, 0.01, 0.025, 0.05,
-                                    0.1,   0.15,   0.25,  0.5,  1,     2.5};
+const std::vector<double> bucketBounds = {0.001, 0.0025, 0.005, 0.01, 0.025, 0.05,
+                                          0.1,   0.15,   0.25,  0.5,  1,     2.5};
 
 prometheus::Histogram &stage(Metrics &metrics, const std::string &name)
 {
-    return metrics.histogram("kelptally_stage_seconds", "Time of a statement in one stage", bounds,
-                             {{"stage", name}});
+    return metrics.histogram("kelptally_stage_seconds", "Time of a statement in one stage",
+                             bucketBounds, {{"stage", name}});
 }
 
 prometheus::Histogram &rule(Metrics &metrics, const std::string &name)
 {
     return metrics.histogram("kelptally_statement_seconds",
-                             "From a statement's arrival to its answer", bounds, {{"rule", name}});
+                             "From a statement's arrival to its answer", bucketBounds,
+                             {{"rule", name}});
 }
 
 double seconds(Duration time)
@@ -37,17 +38,17 @@
       queue_(stage(metrics, "queue")), connection_(stage(metrics, "connection")),
       server_(stage(metrics, "server")), owner_(stage(metrics, "owner"))
 {
-    for (std::size_t i = 0; i < places_.size(); ++i)
-        places_[i] = &metrics.counter(
+    for (std::size_t i = 0; i < connectionActions_.size(); ++i)
+        connectionActions_[i] = &metrics.counter(
             "kelptally_connection_places_total",
             "What statements found when they asked for a connection to a server",
             {{"place",
               decision::connectionActionName(static_cast<decision::ConnectionAction>(i))}});
 }
 
-void StageTimes::countPlace(decision::ConnectionAction place)
+void StageTimes::countConnectionAction(decision::ConnectionAction action)
 {
-    places_[static_cast<std::size_t>(place)]->Increment();
+    connectionActions_[static_cast<std::size_t>(action)]->Increment();
 }
 
 void StageTimes::addStatement(inner::ReadRule rule, Duration time)
--- a/src/session/stagetimes.h
+++ b/src/session/stagetimes.h
@@ -25,7 +25,7 @@
     // From the sending to the owner on another host to its answer.
     void addOwner(Duration time);
     // What a statement found when it asked for a connection to a server.
-    void countPlace(decision::ConnectionAction place);
+    void countConnectionAction(decision::ConnectionAction action);
 
 private:
     prometheus::Histogram *rules_[3];
@@ -33,7 +33,7 @@
     prometheus::Histogram &connection_;
     prometheus::Histogram &server_;
     prometheus::Histogram &owner_;
-    std::array<prometheus::Counter *, decision::connectionActionCount> places_;
+    std::array<prometheus::Counter *, decision::connectionActionCount> connectionActions_;
 };
 
 } // namespace kelptally::session
--- a/src/session/statementrules.h
+++ b/src/session/statementrules.h
@@ -31,7 +31,7 @@
 }
 
 // Nothing but reading is asked, so that any server may do it.
-inline bool mayReadAnywhere(const inner::RunStatement &statement)
+inline bool mayRunOnReplica(const inner::RunStatement &statement)
 {
     if (statement.begins == inner::TransactionMode::ReadOnly)
         return true;
@@ -40,7 +40,7 @@
 
 inline bool needsPrimary(const inner::RunStatement &statement)
 {
-    return !mayReadAnywhere(statement) || statement.rule == inner::ReadRule::Newest;
+    return !mayRunOnReplica(statement) || statement.rule == inner::ReadRule::Newest;
 }
 
 // Running it again after its answer was lost changes nothing: what a transaction has done is gone
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -58,7 +58,7 @@
         "services":[{"name":"huvo","maxConns":23,"syncReplicas":1},{"name":"kafi"}],
         "limits":{"txIdleMs":4000}})");
     REQUIRE(catalogue.ok());
-    CHECK(catalogue->leftOut.empty());
+    CHECK(catalogue->rejectedEntries.empty());
     const session::Catalogue &c = *catalogue->catalogue;
     CHECK(c.version == 7);
     CHECK(c.routes.at("lepu").rule == inner::ReadRule::Newest);
@@ -95,7 +95,7 @@
     CHECK(*c.keys.organisationOf(sha256("b")) == "miny");
     CHECK(c.keys.organisationOf(sha256("c")) == nullptr);
     std::vector<std::string> causes;
-    for (const FieldError &error : parsed->leftOut)
+    for (const FieldError &error : parsed->rejectedEntries)
         causes.push_back(error.toText());
     CHECK(causes
           == std::vector<std::string> {"name: field_value", "apiKeys: field_value",
@@ -119,7 +119,7 @@
     CHECK(!c.organisations.at("b"));
     CHECK(c.organisations.at("c")->perSecond == 0);
     CHECK(c.keys.size() == 3);
-    CHECK(parsed->leftOut.size() == 3);
+    CHECK(parsed->rejectedEntries.size() == 3);
 }
 
 TEST_CASE("Without a list of organisations nobody needs a key; an empty or odd list lets nobody in")
@@ -224,7 +224,7 @@
     CHECK(parsed->catalogue->routes.count("lepu") == 1);
     CHECK(parsed->catalogue->groups.size() == 1);
     std::vector<std::string> causes;
-    for (const FieldError &error : parsed->leftOut)
+    for (const FieldError &error : parsed->rejectedEntries)
         causes.push_back(error.toText());
     CHECK(causes
           == std::vector<std::string> {
--- a/tests/platform/fakeplatform.cpp
+++ b/tests/platform/fakeplatform.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using Tcp = boost::asio::ip::tcp;
-constexpr Duration feedLook = std::chrono::milliseconds(20);
+constexpr Duration feedPollPeriod = std::chrono::milliseconds(20);
 
 std::string parameter(const std::string &query, const std::string &name)
 {
@@ -79,7 +79,7 @@
     const std::string news = rowsAfter(table, std::max<std::uint64_t>(after, 1), "");
     if (!news.empty())
         return reply->send(caller::jsonResponse(news));
-    thread_.timers().subscribeAfter(feedLook,
+    thread_.timers().subscribeAfter(feedPollPeriod,
                                     [this, request, reply] { onRequest(request, reply); });
 }
 
--- a/tests/platform/process_test.cpp
+++ b/tests/platform/process_test.cpp
@@ -70,7 +70,7 @@
     }
 
     // Everything up to READY, joined by '|'.
-    std::string ask(const std::string &text)
+    std::string query(const std::string &text)
     {
         send(text + "\r\n");
         std::string answer;
@@ -130,9 +130,9 @@
     }
 
     // Exit status of the process, or -1 if it still runs after the time.
-    int waitForEnd(std::chrono::milliseconds most)
+    int waitForEnd(std::chrono::milliseconds limit)
     {
-        for (auto waited = 0ms; waited < most; waited += 20ms) {
+        for (auto waited = 0ms; waited < limit; waited += 20ms) {
             int status = 0;
             if (::waitpid(process, &status, WNOHANG) == process) {
                 process = 0;
@@ -153,14 +153,14 @@
         arguments.push_back(nullptr);
         posix_spawn_file_actions_t actions;
         posix_spawn_file_actions_init(&actions);
-        const int nowhere = ::open("/dev/null", O_WRONLY);
-        posix_spawn_file_actions_adddup2(&actions, output >= 0 ? output : nowhere, STDOUT_FILENO);
+        const int devNull = ::open("/dev/null", O_WRONLY);
+        posix_spawn_file_actions_adddup2(&actions, output >= 0 ? output : devNull, STDOUT_FILENO);
         pid_t child = 0;
         char *noVariables[] = {nullptr};
         REQUIRE(::posix_spawn(&child, KELPTALLYD, &actions, nullptr, arguments.data(), noVariables)
                 == 0);
         posix_spawn_file_actions_destroy(&actions);
-        ::close(nowhere);
+        ::close(devNull);
         return child;
     }
 
@@ -255,33 +255,33 @@
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
-    CHECK(caller.ask("START main me") == "READY I -");
-    CHECK(caller.ask("QUERY 1 READ a1") == "DATAROW row-of-a1|COMPLETE sig-1|READY I -");
-    CHECK(caller.ask("QUERY 2 SET mode strict") == "COMPLETE -|READY I -");
-    CHECK(caller.ask("QUERY 3 PREPARE s WRITE shape-7") == "COMPLETE -|READY I -");
-    CHECK(caller.ask("QUERY 4 EXECUTE s a1 data").rfind("COMPLETE sig-4|READY I 1.1", 0) == 0);
+    CHECK(caller.query("START main me") == "READY I -");
+    CHECK(caller.query("QUERY 1 READ a1") == "DATAROW row-of-a1|COMPLETE sig-1|READY I -");
+    CHECK(caller.query("QUERY 2 SET mode strict") == "COMPLETE -|READY I -");
+    CHECK(caller.query("QUERY 3 PREPARE s WRITE shape-7") == "COMPLETE -|READY I -");
+    CHECK(caller.query("QUERY 4 EXECUTE s a1 data").rfind("COMPLETE sig-4|READY I 1.1", 0) == 0);
     CHECK(contains(deployment.server.lines(), "QUERY - SET mode strict"));
     CHECK(contains(deployment.server.lines(), "PREPARE p1 WRITE shape-7"));
     CHECK(contains(deployment.server.lines(), "QUERY 4 EXECUTE p1 a1 data"));
-    CHECK(caller.ask("QUERY 5 BEGIN") == "COMPLETE -|READY T -");
-    CHECK(caller.ask("QUERY 6 WRITE a1 more").rfind("COMPLETE sig-6|READY T", 0) == 0);
-    CHECK(caller.ask("QUERY 7 COMMIT").rfind("COMPLETE sig-7|READY I 1.2", 0) == 0);
+    CHECK(caller.query("QUERY 5 BEGIN") == "COMPLETE -|READY T -");
+    CHECK(caller.query("QUERY 6 WRITE a1 more").rfind("COMPLETE sig-6|READY T", 0) == 0);
+    CHECK(caller.query("QUERY 7 COMMIT").rfind("COMPLETE sig-7|READY I 1.2", 0) == 0);
     CHECK(contains(deployment.server.lines(), "START cases kelptally i-1"));
     // Another session has none of this.
     Caller other(deployment.callerPort);
-    other.ask("START main me");
-    CHECK(other.ask("QUERY 8 EXECUTE s a1 data").rfind("ERROR MALFORMED", 0) == 0);
+    other.query("START main me");
+    CHECK(other.query("QUERY 8 EXECUTE s a1 data").rfind("ERROR MALFORMED", 0) == 0);
 }
 
 TEST_CASE("A write whose answer is lost is in doubt at once, and a read is run again")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
-    caller.ask("QUERY 1 READ a1");
+    caller.query("START main me");
+    caller.query("QUERY 1 READ a1");
     deployment.server.loseNextWrite();
-    CHECK(caller.ask("QUERY 2 WRITE a1 data").rfind("ERROR INDOUBT", 0) == 0);
-    CHECK(caller.ask("QUERY 3 WRITE a1 data").rfind("COMPLETE sig-3", 0) == 0);
+    CHECK(caller.query("QUERY 2 WRITE a1 data").rfind("ERROR INDOUBT", 0) == 0);
+    CHECK(caller.query("QUERY 3 WRITE a1 data").rfind("COMPLETE sig-3", 0) == 0);
     int sent = 0;
     for (const std::string &line : deployment.server.lines())
         sent += line.find("QUERY 2 WRITE") != std::string::npos;
@@ -292,24 +292,24 @@
 {
     Deployment deployment;
     Caller good(deployment.callerPort);
-    good.ask("START main me");
+    good.query("START main me");
     Caller unknown(deployment.callerPort);
-    CHECK(unknown.ask("START nothing me").rfind("ERROR NODB", 0) == 0);
+    CHECK(unknown.query("START nothing me").rfind("ERROR NODB", 0) == 0);
     Caller early(deployment.callerPort);
-    CHECK(early.ask("QUERY 1 READ a").rfind("ERROR MALFORMED", 0) == 0);
-    Caller odd(deployment.callerPort);
-    odd.ask("START main me");
-    CHECK(odd.ask("QUERY 1 FETCH a").rfind("ERROR MALFORMED", 0) == 0);
-    CHECK(odd.ask("QUERY 2 READ a") == "DATAROW row-of-a|COMPLETE sig-2|READY I -");
+    CHECK(early.query("QUERY 1 READ a").rfind("ERROR MALFORMED", 0) == 0);
+    Caller malformed(deployment.callerPort);
+    malformed.query("START main me");
+    CHECK(malformed.query("QUERY 1 FETCH a").rfind("ERROR MALFORMED", 0) == 0);
+    CHECK(malformed.query("QUERY 2 READ a") == "DATAROW row-of-a|COMPLETE sig-2|READY I -");
     // Pipelined statements are answered one after the other.
-    odd.send("QUERY 3 READ b\r\nQUERY 4 READ c\r\n");
-    CHECK(odd.line() == "DATAROW row-of-b");
-    CHECK(odd.line() == "COMPLETE sig-3");
-    CHECK(odd.line() == "READY I -");
-    CHECK(odd.line() == "DATAROW row-of-c");
+    malformed.send("QUERY 3 READ b\r\nQUERY 4 READ c\r\n");
+    CHECK(malformed.line() == "DATAROW row-of-b");
+    CHECK(malformed.line() == "COMPLETE sig-3");
+    CHECK(malformed.line() == "READY I -");
+    CHECK(malformed.line() == "DATAROW row-of-c");
     // Beyond 1 MiB.
     Caller large(deployment.callerPort);
-    large.ask("START main me");
+    large.query("START main me");
     try {
         large.send("QUERY 1 WRITE a " + std::string(1u << 21, 'x'));
     } catch (const boost::system::system_error &) {
@@ -317,7 +317,7 @@
     }
     const std::string answer = large.line();
     CHECK((answer.rfind("ERROR TOOBIG", 0) == 0 || answer == "closed"));
-    CHECK(good.ask("QUERY 1 READ z").rfind("DATAROW row-of-z", 0) == 0);
+    CHECK(good.query("QUERY 1 READ z").rfind("DATAROW row-of-z", 0) == 0);
 }
 
 TEST_CASE("A caller that leaves in a transaction has it rolled back")
@@ -325,9 +325,9 @@
     Deployment deployment;
     {
         Caller caller(deployment.callerPort);
-        caller.ask("START main me");
-        caller.ask("QUERY 1 BEGIN");
-        caller.ask("QUERY 2 WRITE a1 data");
+        caller.query("START main me");
+        caller.query("QUERY 1 BEGIN");
+        caller.query("QUERY 2 WRITE a1 data");
     }
     bool rolledBack = false;
     for (int i = 0; i < 200 && !rolledBack; ++i) {
@@ -352,20 +352,20 @@
     bool inForce = false;
     for (int i = 0; i < 200 && !inForce; ++i) {
         std::this_thread::sleep_for(10ms);
-        inForce = Caller(deployment.callerPort).ask("START next me") == "READY I -";
+        inForce = Caller(deployment.callerPort).query("START next me") == "READY I -";
     }
     CHECK(inForce);
-    CHECK(Caller(deployment.callerPort).ask("START main me").rfind("ERROR NODB", 0) == 0);
+    CHECK(Caller(deployment.callerPort).query("START main me").rfind("ERROR NODB", 0) == 0);
     configure(5, "main");
     std::this_thread::sleep_for(300ms);
-    CHECK(Caller(deployment.callerPort).ask("START next me") == "READY I -");
+    CHECK(Caller(deployment.callerPort).query("START next me") == "READY I -");
 }
 
 TEST_CASE("Servers are told the organisation; its key goes no further than the entry")
 {
-    int ends[2];
-    REQUIRE(::pipe(ends) == 0);
-    Deployment deployment(ends[1]);
+    int pipeEnds[2];
+    REQUIRE(::pipe(pipeEnds) == 0);
+    Deployment deployment(pipeEnds[1]);
     const auto configure = [&](int version, const std::string &tenants) {
         deployment.store.put(
             "op", "config",
@@ -376,7 +376,7 @@
     };
     const auto waitFor = [&](const std::string &start, const std::string &answer) {
         for (int i = 0; i < 200; ++i) {
-            if (Caller(deployment.callerPort).ask(start).rfind(answer, 0) == 0)
+            if (Caller(deployment.callerPort).query(start).rfind(answer, 0) == 0)
                 return true;
             std::this_thread::sleep_for(10ms);
         }
@@ -386,62 +386,63 @@
                     {"name":"county","apiKeys":["key-of-county","old-key-of-town"]})");
     REQUIRE(waitFor("START main key-of-none", "ERROR NOAUTH"));
     Caller town(deployment.callerPort);
-    CHECK(town.ask("START main key-of-town") == "READY I -");
-    CHECK(town.ask("QUERY 1 READ a1") == "DATAROW row-of-a1|COMPLETE sig-1|READY I -");
+    CHECK(town.query("START main key-of-town") == "READY I -");
+    CHECK(town.query("QUERY 1 READ a1") == "DATAROW row-of-a1|COMPLETE sig-1|READY I -");
     Caller county(deployment.callerPort);
-    CHECK(county.ask("START main old-key-of-town") == "READY I -");
-    CHECK(county.ask("QUERY 2 READ a1") == "DATAROW row-of-a1|COMPLETE sig-2|READY I -");
+    CHECK(county.query("START main old-key-of-town") == "READY I -");
+    CHECK(county.query("QUERY 2 READ a1") == "DATAROW row-of-a1|COMPLETE sig-2|READY I -");
     CHECK(contains(deployment.server.lines(), "START cases town i-1"));
     CHECK(contains(deployment.server.lines(), "START cases county i-1"));
-    CHECK(Caller(deployment.callerPort).ask("START main").rfind("ERROR NOAUTH", 0) == 0);
+    CHECK(Caller(deployment.callerPort).query("START main").rfind("ERROR NOAUTH", 0) == 0);
     // Taken away from a connected caller.
     configure(3, R"({"name":"town","apiKeys":["key-of-town"]})");
     REQUIRE(waitFor("START main old-key-of-town", "ERROR NOAUTH"));
-    CHECK(county.ask("QUERY 3 READ a1").rfind("ERROR NOAUTH", 0) == 0);
-    CHECK(town.ask("QUERY 4 READ a1").rfind("DATAROW", 0) == 0);
+    CHECK(county.query("QUERY 3 READ a1").rfind("ERROR NOAUTH", 0) == 0);
+    CHECK(town.query("QUERY 4 READ a1").rfind("DATAROW", 0) == 0);
     CHECK(!contains(deployment.server.lines(), "QUERY 3"));
     // No key in what a server, the log or the metrics are told.
-    std::string told = deployment.metrics();
+    std::string published = deployment.metrics();
     for (const std::string &line : deployment.server.lines())
-        told += line;
-    ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
+        published += line;
+    ::fcntl(pipeEnds[0], F_SETFL, O_NONBLOCK);
     char bytes[65536];
-    for (ssize_t count; (count = ::read(ends[0], bytes, sizeof bytes)) > 0;)
-        told.append(bytes, static_cast<std::size_t>(count));
-    CHECK(told.find("session_refused") != std::string::npos);
+    for (ssize_t count; (count = ::read(pipeEnds[0], bytes, sizeof bytes)) > 0;)
+        published.append(bytes, static_cast<std::size_t>(count));
+    CHECK(published.find("session_refused") != std::string::npos);
     for (const char *key : {"key-of-town", "key-of-county", "key-of-none"})
-        CHECK(told.find(key) == std::string::npos);
-    ::close(ends[0]);
-    ::close(ends[1]);
+        CHECK(published.find(key) == std::string::npos);
+    ::close(pipeEnds[0]);
+    ::close(pipeEnds[1]);
 }
 
 TEST_CASE("SIGTERM: not ready at once, idle sessions closed, and an end within the grace")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
-    caller.ask("QUERY 0 READ a");
+    caller.query("START main me");
+    caller.query("QUERY 0 READ a");
     ::kill(deployment.process, SIGTERM);
     std::this_thread::sleep_for(200ms);
     CHECK(deployment.ready() == 503);
-    CHECK(caller.ask("QUERY 1 READ a") == "DATAROW row-of-a|COMPLETE sig-1|READY I -");
+    CHECK(caller.query("QUERY 1 READ a") == "DATAROW row-of-a|COMPLETE sig-1|READY I -");
     CHECK(caller.line() == "closed");
     CHECK(deployment.waitForEnd(5000ms) == 0);
 }
 
 TEST_CASE("Nobody reads the log: service goes on")
 {
-    int ends[2];
-    REQUIRE(::pipe(ends) == 0);
-    Deployment deployment(ends[1]);
+    int pipeEnds[2];
+    REQUIRE(::pipe(pipeEnds) == 0);
+    Deployment deployment(pipeEnds[1]);
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
+    caller.query("START main me");
     // Refusals are logged; far more than a pipe holds.
     for (int i = 0; i < 3000; ++i)
-        REQUIRE(Caller(deployment.callerPort).ask("START nothing me").rfind("ERROR NODB", 0) == 0);
-    CHECK(caller.ask("QUERY 1 READ a").rfind("DATAROW row-of-a", 0) == 0);
-    ::close(ends[0]);
-    ::close(ends[1]);
+        REQUIRE(Caller(deployment.callerPort).query("START nothing me").rfind("ERROR NODB", 0)
+                == 0);
+    CHECK(caller.query("QUERY 1 READ a").rfind("DATAROW row-of-a", 0) == 0);
+    ::close(pipeEnds[0]);
+    ::close(pipeEnds[1]);
 }
 
 TEST_CASE("Settings with mistakes are told all at once, and nothing starts")
@@ -460,8 +461,8 @@
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
-    caller.ask("QUERY 1 WRITE a1 data");
+    caller.query("START main me");
+    caller.query("QUERY 1 WRITE a1 data");
     admin::ProxyClient client = deployment.operatorClient();
     std::ostringstream out;
     std::ostringstream err;
@@ -476,8 +477,8 @@
     CHECK_THAT(out.str(),
                Catch::Contains(R"("database":"main")") && Catch::Contains(R"("group":"cases")")
                    && Catch::Contains(R"("timeout_ms":800)"));
-    admin::ProxyClient stranger = deployment.operatorClient("another key that is long");
-    CHECK(admin::showStatus(stranger, false, output) == admin::CtlExit::Refused);
+    admin::ProxyClient unauthorised = deployment.operatorClient("another key that is long");
+    CHECK(admin::showStatus(unauthorised, false, output) == admin::CtlExit::Refused);
     CHECK(admin::drainHost(client, "h-2", output) == admin::CtlExit::Refused);
     CHECK(deployment.ready() == 200);
     CHECK(admin::drainHost(client, "h-1", output) == admin::CtlExit::Done);
@@ -489,8 +490,8 @@
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
-    caller.ask("QUERY 1 READ a1");
+    caller.query("START main me");
+    caller.query("QUERY 1 READ a1");
     const std::string text = deployment.metrics();
     CHECK_THAT(
         text,
@@ -502,15 +503,15 @@
 
 TEST_CASE("A settings file that changes without a signal is taken over; a bad one changes nothing")
 {
-    int ends[2];
-    REQUIRE(::pipe(ends) == 0);
-    Deployment deployment(ends[1]);
-    ::close(ends[1]);
+    int pipeEnds[2];
+    REQUIRE(::pipe(pipeEnds) == 0);
+    Deployment deployment(pipeEnds[1]);
+    ::close(pipeEnds[1]);
     std::string log;
-    const auto logs = [&](const std::string &part) {
+    const auto logContains = [&](const std::string &part) {
         char bytes[4096];
         while (log.find(part) == std::string::npos) {
-            const auto count = ::read(ends[0], bytes, sizeof bytes);
+            const auto count = ::read(pipeEnds[0], bytes, sizeof bytes);
             if (count <= 0)
                 return false;
             log.append(bytes, std::size_t(count));
@@ -518,15 +519,15 @@
         return true;
     };
     deployment.writeSettings("loud");
-    CHECK(logs("reload_refused"));
+    CHECK(logContains("reload_refused"));
     deployment.writeSettings("debug");
-    CHECK(logs(R"("event":"reloaded","log_level":"debug","needs_restart":"")"));
+    CHECK(logContains(R"("event":"reloaded","log_level":"debug","needs_restart":"")"));
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
-    caller.ask("QUERY 1 READ a1");
-    CHECK(logs(R"("event":"statement_sent")"));
+    caller.query("START main me");
+    caller.query("QUERY 1 READ a1");
+    CHECK(logContains(R"("event":"statement_sent")"));
     deployment.writeSettings("info", "[limits]\nserver-leave-time=9s\n");
-    CHECK(logs(R"("log_level":"info")"));
-    CHECK(caller.ask("QUERY 2 READ a1") == "DATAROW row-of-a1|COMPLETE sig-2|READY I -");
-    ::close(ends[0]);
+    CHECK(logContains(R"("log_level":"info")"));
+    CHECK(caller.query("QUERY 2 READ a1") == "DATAROW row-of-a1|COMPLETE sig-2|READY I -");
+    ::close(pipeEnds[0]);
 }
--- a/tests/session/callersession_test.cpp
+++ b/tests/session/callersession_test.cpp
@@ -20,9 +20,9 @@
 
 TEST_CASE_METHOD(Fixture, "Values and prepared statements go with every statement of their session")
 {
-    say(StatementKind::SetValue, "mode", "strict");
-    say(StatementKind::Prepare, "s1", "q2c", true);
-    say(StatementKind::ExecutePrepared, "s1", "1a4 data");
+    runStatement(StatementKind::SetValue, "mode", "strict");
+    runStatement(StatementKind::Prepare, "s1", "q2c", true);
+    runStatement(StatementKind::ExecutePrepared, "s1", "1a4 data");
     CHECK(output.answers.size() == 2);
     REQUIRE(router.sent.size() == 1);
     CHECK(router.sent[0].values == std::vector<std::string> {"mode", "strict"});
@@ -30,37 +30,37 @@
     CHECK(router.sent[0].arguments == "1a4 data");
     CHECK(router.sent[0].verb == inner::SessionVerb::Write);
     router.answer();
-    say(StatementKind::Deallocate, "s1");
-    say(StatementKind::ExecutePrepared, "s1", "1a4 data");
+    runStatement(StatementKind::Deallocate, "s1");
+    runStatement(StatementKind::ExecutePrepared, "s1", "1a4 data");
     CHECK(router.sent.size() == 1);
     CHECK(output.answers.back().reason == Reason::MalformedRequest);
 }
 
 TEST_CASE_METHOD(Fixture, "A session carries the position of its own writes into its reads")
 {
-    say(StatementKind::Write);
+    runStatement(StatementKind::Write);
     CHECK(!router.sent[0].sessionPosition);
     router.answer(Reason::None, Executed::Yes, Position {3, 12});
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     CHECK(router.sent[1].sessionPosition == Position {3, 12});
     router.answer(Reason::None, Executed::Yes, Position {3, 9});
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     CHECK(router.sent[2].sessionPosition == Position {3, 12});
 }
 
 TEST_CASE_METHOD(Fixture, "The first statement of a transaction begins it at the server")
 {
-    say(StatementKind::Begin);
+    runStatement(StatementKind::Begin);
     CHECK(output.states.back() == SessionState::InTransaction);
     CHECK(router.sent.empty());
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     CHECK(router.sent[0].begins == inner::TransactionMode::ReadWrite);
     router.answer();
-    say(StatementKind::Write);
+    runStatement(StatementKind::Write);
     CHECK(router.sent[1].begins == inner::TransactionMode::None);
     CHECK(router.sent[1].inTransaction);
     router.answer();
-    say(StatementKind::Commit);
+    runStatement(StatementKind::Commit);
     CHECK(router.sent[2].verb == inner::SessionVerb::Commit);
     router.answer();
     CHECK(output.states.back() == SessionState::Idle);
@@ -69,8 +69,8 @@
 
 TEST_CASE_METHOD(Fixture, "A commit of nothing is the server's to answer")
 {
-    say(StatementKind::Begin);
-    say(StatementKind::Commit);
+    runStatement(StatementKind::Begin);
+    runStatement(StatementKind::Commit);
     REQUIRE(router.sent.size() == 1);
     CHECK(router.sent[0].begins == inner::TransactionMode::ReadWrite);
     CHECK(router.sent[0].verb == inner::SessionVerb::Commit);
@@ -78,16 +78,16 @@
 
 TEST_CASE_METHOD(Fixture, "A failed transaction takes nothing but its end, and is never committed")
 {
-    say(StatementKind::Begin);
-    say(StatementKind::Write);
+    runStatement(StatementKind::Begin);
+    runStatement(StatementKind::Write);
     router.answer(Reason::TransactionEnded, Executed::No);
     CHECK(output.states.back() == SessionState::Failed);
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     CHECK(output.answers.back().reason == Reason::MalformedRequest);
     CHECK(output.states.back() == SessionState::Failed);
-    say(StatementKind::SetValue, "a", "b");
+    runStatement(StatementKind::SetValue, "a", "b");
     CHECK(output.answers.back().reason == Reason::MalformedRequest);
-    say(StatementKind::Commit);
+    runStatement(StatementKind::Commit);
     CHECK(output.answers.back().reason == Reason::TransactionEnded);
     CHECK(output.states.back() == SessionState::Idle);
     CHECK(router.sent.size() == 1);
@@ -95,8 +95,8 @@
 
 TEST_CASE_METHOD(Fixture, "A caller that leaves in a transaction has it rolled back")
 {
-    say(StatementKind::Begin);
-    say(StatementKind::Write);
+    runStatement(StatementKind::Begin);
+    runStatement(StatementKind::Write);
     session->onCallerGone();
     CHECK(router.cancelled == std::vector<inner::RequestId> {1});
     CHECK(router.ended == std::vector<std::uint64_t> {7});
@@ -106,13 +106,13 @@
 
 TEST_CASE_METHOD(Fixture, "A transaction that rests too long is ended, without a word until asked")
 {
-    say(StatementKind::Begin);
-    say(StatementKind::Write);
+    runStatement(StatementKind::Begin);
+    runStatement(StatementKind::Write);
     router.answer();
     timers.advance(std::chrono::seconds(3));
     CHECK(router.ended.size() == 1);
     CHECK(output.answers.size() == 2);
-    say(StatementKind::Commit);
+    runStatement(StatementKind::Commit);
     CHECK(output.answers.back().reason == Reason::TransactionEnded);
     CHECK(output.answers.back().executed == Executed::No);
 }
@@ -120,26 +120,26 @@
 TEST_CASE_METHOD(Fixture,
                  "A route that is gone refuses the next statement, not the open transaction")
 {
-    say(StatementKind::Begin);
-    say(StatementKind::Write);
+    runStatement(StatementKind::Begin);
+    runStatement(StatementKind::Write);
     router.answer();
     auto empty = std::make_shared<Catalogue>();
     empty->version = 2;
     current.install(empty);
-    say(StatementKind::Write);
+    runStatement(StatementKind::Write);
     CHECK(router.sent.size() == 2);
     router.answer();
-    say(StatementKind::Commit);
+    runStatement(StatementKind::Commit);
     router.answer();
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     CHECK(output.answers.back().reason == Reason::UnknownGroup);
 }
 
 TEST_CASE_METHOD(Fixture, "What a session may keep is bounded")
 {
     for (int i = 0; i < 300; ++i)
-        say(StatementKind::SetValue, "v" + std::to_string(i), "x");
+        runStatement(StatementKind::SetValue, "v" + std::to_string(i), "x");
     CHECK(output.answers.back().reason == Reason::RequestTooLarge);
-    say(StatementKind::SetValue, "v1", "y");
+    runStatement(StatementKind::SetValue, "v1", "y");
     CHECK(output.answers.back().reason == Reason::None);
 }
--- a/tests/session/organisation_test.cpp
+++ b/tests/session/organisation_test.cpp
@@ -20,9 +20,9 @@
     return catalogue;
 }
 
-struct Organisations : public SessionFixture
+struct OrganisationFixture : public SessionFixture
 {
-    Organisations()
+    OrganisationFixture()
     {
         install(1, {{"one", "town"}, {"two", "town"}, {"three", "county"}});
         session = open("one");
@@ -37,9 +37,9 @@
 
 } // namespace
 
-TEST_CASE_METHOD(Organisations, "A statement carries its organisation, and never the key")
+TEST_CASE_METHOD(OrganisationFixture, "A statement carries its organisation, and never the key")
 {
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     REQUIRE(router.sent.size() == 1);
     CHECK(router.sent[0].organisation == "town");
     CHECK(router.sent[0].organisationVersion == 1);
@@ -48,44 +48,44 @@
     CHECK(bytes->find("one") == std::string::npos);
 }
 
-TEST_CASE_METHOD(Organisations, "A key that is taken away is refused with the next operation")
+TEST_CASE_METHOD(OrganisationFixture, "A key that is taken away is refused with the next operation")
 {
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     router.answer();
     install(2, {{"two", "town"}, {"three", "county"}});
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     CHECK(lastReason() == Reason::Unauthenticated);
-    say(StatementKind::Begin);
+    runStatement(StatementKind::Begin);
     CHECK(lastReason() == Reason::Unauthenticated);
     CHECK(output.states.back() == SessionState::Idle);
     CHECK(router.sent.size() == 1);
     // What needs no server is not the organisation's.
-    say(StatementKind::SetValue, "mode", "strict");
+    runStatement(StatementKind::SetValue, "mode", "strict");
     CHECK(lastReason() == Reason::None);
     // And given back.
     install(3, {{"one", "town"}});
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     CHECK(router.sent.size() == 2);
 }
 
-TEST_CASE_METHOD(Organisations, "A key that is passed on speaks for its new organisation")
+TEST_CASE_METHOD(OrganisationFixture, "A key that is passed on speaks for its new organisation")
 {
     install(2, {{"one", "county"}});
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     REQUIRE(router.sent.size() == 1);
     CHECK(router.sent[0].organisation == "county");
     CHECK(router.sent[0].organisationVersion == 2);
 }
 
-TEST_CASE_METHOD(Organisations,
+TEST_CASE_METHOD(OrganisationFixture,
                  "An open transaction outlives its key by a second, for its own organisation")
 {
-    say(StatementKind::Begin);
-    say(StatementKind::Write);
+    runStatement(StatementKind::Begin);
+    runStatement(StatementKind::Write);
     router.answer();
     timers.advance(100ms);
     install(2, {{"one", "county"}});
-    say(StatementKind::Write);
+    runStatement(StatementKind::Write);
     REQUIRE(router.sent.size() == 2);
     CHECK(router.sent[1].organisation == "town");
     router.answer();
@@ -93,7 +93,7 @@
     timers.advance(600ms);
     install(3, {{"three", "county"}});
     timers.advance(500ms);
-    say(StatementKind::Write);
+    runStatement(StatementKind::Write);
     CHECK(router.sent.size() == 2);
     CHECK(lastReason() == Reason::TransactionEnded);
     CHECK(output.answers.back().executed == Executed::No);
@@ -101,48 +101,50 @@
     CHECK(router.ended == std::vector<std::uint64_t> {7});
 }
 
-TEST_CASE_METHOD(Organisations,
+TEST_CASE_METHOD(OrganisationFixture,
                  "A commit after that second is refused as not run, and ends the transaction")
 {
-    say(StatementKind::Begin);
-    say(StatementKind::Write);
+    runStatement(StatementKind::Begin);
+    runStatement(StatementKind::Write);
     router.answer();
     install(2, {});
     timers.advance(1100ms);
-    say(StatementKind::Commit);
+    runStatement(StatementKind::Commit);
     CHECK(lastReason() == Reason::TransactionEnded);
     CHECK(output.states.back() == SessionState::Idle);
     CHECK(router.ended.size() == 1);
-    say(StatementKind::Begin);
+    runStatement(StatementKind::Begin);
     CHECK(lastReason() == Reason::Unauthenticated);
 }
 
-TEST_CASE_METHOD(Organisations, "A change that leaves the key alone ends nothing")
+TEST_CASE_METHOD(OrganisationFixture, "A change that leaves the key alone ends nothing")
 {
-    say(StatementKind::Begin);
-    say(StatementKind::Write);
+    runStatement(StatementKind::Begin);
+    runStatement(StatementKind::Write);
     router.answer();
     install(2, {{"one", "town"}, {"four", "county"}});
     timers.advance(1500ms);
-    say(StatementKind::Commit);
+    runStatement(StatementKind::Commit);
     CHECK(router.sent.size() == 2);
 }
 
-TEST_CASE_METHOD(Organisations, "A route may need no key; then the statement is no organisation's")
+TEST_CASE_METHOD(OrganisationFixture,
+                 "A route may need no key; then the statement is no organisation's")
 {
     auto open = catalogue(2, {});
     open->routes.at("main").needsKey = false;
     current.install(open, timers.now());
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     REQUIRE(router.sent.size() == 1);
     CHECK(router.sent[0].organisation.empty());
     CHECK(router.sent[0].organisationVersion == 0);
 }
 
-TEST_CASE_METHOD(Organisations, "A configuration that leaves the organisations out opens nothing")
+TEST_CASE_METHOD(OrganisationFixture,
+                 "A configuration that leaves the organisations out opens nothing")
 {
     current.install(mainCatalogue(2), timers.now());
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     CHECK(lastReason() == Reason::Unauthenticated);
 }
 
@@ -151,7 +153,7 @@
 {
     current.install(mainCatalogue(1), timers.now());
     session = open("whatever");
-    say(StatementKind::Read);
+    runStatement(StatementKind::Read);
     REQUIRE(router.sent.size() == 1);
     const auto without = inner::encode(router.sent[0]);
     router.sent[0].organisation = "town";
--- a/tests/session/sessionfixture.h
+++ b/tests/session/sessionfixture.h
@@ -49,7 +49,7 @@
     std::vector<SessionState> states;
 };
 
-inline EventLogOptions quiet()
+inline EventLogOptions errorsOnly()
 {
     EventLogOptions options;
     options.level = LogLevel::Error;
@@ -78,8 +78,8 @@
             sha256(key));
     }
 
-    void say(StatementKind kind, const std::string &name = "", const std::string &argument = "",
-             bool writes = false)
+    void runStatement(StatementKind kind, const std::string &name = "",
+                      const std::string &argument = "", bool writes = false)
     {
         Statement statement;
         statement.kind = kind;
@@ -92,7 +92,7 @@
     }
 
     ManualTimerService timers;
-    EventLog log {quiet()};
+    EventLog log {errorsOnly()};
     Metrics metrics;
     FakeRouter router;
     FakeOutput output;
