--- a/src/session/callersession.cpp
+++ b/src/session/callersession.cpp
@@ -4,12 +4,11 @@
 
 namespace {
 
-// A caller keeps at most so many values and prepared statements, so that one session cannot fill
-// the process. Chosen, not measured; the message of a statement carries at most 256 values.
+// Limits on the memory of one session. A statement's message carries at most 256 values.
 constexpr std::size_t maxValues = 256;
 constexpr std::size_t maxPrepared = 1024;
-// A transaction that was open when its key was taken away goes on for so long: longer than most
-// take, and a fifth of the five seconds within which a configuration has to be in force.
+// How long a transaction may continue after its key was revoked. Must stay well below the five
+// seconds within which a new configuration takes effect.
 constexpr Duration revokedKeyGracePeriod = std::chrono::milliseconds(1000);
 
 } // namespace
@@ -23,12 +22,12 @@
 {
     answering_ = true;
     parts_.timers.cancel(idleTimer_);
-    // 1. A failed transaction takes nothing but its end.
+    // 1. A failed transaction accepts only COMMIT and ROLLBACK.
     if (state_ == SessionState::Failed)
         return runInFailedTransaction(statement);
     if (state_ == SessionState::InTransaction && isKeyRevoked())
         return endRevokedTransaction(statement);
-    // 2. What needs no server is answered here.
+    // 2. Handle statements that need no server locally.
     switch (statement.kind) {
     case StatementKind::Begin:
     case StatementKind::BeginReadOnly:
@@ -43,7 +42,7 @@
     default:
         break;
     }
-    // 3. Outside a transaction each statement follows the route in force.
+    // 3. Outside a transaction each statement uses the current route.
     if (state_ == SessionState::Idle) {
         if (statement.kind == StatementKind::Commit)
             return fail(Reason::MalformedRequest, Executed::No, "there is no transaction");
@@ -51,7 +50,7 @@
         if (refused != Reason::None)
             return refuseOperation(statement, refused);
     }
-    // 4. The rest goes to the owner.
+    // 4. Send everything else to the owner.
     if (statement.kind == StatementKind::Commit)
         return send(std::move(statement), inner::SessionVerb::Commit, nullptr);
     if (statement.kind != StatementKind::ExecutePrepared) {
@@ -110,7 +109,7 @@
         .with("session", number_)
         .with("database", database_)
         .with("version", parts_.catalogue.version());
-    fail(reason, Executed::No, "the route or the key is not in force any more");
+    fail(reason, Executed::No, "the route or the key is no longer in force");
 }
 
 bool CallerSession::isKeyRevoked() const
@@ -139,11 +138,10 @@
         .with("version", version_);
     if (statement.kind == StatementKind::Rollback)
         return answer({});
-    fail(Reason::TransactionEnded, Executed::No, "the session's key was taken away");
+    fail(Reason::TransactionEnded, Executed::No, "the session's key was revoked");
 }
 
-// Nothing of a failed transaction is kept, so a commit is refused and anything else that ends it is
-// done.
+// Nothing of a failed transaction is kept, so a rollback succeeds and a commit is refused.
 void CallerSession::runInFailedTransaction(const Statement &statement)
 {
     if (statement.kind == StatementKind::Rollback) {
@@ -285,7 +283,7 @@
     output_->answer(answer, state_);
 }
 
-// A caller that rests inside a transaction holds a server connection that others need.
+// Ends a transaction that stays idle, as it holds a server connection that other callers need.
 void CallerSession::startIdleTimer()
 {
     const Catalogue *catalogue = parts_.catalogue.get();
--- a/src/session/callersession.h
+++ b/src/session/callersession.h
@@ -16,21 +16,21 @@
 
 using DoneCallback = std::function<void(inner::StatementDone)>;
 
-// Brings statements to the owners of their groups.
+// Sends statements to the owners of their groups.
 class StatementRouter
 {
 public:
     virtual ~StatementRouter() = default;
 
-    // Calls back exactly once, never from within the call, unless it is cancelled.
+    // Calls back exactly once, never from within the call, unless the request is cancelled.
     virtual inner::RequestId run(inner::RunStatement statement, DoneCallback callback) = 0;
-    // Forgets the callback.
+    // Drops the callback; the statement may still be executed.
     virtual void cancel(inner::RequestId id) = 0;
-    // Rolls back what the session may have open at the group's owner.
+    // Rolls back the session's open transaction at the group's owner, if there is one.
     virtual void endTransaction(const GroupName &group, std::uint64_t session) = 0;
 };
 
-// The connection of one caller.
+// Receives the answers of a session; implemented by the caller's connection.
 class SessionOutput
 {
 public:
@@ -39,8 +39,9 @@
     virtual void answer(const Answer &answer, SessionState state) = 0;
 };
 
-// One caller's session: its values, prepared statements and transaction. One statement at a time:
-// the next run() comes after the answer. Kept alive by its connection and by open statements.
+// One caller's session: its values, prepared statements and transaction. Runs one statement at a
+// time: run() must not be called again before the answer. Kept alive by its connection and by
+// statements in flight.
 class CallerSession : public std::enable_shared_from_this<CallerSession>
 {
 public:
@@ -53,15 +54,14 @@
         Metrics &metrics;
     };
 
-    // The key is the sum of what the caller has shown; the key itself goes no further than its
-    // connection.
+    // `key` is the digest of the caller's key; the key itself never leaves the connection.
     CallerSession(const Parts &parts, std::uint64_t number, std::string database,
                   SessionOutput &output, const Sha256Digest &key = {});
 
     void run(Statement statement);
-    // Answers a statement that could not be read.
+    // Answers a statement that could not be parsed.
     void refuse(Reason reason, const std::string &detail);
-    // The caller has closed its connection. The output is not used any more.
+    // Rolls back and cancels when the caller has disconnected. The output is not used afterwards.
     void onCallerGone();
 
     bool answering() const { return answering_; }
@@ -75,11 +75,11 @@
         std::string shape;
     };
 
-    // Takes over the route and the organisation in force for the operation that begins; None, or
-    // why there is none.
+    // Stores the current route and organisation for a new operation. Returns Reason::None, or why
+    // the operation is refused.
     Reason beginOperation();
-    // The key's organisation was another when the transaction began, and has not been its for a
-    // while.
+    // Whether the key no longer belongs to the transaction's organisation and the grace period
+    // has passed.
     bool isKeyRevoked() const;
     void refuseOperation(const Statement &statement, Reason reason);
     void endRevokedTransaction(const Statement &statement);
@@ -104,12 +104,12 @@
     std::map<std::string, Prepared> prepared_;
     SessionState state_ = SessionState::Idle;
     bool answering_ = false;
-    // Of the operation that runs; in a transaction from its begin to its end.
+    // Of the current operation; fixed for the whole of a transaction.
     Route route_;
     OrganisationName organisation_;
     ConfigVersion version_ = 0;
     inner::TransactionMode mode_ = inner::TransactionMode::None;
-    // A statement of the transaction has been sent to the owner.
+    // Whether a statement of the transaction has been sent to the owner.
     bool begunAtOwner_ = false;
     std::optional<Position> position_;
     inner::RequestId request_ = 0;
--- a/src/session/catalogue.cpp
+++ b/src/session/catalogue.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Versions whose times are kept: an open transaction lasts some seconds, and sees fewer go by.
+// Number of versions whose installation times are kept, for the transactions that are open.
 constexpr std::size_t maxInstalled = 32;
 
 } // namespace
--- a/src/session/catalogue.h
+++ b/src/session/catalogue.h
@@ -11,53 +11,55 @@
 #include <memory>
 #include <string>
 
-// The operator's configuration as sessions need it: which database leads to which group, and how;
-// and which organisation a caller's key belongs to.
+// The parts of the operator's configuration that sessions use: the routes from databases to groups,
+// and the organisations of callers' keys.
 namespace kelptally::session {
 
+// How statements for one database are routed.
 struct Route
 {
     std::string name;
     GroupName group;
     inner::ReadRule rule = inner::ReadRule::Newest;
     Duration maxAge {0};
-    // Longest time of one statement.
+    // Maximum execution time of one statement.
     Duration statementTimeout {std::chrono::seconds(1)};
-    // Time within which an operation should be answered.
+    // Target latency of an operation.
     Duration objective {std::chrono::milliseconds(500)};
     int priority = 0;
-    // Whether its callers have to show an organisation's key, where there are organisations.
+    // Whether callers must present an organisation's key if organisations are configured.
     bool needsKey = true;
 };
 
 struct GroupOptions
 {
-    // Connections that a server takes from all processes together.
+    // Maximum number of connections to one server from all processes together.
     int maxConnections = 0;
     // Whether a commit is acknowledged only once a replica has received it.
     bool synchronous = false;
-    // Each connection to its servers belongs to one organisation.
+    // Whether each connection to the servers belongs to a single organisation.
     bool byOrganisation = false;
 };
 
+// One version of the configuration.
 struct Catalogue
 {
     ConfigVersion version = 0;
-    // By the database's name.
+    // By database name.
     std::map<std::string, Route> routes;
     std::map<GroupName, GroupOptions> groups;
-    // A transaction without a statement for this long is ended; 0: never.
+    // Idle timeout of transactions; 0 means none.
     Duration transactionIdle {0};
-    // Whether the configuration speaks of organisations at all. Without them nobody needs a key.
+    // Whether the configuration has a list of organisations. Without it no caller needs a key.
     bool hasOrganisations = false;
     KeyRing keys;
-    // Organisations without a quota may ask as much as they like.
+    // Organisations and their quotas; without a quota an organisation is not limited.
     std::map<OrganisationName, std::optional<decision::Quota>> organisations;
 };
 
 using CataloguePtr = std::shared_ptr<const Catalogue>;
 
-// The catalogue in force. Versions only go up within the life of a process.
+// The catalogue in force. Its version never decreases during the lifetime of a process.
 class CurrentCatalogue
 {
 public:
@@ -65,18 +67,19 @@
     const CataloguePtr &shared() const { return catalogue_; }
     ConfigVersion version() const { return catalogue_ ? catalogue_->version : 0; }
 
-    // False, and nothing changes, when the version is not newer.
+    // Replaces the catalogue. Returns false, without effect, if the version is not newer.
     bool install(CataloguePtr catalogue, Instant now = {});
 
-    // Null when there is no such database.
+    // Returns the route to a database, or null if there is none.
     const Route *route(const std::string &database) const;
 
-    // Once a configuration has had organisations, one that leaves them out opens nothing.
+    // Stays true once a configuration has had organisations, so that one without them does not
+    // grant access to everybody.
     bool needsKeys() const { return needsKeys_; }
-    // Null when no organisation has the key.
+    // Returns the organisation of a key, or null if the key is unknown.
     const OrganisationName *organisationOf(const Sha256Digest &key) const;
-    // When the first version after this one came into force, as far back as that is known; nothing
-    // when none has.
+    // Returns when the first version newer than `version` was installed, or nothing if there is
+    // none. Only recent versions are remembered.
     std::optional<Instant> supersededAt(ConfigVersion version) const;
 
 private:
--- a/src/session/router.cpp
+++ b/src/session/router.cpp
@@ -9,31 +9,30 @@
 
 namespace {
 
-// While answers are owed, owners are looked at this often.
+// Interval at which owners are checked while statements are in flight.
 constexpr Duration tickPeriod = std::chrono::milliseconds(40);
-// An owner that was silent for this long is asked whether it is there.
+// An owner that is silent for this long is probed.
 constexpr Duration probeAfter = std::chrono::milliseconds(120);
-// And after this long, two questions, another link to it is dialled beside the one that may have
-// gone silent.
+// After this long, a second link is dialled beside the one that may be broken.
 constexpr Duration redialAfter = std::chrono::milliseconds(200);
-// And counts as gone after this long: four questions and the way of an answer between zones.
+// After this long the owner counts as lost. Covers several probes and a round trip between zones.
 constexpr Duration silentAfter = std::chrono::milliseconds(450);
-// A tick that comes later than this means that this process itself stood still.
+// A longer interval between ticks means that this process itself was stalled.
 constexpr Duration stallThreshold = std::chrono::milliseconds(160);
-// A link that went comes back within this time if both ends live: a reset one is dialled again
-// after 25 to 50 ms. Statements that may not be repeated wait for it, and for the owner's answer.
+// How long a lost link may take to come back. Statements that may not be repeated wait for it
+// before they are given up.
 constexpr Duration resumeTime = std::chrono::milliseconds(300);
-// Ends of transactions are sent again on the next link if they are not older than the time in which
-// a silent link is noticed; in number chosen, not measured.
+// EndTransaction messages up to this age are sent again on the next link. Must cover the time in
+// which a broken link is detected.
 constexpr Duration endResendWindow = std::chrono::milliseconds(2500);
 constexpr std::size_t maxResentEnds = 256;
-// What a caller is told to wait for an owner: about the time of a takeover.
+// Retry delay for callers when a group has no owner: about the time of a takeover.
 constexpr Duration takeoverTime = std::chrono::milliseconds(500);
-// What a caller of a host that stops is told to wait before it comes back through another.
+// Retry delay for callers while this host drains; they reconnect through another host.
 constexpr Duration drainRetryAfter = std::chrono::milliseconds(20);
-// Chosen, not measured: a statement that meets so many lost owners is given up.
+// Maximum number of times that one statement is sent.
 constexpr int maxAttempts = 6;
-// An owner answers by the deadline of a statement; this long after it the answer is lost.
+// An answer that has not arrived this long after the deadline is considered lost.
 constexpr Duration answerGracePeriod = std::chrono::milliseconds(500);
 const std::string linkDown = "link_down";
 
@@ -63,7 +62,7 @@
     return id;
 }
 
-// Tries the way without the owner first.
+// Tries a read in the same zone first, and falls back to the owner.
 void Router::tryLocalRead(inner::RequestId id)
 {
     const std::optional<OwnerRef> owner = parts_.owners.owner(pending_.at(id).statement.group);
@@ -109,7 +108,7 @@
     return {group, session, lastSent_};
 }
 
-// Without a link the owner rolls back by itself, unless the link comes back soon.
+// Keeps the message for resending. The owner rolls back by itself if the link stays down.
 void Router::recordEnd(Peer &peer, const inner::EndTransaction &end)
 {
     const Instant now = parts_.timers.now();
@@ -122,7 +121,7 @@
 void Router::dispatch(inner::RequestId id)
 {
     Pending &pending = pending_.at(id);
-    // 1. A transaction stays where it began.
+    // 1. Statements of an open transaction go to the process where it began.
     if (continuesTransaction(pending.statement)) {
         const auto location = transactions_.find(pending.statement.session);
         if (location == transactions_.end())
@@ -139,7 +138,7 @@
                "the owner of the transaction cannot be reached");
         return;
     }
-    // 2. Anything else goes to the owner of now.
+    // 2. All others go to the current owner.
     const std::optional<OwnerRef> owner = parts_.owners.owner(pending.statement.group);
     if (!owner) {
         parts_.owners.requestOwner(pending.statement.group);
@@ -193,7 +192,7 @@
     pending.statement.requestId = ++lastSent_;
     if (pending.statement.begins != inner::TransactionMode::None)
         transactions_[pending.statement.session] = {std::string(), pending.statement.group};
-    // Answers may come from within the call, and callers expect them later.
+    // The executor may call back at once, but run() must not call back from within the call.
     parts_.local.run(0, pending.statement, [this, id](inner::StatementDone done) {
         done.requestId = id;
         parts_.timers.subscribeAt(parts_.timers.now(),
@@ -208,7 +207,7 @@
     searches_[pending.statement.group].onWait(parts_.timers.now());
 }
 
-// A statement of an open transaction can go nowhere else.
+// Statements of an open transaction wait until their deadline, as no other owner can run them.
 bool Router::shouldAbandon(const Pending &pending, Instant now) const
 {
     if (now >= pending.deadline)
@@ -257,7 +256,7 @@
         detachFromPeer(pending);
         if (continuesTransaction(pending.statement))
             return refuse(done.requestId, Reason::TransactionEnded, Executed::No,
-                          "the owner has given the group up");
+                          "the owner has released the group");
         parts_.metrics.countRetry(Reason::NotOwner);
         const GroupName group = pending.statement.group;
         const bool ownerIsNewer = done.ownerEpoch > pending.epoch;
@@ -315,7 +314,7 @@
     if (!peer.silent)
         return;
     peer.silent = false;
-    parts_.log.info("owner_heard_again").with("peer", address);
+    parts_.log.info("owner_responsive").with("peer", address);
     dispatchWaiting();
 }
 
@@ -332,7 +331,7 @@
     dispatchWaiting();
 }
 
-// The same run of the process is there again: it still has what it was sent, or gets it now.
+// Resends everything unanswered after the link to the same incarnation has come back.
 void Router::resumeLink(const std::string &address, Peer &peer)
 {
     peer.resend = false;
@@ -342,7 +341,7 @@
         static_cast<void>(parts_.links.sendTo(address, end));
     std::size_t count = 0;
     for (auto &[id, pending] : pending_) {
-        // What is late is given up in a moment; its answer may not be kept there any more.
+        // The peer may have discarded the answer by now; tick() gives the statement up.
         if (pending.address != address || now >= pending.deadline)
             continue;
         ++count;
@@ -359,11 +358,10 @@
 
 void Router::onLinkDown(const std::string &address)
 {
-    // The link that went may be the other end's, or one that has been replaced.
+    // The lost link may have been an incoming one, or one that has already been replaced.
     if (parts_.links.linkTo(address) != 0)
         return;
-    // Single reads go to whoever can be reached; what leaves something at the owner waits for the
-    // link.
+    // Single reads are sent again at once; other statements wait for the link to come back.
     Peer &peer = peers_[address];
     peer.resend = true;
     if (peer.downSince == Instant())
@@ -386,7 +384,7 @@
 
 void Router::onOwnerChanged(const GroupName &group)
 {
-    // What may be repeated need not wait for a link to an owner that has been followed.
+    // Repeatable statements need not wait for the link to a former owner.
     const std::optional<OwnerRef> owner = parts_.owners.owner(group);
     if (owner)
         reinstatePeer(owner->process.address);
@@ -402,8 +400,8 @@
     dispatchWaiting();
 }
 
-// Whoever has just become an owner most likely lives, whatever was known of it: after a cut, hosts
-// that held each other silent claimed a group from each other three times within 0.2 s.
+// Clears the suspicion against a process that has just become an owner, so that hosts that lost
+// contact do not claim a group from each other in turn.
 void Router::reinstatePeer(const std::string &address)
 {
     const auto found = peers_.find(address);
@@ -426,7 +424,7 @@
     for (const auto &[id, pending] : pending_)
         if (pending.address == address)
             lost.push_back(id);
-    // If the process lives after all, it must not keep them open.
+    // If the process is still alive, it must not keep these transactions open.
     for (auto location = transactions_.begin(); location != transactions_.end();) {
         if (location->second.address != address) {
             ++location;
@@ -522,7 +520,7 @@
     if (quiet < silentAfter || peer.silent)
         return;
     peer.silent = true;
-    parts_.log.warning("owner_silent").with("peer", address).with("quiet_ms", quiet);
+    parts_.log.warning("owner_silent").with("peer", address).with("silent_ms", quiet);
     onPeerLost(address, "silent");
 }
 
--- a/src/session/router.h
+++ b/src/session/router.h
@@ -15,60 +15,62 @@
 
 namespace kelptally::session {
 
-// Who acts for a group.
+// The owner of a group and its fencing token.
 struct OwnerRef
 {
     OwnerEpoch epoch = 0;
     ProcessId process;
 };
 
-// What the router asks about owners.
+// Knows the owners of groups, and learns from the router which are missing or unreachable.
 class OwnerSource
 {
 public:
     virtual ~OwnerSource() = default;
 
+    // Returns the current owner, or nothing if none is known.
     virtual std::optional<OwnerRef> owner(const GroupName &group) const = 0;
-    // Nobody acts for the group: somebody has to.
+    // Requests an owner for a group that has none.
     virtual void requestOwner(const GroupName &group) = 0;
-    // The owner does not answer any more.
+    // Reports that the owner has stopped answering. `cause` is a short code for the log.
     virtual void reportOwnerUnreachable(const GroupName &group, const OwnerRef &owner,
                                         const std::string &cause) = 0;
-    // The process that was thought the owner says that it is not.
+    // Looks the owner up again, after the supposed owner has denied owning the group.
     virtual void refreshOwner(const GroupName &group) = 0;
-    // Another process knows this owner.
+    // Applies an owner that another process has reported.
     virtual void applyReportedOwner(const GroupName &group, const OwnerRef &owner) = 0;
 };
 
-// Runs statements of groups that this process owns. The origin tells the entries apart: their link,
-// or 0 for this process.
+// Runs statements of groups that this process owns. `origin` is the link on which the statement
+// arrived, or 0 for this process.
 class StatementExecutor
 {
 public:
     virtual ~StatementExecutor() = default;
 
-    // Calls back exactly once; may do so from within the call.
+    // Calls back exactly once, possibly from within the call.
     virtual void run(inner::LinkId origin, inner::RunStatement statement,
                      DoneCallback callback) = 0;
     virtual void endTransaction(inner::LinkId origin, const inner::EndTransaction &end) = 0;
 };
 
-// Runs some statements without their owner.
+// Runs reads on a replica in the same zone, without involving the owner.
 class LocalReadExecutor
 {
 public:
     virtual ~LocalReadExecutor() = default;
 
-    // False: not this one. Else calls back exactly once, never from within the call; a reason other
-    // than None says that the owner has to do it, and that nothing was changed.
+    // Returns false if it does not run the statement. Otherwise calls back exactly once, never from
+    // within the call; a reason other than None means that the statement had no effect and must be
+    // sent to the owner.
     virtual bool run(const inner::RunStatement &statement, DoneCallback callback) = 0;
-    // An owner's answer to a statement that was sent then.
+    // Reports an owner's answer to a statement that was sent at `sent`.
     virtual void onOwnerAnswer(const inner::RunStatement &statement, Instant sent,
                                const inner::StatementDone &done) = 0;
 };
 
-// Takes statements to owners and their answers back. Statements that may be repeated go to the next
-// owner when theirs is gone; others get their final answer at once.
+// Sends statements to the owners of their groups and returns the answers. If an owner is lost,
+// repeatable statements are sent to its successor; other statements are answered with an error.
 class Router : public StatementRouter
 {
 public:
@@ -91,17 +93,17 @@
     void cancel(inner::RequestId id) override;
     void endTransaction(const GroupName &group, std::uint64_t session) override;
 
-    // An owner's answer over its link.
+    // Handles an owner's answer from a link.
     void onAnswer(inner::StatementDone done);
-    // The process has answered on the link from here.
+    // Records that the peer has answered on the outgoing link.
     void onPeerResponse(const std::string &address);
-    // The link from here to the process.
+    // State changes of the outgoing link to a peer.
     void onLinkUp(const ProcessId &process);
     void onLinkDown(const std::string &address);
     void onOwnerChanged(const GroupName &group);
 
     std::size_t inProgress() const { return pending_.size(); }
-    // From now on nothing new begins here; what is open goes on.
+    // Refuses new operations from now on; open transactions continue.
     void refuseNewOperations() { acceptsNewOperations_ = false; }
 
 private:
@@ -112,7 +114,7 @@
         Instant arrived;
         Instant deadline;
         Instant sentAt;
-        // Where it was sent, under the number in the statement; empty while it waits.
+        // The peer that has the statement; empty while it waits or runs in this process.
         std::string address;
         OwnerEpoch epoch = 0;
         int attempts = 0;
@@ -123,17 +125,17 @@
         Instant lastProbed;
         bool silent = false;
         bool dialled = false;
-        // Statements wait for it, so that its silence matters.
+        // Whether statements wait for the peer, so that it is monitored.
         bool needed = false;
-        // Statements that it owes an answer.
+        // Number of statements sent to the peer and not yet answered.
         int inFlight = 0;
-        // The run of the process that was heard last.
+        // Incarnation seen at the last link-up; 0 if none.
         Incarnation incarnation = 0;
-        // Since when there has been no link to it; the beginning of time while there is one.
+        // When the link was lost; Instant() while it is up.
         Instant downSince {};
-        // What it owes was sent on a link that is lost or silent, and goes again on the next one.
+        // Whether unanswered statements must be sent again on the next link.
         bool resend = false;
-        // Ends of transactions that may have been lost with the link.
+        // EndTransaction messages that may have been lost with the link, oldest first.
         std::deque<std::pair<Instant, inner::EndTransaction>> recentEnds;
     };
 
@@ -149,19 +151,19 @@
                 Duration retryAfter = {});
     void detachFromPeer(Pending &pending);
     void onDone(inner::StatementDone done);
-    // The end of whatever the session has begun so far.
+    // Returns the message that ends every transaction the session has begun so far.
     inner::EndTransaction makeEndTransaction(const GroupName &group, std::uint64_t session) const;
     void recordEnd(Peer &peer, const inner::EndTransaction &end);
     void resumeLink(const std::string &address, Peer &peer);
-    // A link that went a moment ago is likely to come back.
+    // Whether the link was lost so recently that it is likely to come back.
     bool mayReconnect(const Peer &peer) const;
-    // The answers of everything sent to the process will not come.
     void reinstatePeer(const std::string &address);
+    // Gives up the answers to everything that was sent to the peer.
     void onPeerLost(const std::string &address, const std::string &cause);
     void onAnswerLost(inner::RequestId id, const std::string &cause);
     void tick();
     void checkPeer(const std::string &address, Peer &peer, Instant now);
-    // Its silence counts from now, if it did not matter before.
+    // Starts monitoring the peer; its silence is measured from now if it was not monitored.
     void markNeeded(Peer &peer, Instant now);
 
     const Parts parts_;
@@ -169,7 +171,7 @@
     std::vector<inner::RequestId> waiting_;
     std::unordered_map<GroupName, decision::OwnerSearch> searches_;
     std::unordered_map<std::string, Peer> peers_;
-    // Where the open transaction of a session is; the address is empty for this process.
+    // The process that has a session's open transaction; the address is empty for this process.
     struct TransactionLocation
     {
         std::string address;
@@ -177,8 +179,8 @@
     };
     std::unordered_map<std::uint64_t, TransactionLocation> transactions_;
     inner::RequestId lastId_ = 0;
-    // Statements by the number under which an owner has them. Each owner that one is given to gets
-    // another number, so that the answer of an earlier one is told apart.
+    // Requests by the number under which they were sent. Each attempt has its own number, so that
+    // late answers to an earlier attempt are recognised.
     std::unordered_map<inner::RequestId, inner::RequestId> sent_;
     inner::RequestId lastSent_ = 0;
     std::uint64_t probeSequence_ = 0;
--- a/src/session/stagetimes.cpp
+++ b/src/session/stagetimes.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// In seconds: the stages of a calm day take from 0.1 to 200 ms, a route's longest wait is seconds.
+// In seconds.
 const std::vector<double> bucketBounds = {0.001, 0.0025, 0.005, 0.01, 0.025, 0.05,
                                           0.1,   0.15,   0.25,  0.5,  1,     2.5};
 
@@ -41,7 +41,7 @@
     for (std::size_t i = 0; i < connectionActions_.size(); ++i)
         connectionActions_[i] = &metrics.counter(
             "kelptally_connection_places_total",
-            "What statements found when they asked for a connection to a server",
+            "Outcomes of requests for a connection to a server",
             {{"place",
               decision::connectionActionName(static_cast<decision::ConnectionAction>(i))}});
 }
--- a/src/session/stagetimes.h
+++ b/src/session/stagetimes.h
@@ -8,26 +8,27 @@
 
 namespace kelptally::session {
 
-// Histograms and counters of where the time of statements goes, as the metrics page lists them.
+// Metrics of the time that statements spend in each stage.
 class StageTimes
 {
 public:
     explicit StageTimes(Metrics &metrics);
 
-    // A statement's way through its entry, from its arrival to its answer.
+    // From the arrival of a statement at this process to its answer.
     void addStatement(inner::ReadRule rule, Duration time);
-    // At the owner, from the arrival to the sending to a server.
+    // From the arrival at the owner until the statement is sent to a server.
     void addQueue(Duration time);
-    // Opening a connection to a server.
+    // Time to open a connection to a server.
     void addConnection(Duration time);
-    // From the sending to a server to its answer.
+    // From sending to a server to its answer.
     void addServer(Duration time);
-    // From the sending to the owner on another host to its answer.
+    // From sending to an owner on another host to its answer.
     void addOwner(Duration time);
-    // What a statement found when it asked for a connection to a server.
+    // Counts how a statement's request for a server connection was handled.
     void countConnectionAction(decision::ConnectionAction action);
 
 private:
+    // By read rule.
     prometheus::Histogram *rules_[3];
     prometheus::Histogram &queue_;
     prometheus::Histogram &connection_;
--- a/src/session/statement.h
+++ b/src/session/statement.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-// What callers with a connection of their own say, and what they are answered.
+// Statements of callers and the answers to them.
 namespace kelptally::session {
 
 enum class StatementKind {
@@ -23,38 +23,39 @@
     Deallocate,
 };
 
-// One statement of a caller. What a server will see of it, id and text, stays as it came.
+// One statement of a caller. The id and the text are passed to the server unchanged.
 struct Statement
 {
     StatementKind kind = StatementKind::Read;
     std::string id;
     std::string text;
-    // Name of the value or the prepared statement.
+    // Name of the session value or the prepared statement.
     std::string name;
-    // The value, the shape to prepare, or what follows the name of a prepared statement.
+    // The value, the shape to prepare, or the arguments of a prepared statement.
     std::string argument;
-    // Whether the shape to prepare writes.
+    // Whether the prepared statement writes.
     bool writes = false;
 };
 
-// Where a session stands after an answer.
+// Transaction state of a session after an answer.
 enum class SessionState {
     Idle,
     InTransaction,
-    // The transaction failed: nothing but its end is accepted.
+    // The transaction failed; only COMMIT and ROLLBACK are accepted.
     Failed,
 };
 
+// The result of a statement.
 struct Answer
 {
     Reason reason = Reason::None;
     Executed executed = Executed::No;
     std::string detail;
     std::vector<std::string> rows;
-    // The server's signature; empty when no server was asked.
+    // The server's signature; empty if no server was involved.
     std::string signature;
     std::optional<Position> position;
-    // When a refused statement may be sent again.
+    // Delay after which a refused statement may be retried; 0 if none is given.
     Duration retryAfter {0};
 };
 
--- a/src/session/statementrules.h
+++ b/src/session/statementrules.h
@@ -2,7 +2,7 @@
 
 #include "inner/messages.h"
 
-// What follows from the kind of a statement alone.
+// Properties of statements that follow from their kind.
 namespace kelptally::session {
 
 inline bool isRead(const inner::RunStatement &statement)
@@ -10,27 +10,27 @@
     return statement.verb == inner::SessionVerb::Read;
 }
 
-// Belongs to a transaction that is open already.
+// Whether the statement belongs to a transaction that is already open.
 inline bool continuesTransaction(const inner::RunStatement &statement)
 {
     return statement.inTransaction && statement.begins == inner::TransactionMode::None;
 }
 
-// A read that belongs to no transaction: it leaves nothing behind, wherever and however often it
-// runs.
+// Whether the statement is a read outside a transaction, which may run repeatedly and on any
+// server.
 inline bool isSingleRead(const inner::RunStatement &statement)
 {
     return !statement.inTransaction && isRead(statement);
 }
 
-// Its effect, if it has one, stays when it is done: a commit, or a write on its own.
+// Whether the statement commits its effects: a COMMIT, or a write outside a transaction.
 inline bool commits(const inner::RunStatement &statement)
 {
     return statement.verb == inner::SessionVerb::Commit
         || (!statement.inTransaction && !isRead(statement));
 }
 
-// Nothing but reading is asked, so that any server may do it.
+// Whether the statement only reads, so that any server may run it.
 inline bool mayRunOnReplica(const inner::RunStatement &statement)
 {
     if (statement.begins == inner::TransactionMode::ReadOnly)
@@ -43,8 +43,8 @@
     return !mayRunOnReplica(statement) || statement.rule == inner::ReadRule::Newest;
 }
 
-// Running it again after its answer was lost changes nothing: what a transaction has done is gone
-// with its connection unless its commit was sent.
+// Whether the statement may be run again after its answer was lost. The first statement of a
+// transaction may, unless it is a COMMIT: the transaction is rolled back with its connection.
 inline bool mayRepeat(const inner::RunStatement &statement)
 {
     if (statement.begins != inner::TransactionMode::None)
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A good entry with some fields as given; an empty value leaves the field out.
+// Returns a valid server entry with some fields replaced; an empty value omits the field.
 std::string entry(const std::map<std::string, std::string> &changed)
 {
     std::map<std::string, std::string> fields = {
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("A configuration becomes routes, groups and limits, and unknown fields are passed over")
+TEST_CASE("Routes, groups and limits are parsed, and unknown fields are ignored")
 {
     const auto catalogue = platform::parseCatalogue(R"({"version":7,"news":[1],"routes":[
         {"name":"r1","database":"lepu","type":"primary","timeoutMs":800,"targetLatencyMs":150,
@@ -74,7 +74,7 @@
     CHECK(c.transactionIdle == std::chrono::seconds(4));
 }
 
-TEST_CASE("Organisations and their keys; an entry that makes no sense has no key")
+TEST_CASE("Organisations and keys are parsed, and invalid entries are rejected")
 {
     const auto parsed = platform::parseCatalogue(R"({"version":8,"routes":[
         {"database":"lepu","type":"primary","service":"huvo","authExempt":true},
@@ -103,7 +103,7 @@
                                        "unreadable"});
 }
 
-TEST_CASE("Quotas of organisations; one that makes no sense leaves its organisation out")
+TEST_CASE("Quotas are parsed, and an invalid quota rejects its organisation")
 {
     const auto parsed = platform::parseCatalogue(R"({"version":8,"routes":[],"services":[],
         "tenants":[{"name":"a","apiKeys":["ka"],"ratePerS":191,"burstSize":95.5},
@@ -122,7 +122,7 @@
     CHECK(parsed->rejectedEntries.size() == 3);
 }
 
-TEST_CASE("Without a list of organisations nobody needs a key; an empty or odd list lets nobody in")
+TEST_CASE("Keys are required if a list of organisations is present, even an empty or invalid one")
 {
     const auto parse = [](const std::string &more) {
         return platform::parseCatalogue(R"({"version":3,"routes":[],"services":[{"name":"g"}])"
@@ -136,7 +136,7 @@
     CHECK(parse(R"(,"tenants":null)")->hasOrganisations);
 }
 
-TEST_CASE("A configuration that can't be read is refused whole")
+TEST_CASE("An unreadable or incomplete configuration is rejected")
 {
     CHECK(!platform::parseCatalogue("").ok());
     CHECK(!platform::parseCatalogue("{").ok());
@@ -145,7 +145,7 @@
     CHECK(!platform::parseCatalogue(R"({"version":3,"services":[]})").ok());
 }
 
-TEST_CASE("A server's entry becomes a listed server")
+TEST_CASE("A server entry is parsed")
 {
     const auto server = serverOf(
         entry({{"state", "\"draining\""}, {"dbRole", "\"primary\""}, {"born", "1796255000123"}}));
@@ -156,11 +156,11 @@
     CHECK(server.leaving);
     CHECK(server.primary);
     CHECK(server.slots == 3);
-    // A start is not told everywhere.
+    // The start time is optional.
     CHECK(!serverOf(entry({})).run.start);
 }
 
-TEST_CASE("An entry that lacks a field, or has another type or value there, names no server")
+TEST_CASE("A server entry with a missing or invalid field is rejected")
 {
     const std::string fields[] = {"service", "address",      "zone",   "version", "slots",
                                   "state",   "warmupLeftMs", "dbRole", "sequence"};
@@ -190,7 +190,7 @@
     CHECK(errorOf(std::string("\x00\xff{}", 4)) == "unreadable");
 }
 
-TEST_CASE("Whatever is done to an entry, it names the server that it did or none")
+TEST_CASE("A corrupted server entry is rejected or still has valid fields")
 {
     rc::check([] {
         std::string text = entry({{"born", "1796255000123"}});
@@ -209,7 +209,7 @@
     });
 }
 
-TEST_CASE("A route or group that can't be understood is left out, and the others hold")
+TEST_CASE("Invalid routes, groups and limits are rejected one by one")
 {
     const auto parsed = platform::parseCatalogue(R"({"version":7,"routes":[
         {"name":"r1","database":"lepu","type":"primary","service":"huvo"},
@@ -232,7 +232,7 @@
               "maxConns: field_type", "name: field_missing", "txIdleMs: field_type"});
 }
 
-TEST_CASE("Versions never go back within the life of a process")
+TEST_CASE("A catalogue is only replaced by a newer version")
 {
     session::CurrentCatalogue current;
     const auto version = [](ConfigVersion number) {
--- a/tests/platform/fakeplatform.cpp
+++ b/tests/platform/fakeplatform.cpp
@@ -166,14 +166,14 @@
         });
 }
 
-// The group, one word for whoever asks, and this server.
+// Checks the words: START, the group, an organisation and the id of this server.
 bool FakeServer::isStart(const std::string &line) const
 {
     const std::vector<std::string> words = absl::StrSplit(line, ' ');
     return words.size() == 4 && words[1] == "cases" && !words[2].empty() && words[3] == id_;
 }
 
-// Empty: the connection ends without an answer.
+// Returns the answer; if it is empty, the connection is closed instead.
 std::string FakeServer::answer(Connection &connection, const std::string &line)
 {
     const std::lock_guard<std::mutex> lock(mutex_);
--- a/tests/platform/fakeplatform.h
+++ b/tests/platform/fakeplatform.h
@@ -11,12 +11,11 @@
 #include <string>
 #include <vector>
 
-// The platform that a real kelptallyd meets in its test: the store's rows and one wire server, on a
-// thread of their own. Both speak the published protocol and no more of it than the test needs.
+// A fake store and a fake database server for tests of kelptallyd. They run on their own thread and
+// implement the parts of the protocol that the tests need.
 namespace kelptally::platform {
 
-// The store. Rows are kept in memory; a feed answers at once when there is news, else after a
-// while.
+// A store that keeps its rows in memory. A feed request is answered once there are changes.
 class FakeStore : public caller::HttpHandler
 {
 public:
@@ -46,7 +45,7 @@
     std::uint64_t version_ = 0;
 };
 
-// A primary without replicas. Keeps every line that it was sent.
+// A primary without replicas, which records every line that it receives.
 class FakeServer
 {
 public:
@@ -54,7 +53,7 @@
 
     int port() const { return acceptor_.local_endpoint().port(); }
     std::vector<std::string> lines();
-    // Drops the connection instead of answering the next write.
+    // Makes the server close the connection instead of answering the next write.
     void loseNextWrite();
 
 private:
--- a/tests/platform/operations_test.cpp
+++ b/tests/platform/operations_test.cpp
@@ -32,12 +32,12 @@
 
 } // namespace
 
-TEST_CASE("The lines of the operators' page are lines that the code writes")
+TEST_CASE("The log examples of the operations page match the code")
 {
     const std::string code = sources();
     REQUIRE(code.size() > 100'000);
     std::istringstream page(contentOf(SOURCE_DIRECTORY "/docs/OPERATIONS.md"));
-    // The log itself writes these.
+    // Written by the event log itself.
     const std::set<std::string> common = {"time", "level", "host", "event", "reason"};
     int lines = 0;
     for (std::string line; std::getline(page, line);) {
--- a/tests/platform/process_test.cpp
+++ b/tests/platform/process_test.cpp
@@ -27,8 +27,7 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-// Ports that are free when they are drawn, each only once: one that was closed again may be drawn
-// again, and a process given the same port twice does not start.
+// Returns a free port that was not returned before, as the system may offer a closed port again.
 int freePort()
 {
     static std::set<int> drawn;
@@ -42,7 +41,7 @@
     }
 }
 
-// A caller's connection, read line by line.
+// A caller's connection.
 class Caller
 {
 public:
@@ -54,7 +53,7 @@
 
     void send(const std::string &text) { boost::asio::write(socket_, boost::asio::buffer(text)); }
 
-    // The next line; "closed" at the end.
+    // Returns the next line, or "closed" at the end of the stream.
     std::string line()
     {
         boost::system::error_code error;
@@ -69,7 +68,7 @@
         return text;
     }
 
-    // Everything up to READY, joined by '|'.
+    // Sends a line and returns the answer up to READY, its lines joined by '|'.
     std::string query(const std::string &text)
     {
         send(text + "\r\n");
@@ -88,13 +87,13 @@
     boost::asio::streambuf buffer_;
 };
 
-// The real program, before a fake platform.
-// Settings stand in the build tree while a test runs.
+// Returns the path of a settings file in the build tree.
 std::string settingsFile(const std::string &name)
 {
     return std::string(BUILD_DIRECTORY) + "/process_test_" + name + ".ini";
 }
 
+// A kelptallyd process with a fake store and a fake server.
 class Deployment
 {
 public:
@@ -129,7 +128,7 @@
         return std::atoi(http.line().substr(9, 3).c_str());
     }
 
-    // Exit status of the process, or -1 if it still runs after the time.
+    // Returns the exit status of the process, or -1 if it still runs after the time limit.
     int waitForEnd(std::chrono::milliseconds limit)
     {
         for (auto waited = 0ms; waited < limit; waited += 20ms) {
@@ -177,10 +176,10 @@
 
     static constexpr const char *operatorKey = "the operators' own key";
 
-    // The settings with this log level and these lines at the end.
+    // Writes the settings with a log level and additional lines at the end.
     void writeSettings(const std::string &level, const std::string &more = "")
     {
-        // In one step, as the platform does it.
+        // Replaces the file atomically, as the platform does.
         std::ofstream(file_ + ".new")
             << "[process]\nhost=h-1\nzone=z\naddress=127.0.0.1\npeer-port=" << peerPort_
             << "\ncallers=127.0.0.1:" << callerPort << "\nreadiness=127.0.0.1:" << readinessPort
@@ -235,7 +234,7 @@
                 if (ready() == 200)
                     return;
             } catch (const boost::system::system_error &) {
-                // It does not listen yet.
+                // The process does not listen yet.
             }
         }
         FAIL("kelptallyd did not become ready");
@@ -251,7 +250,7 @@
 
 } // namespace
 
-TEST_CASE("The real process serves a session: values, prepared names, statements, transactions")
+TEST_CASE("A session runs statements, prepared statements and transactions")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
@@ -267,13 +266,13 @@
     CHECK(caller.query("QUERY 6 WRITE a1 more").rfind("COMPLETE sig-6|READY T", 0) == 0);
     CHECK(caller.query("QUERY 7 COMMIT").rfind("COMPLETE sig-7|READY I 1.2", 0) == 0);
     CHECK(contains(deployment.server.lines(), "START cases kelptally i-1"));
-    // Another session has none of this.
+    // Prepared statements belong to one session.
     Caller other(deployment.callerPort);
     other.query("START main me");
     CHECK(other.query("QUERY 8 EXECUTE s a1 data").rfind("ERROR MALFORMED", 0) == 0);
 }
 
-TEST_CASE("A write whose answer is lost is in doubt at once, and a read is run again")
+TEST_CASE("A write whose answer is lost is reported as in doubt and is not repeated")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
@@ -288,7 +287,7 @@
     CHECK(sent == 1);
 }
 
-TEST_CASE("Bad input gets an error or a close, and harms nobody else")
+TEST_CASE("Invalid input is refused without affecting other sessions")
 {
     Deployment deployment;
     Caller good(deployment.callerPort);
@@ -307,20 +306,20 @@
     CHECK(malformed.line() == "COMPLETE sig-3");
     CHECK(malformed.line() == "READY I -");
     CHECK(malformed.line() == "DATAROW row-of-c");
-    // Beyond 1 MiB.
+    // A message over 1 MiB.
     Caller large(deployment.callerPort);
     large.query("START main me");
     try {
         large.send("QUERY 1 WRITE a " + std::string(1u << 21, 'x'));
     } catch (const boost::system::system_error &) {
-        // It may close before everything was sent.
+        // The connection may be closed before everything is sent.
     }
     const std::string answer = large.line();
     CHECK((answer.rfind("ERROR TOOBIG", 0) == 0 || answer == "closed"));
     CHECK(good.query("QUERY 1 READ z").rfind("DATAROW row-of-z", 0) == 0);
 }
 
-TEST_CASE("A caller that leaves in a transaction has it rolled back")
+TEST_CASE("The transaction of a caller that disconnects is rolled back at the server")
 {
     Deployment deployment;
     {
@@ -338,7 +337,7 @@
     CHECK(!contains(deployment.server.lines(), "COMMIT"));
 }
 
-TEST_CASE("A configuration is in force as it comes, and never an older one")
+TEST_CASE("A new configuration takes effect at run time, an older one does not")
 {
     Deployment deployment;
     const auto configure = [&](int version, const std::string &database) {
@@ -361,7 +360,7 @@
     CHECK(Caller(deployment.callerPort).query("START next me") == "READY I -");
 }
 
-TEST_CASE("Servers are told the organisation; its key goes no further than the entry")
+TEST_CASE("The organisation is sent to servers; its key is not sent, logged or in metrics")
 {
     int pipeEnds[2];
     REQUIRE(::pipe(pipeEnds) == 0);
@@ -394,13 +393,13 @@
     CHECK(contains(deployment.server.lines(), "START cases town i-1"));
     CHECK(contains(deployment.server.lines(), "START cases county i-1"));
     CHECK(Caller(deployment.callerPort).query("START main").rfind("ERROR NOAUTH", 0) == 0);
-    // Taken away from a connected caller.
+    // Revoked while a caller is connected.
     configure(3, R"({"name":"town","apiKeys":["key-of-town"]})");
     REQUIRE(waitFor("START main old-key-of-town", "ERROR NOAUTH"));
     CHECK(county.query("QUERY 3 READ a1").rfind("ERROR NOAUTH", 0) == 0);
     CHECK(town.query("QUERY 4 READ a1").rfind("DATAROW", 0) == 0);
     CHECK(!contains(deployment.server.lines(), "QUERY 3"));
-    // No key in what a server, the log or the metrics are told.
+    // No key appears at a server, in the log or in the metrics.
     std::string published = deployment.metrics();
     for (const std::string &line : deployment.server.lines())
         published += line;
@@ -415,7 +414,8 @@
     ::close(pipeEnds[1]);
 }
 
-TEST_CASE("SIGTERM: not ready at once, idle sessions closed, and an end within the grace")
+TEST_CASE(
+    "SIGTERM makes the process unready, closes idle sessions and ends it within the grace period")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
@@ -429,14 +429,14 @@
     CHECK(deployment.waitForEnd(5000ms) == 0);
 }
 
-TEST_CASE("Nobody reads the log: service goes on")
+TEST_CASE("A blocked log pipe does not stop the service")
 {
     int pipeEnds[2];
     REQUIRE(::pipe(pipeEnds) == 0);
     Deployment deployment(pipeEnds[1]);
     Caller caller(deployment.callerPort);
     caller.query("START main me");
-    // Refusals are logged; far more than a pipe holds.
+    // Each refusal is logged; together they exceed the capacity of the pipe.
     for (int i = 0; i < 3000; ++i)
         REQUIRE(Caller(deployment.callerPort).query("START nothing me").rfind("ERROR NODB", 0)
                 == 0);
@@ -445,7 +445,7 @@
     ::close(pipeEnds[1]);
 }
 
-TEST_CASE("Settings with mistakes are told all at once, and nothing starts")
+TEST_CASE("Checking invalid settings fails")
 {
     const std::string file = settingsFile("bad");
     std::ofstream(file) << "[process]\nhost=h\n[log]\nlevel=loud\n[odd]\n";
@@ -457,7 +457,7 @@
     CHECK(WEXITSTATUS(status) == 1);
 }
 
-TEST_CASE("Operators see status and configuration of a host, and drain it")
+TEST_CASE("An operator can query the status and configuration of a host and drain it")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
@@ -486,7 +486,7 @@
     CHECK(deployment.waitForEnd(6000ms) == 0);
 }
 
-TEST_CASE("Metrics tell where the time of statements goes")
+TEST_CASE("Metrics include statement and stage times")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
@@ -501,7 +501,7 @@
             && Catch::Contains(R"(kelptally_owner_connections{group="cases",server="i-1"})"));
 }
 
-TEST_CASE("A settings file that changes without a signal is taken over; a bad one changes nothing")
+TEST_CASE("A changed settings file is reloaded without a signal; an invalid one is refused")
 {
     int pipeEnds[2];
     REQUIRE(::pipe(pipeEnds) == 0);
--- a/tests/platform/wire_test.cpp
+++ b/tests/platform/wire_test.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("Every statement of callers is read, and its text kept")
+TEST_CASE("Statements of callers are parsed and keep their text")
 {
     CHECK(statementOf("BEGIN").kind == StatementKind::Begin);
     CHECK(statementOf("BEGIN READ").kind == StatementKind::BeginReadOnly);
@@ -53,7 +53,7 @@
     CHECK(statementOf("DEALLOC s1").kind == StatementKind::Deallocate);
 }
 
-TEST_CASE("What is no statement is told apart, with what is wrong")
+TEST_CASE("Malformed messages of callers are rejected with an error message")
 {
     for (const char *line : {"",
                              " ",
@@ -83,7 +83,7 @@
     }
 }
 
-TEST_CASE("Codes that promise that nothing is kept are said only when that is known")
+TEST_CASE("Error codes promise that nothing was kept only if that is certain")
 {
     CHECK(answerOf(Reason::QueueFull, Executed::No) == "ERROR BUSY");
     CHECK(answerOf(Reason::NoOwner, Executed::No) == "ERROR BUSY");
@@ -99,7 +99,7 @@
     CHECK(answerOf(Reason::RequestTooLarge, Executed::No) == "ERROR TOOBIG");
 }
 
-TEST_CASE("A refusal tells when to come back, and a detail cannot end its line")
+TEST_CASE("A refusal has its retry delay, and line endings in its detail are replaced")
 {
     session::Answer answer;
     answer.reason = Reason::QueueFull;
@@ -109,7 +109,7 @@
           == "ERROR BUSY queue_full retry-after-ms=120: first  READY I -\r\nREADY E -\r\n");
 }
 
-TEST_CASE("An answer carries rows, signature, state and position as the server gave them")
+TEST_CASE("Answers carry rows, signature, state and position unchanged")
 {
     session::Answer answer;
     answer.rows = {"qhzk", "", "a b"};
@@ -119,7 +119,7 @@
           == "DATAROW qhzk\r\nDATAROW \r\nDATAROW a b\r\nCOMPLETE 7.1f3.c\r\nREADY T 3.1209\r\n");
 }
 
-TEST_CASE("Servers' lines and reports are read")
+TEST_CASE("Messages and reports of servers are parsed")
 {
     CHECK(parseServerMessage("DATAROW a b").text == "a b");
     CHECK(parseServerMessage("COMPLETE 7.1").text == "7.1");
@@ -146,7 +146,7 @@
     CHECK(!parseReport("replica 3 3.1 0 nan 2 17"));
 }
 
-TEST_CASE("Commands are written with their position before the statement")
+TEST_CASE("Commands are encoded with the position before the statement")
 {
     group::ServerCommand command;
     command.kind = group::CommandKind::Statement;
@@ -160,7 +160,7 @@
     CHECK(encodeCommand(own) == "QUERY - PAUSE 5\r\n");
 }
 
-TEST_CASE("Lines come out the same however the bytes are cut")
+TEST_CASE("The line buffer returns the same lines however the stream is split")
 {
     const std::string stream = "START a b\r\nQUERY 1 READ x\r\n\r\nQUERY 2 WRITE x a\rb\r\nrest";
     const std::vector<std::string> expected = {"START a b", "QUERY 1 READ x", "",
@@ -183,7 +183,7 @@
     }
 }
 
-TEST_CASE("A line beyond the bound is noticed before it has ended")
+TEST_CASE("An overlong line is detected before its ending arrives")
 {
     LineBuffer buffer;
     const std::string part(1u << 16, 'x');
--- a/tests/session/callersession_test.cpp
+++ b/tests/session/callersession_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(Fixture, "Values and prepared statements go with every statement of their session")
+TEST_CASE_METHOD(Fixture, "Session values and prepared statements are sent with each statement")
 {
     runStatement(StatementKind::SetValue, "mode", "strict");
     runStatement(StatementKind::Prepare, "s1", "q2c", true);
@@ -36,7 +36,7 @@
     CHECK(output.answers.back().reason == Reason::MalformedRequest);
 }
 
-TEST_CASE_METHOD(Fixture, "A session carries the position of its own writes into its reads")
+TEST_CASE_METHOD(Fixture, "Reads carry the highest position of the session's writes")
 {
     runStatement(StatementKind::Write);
     CHECK(!router.sent[0].sessionPosition);
@@ -48,7 +48,7 @@
     CHECK(router.sent[2].sessionPosition == Position {3, 12});
 }
 
-TEST_CASE_METHOD(Fixture, "The first statement of a transaction begins it at the server")
+TEST_CASE_METHOD(Fixture, "A transaction begins at the server with its first statement")
 {
     runStatement(StatementKind::Begin);
     CHECK(output.states.back() == SessionState::InTransaction);
@@ -67,7 +67,7 @@
     CHECK(output.answers.back().signature == "sig");
 }
 
-TEST_CASE_METHOD(Fixture, "A commit of nothing is the server's to answer")
+TEST_CASE_METHOD(Fixture, "An empty transaction is committed at the server")
 {
     runStatement(StatementKind::Begin);
     runStatement(StatementKind::Commit);
@@ -76,7 +76,7 @@
     CHECK(router.sent[0].verb == inner::SessionVerb::Commit);
 }
 
-TEST_CASE_METHOD(Fixture, "A failed transaction takes nothing but its end, and is never committed")
+TEST_CASE_METHOD(Fixture, "A failed transaction accepts only its end and is not committed")
 {
     runStatement(StatementKind::Begin);
     runStatement(StatementKind::Write);
@@ -93,7 +93,7 @@
     CHECK(router.sent.size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "A caller that leaves in a transaction has it rolled back")
+TEST_CASE_METHOD(Fixture, "The transaction of a caller that disconnects is rolled back")
 {
     runStatement(StatementKind::Begin);
     runStatement(StatementKind::Write);
@@ -104,7 +104,7 @@
     CHECK(output.answers.size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "A transaction that rests too long is ended, without a word until asked")
+TEST_CASE_METHOD(Fixture, "An idle transaction is rolled back, and its next statement is refused")
 {
     runStatement(StatementKind::Begin);
     runStatement(StatementKind::Write);
@@ -117,8 +117,7 @@
     CHECK(output.answers.back().executed == Executed::No);
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "A route that is gone refuses the next statement, not the open transaction")
+TEST_CASE_METHOD(Fixture, "Removing a route does not affect an open transaction")
 {
     runStatement(StatementKind::Begin);
     runStatement(StatementKind::Write);
@@ -135,7 +134,7 @@
     CHECK(output.answers.back().reason == Reason::UnknownGroup);
 }
 
-TEST_CASE_METHOD(Fixture, "What a session may keep is bounded")
+TEST_CASE_METHOD(Fixture, "The number of values in a session is limited")
 {
     for (int i = 0; i < 300; ++i)
         runStatement(StatementKind::SetValue, "v" + std::to_string(i), "x");
--- a/tests/session/organisation_test.cpp
+++ b/tests/session/organisation_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A configuration in which these keys belong to these organisations.
+// Returns a configuration with a map from keys to organisations.
 std::shared_ptr<Catalogue> catalogue(ConfigVersion version,
                                      const std::map<std::string, std::string> &keys)
 {
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(OrganisationFixture, "A statement carries its organisation, and never the key")
+TEST_CASE_METHOD(OrganisationFixture, "Statements carry the organisation but not the key")
 {
     runStatement(StatementKind::Read);
     REQUIRE(router.sent.size() == 1);
@@ -48,7 +48,7 @@
     CHECK(bytes->find("one") == std::string::npos);
 }
 
-TEST_CASE_METHOD(OrganisationFixture, "A key that is taken away is refused with the next operation")
+TEST_CASE_METHOD(OrganisationFixture, "A revoked key is refused at the next operation")
 {
     runStatement(StatementKind::Read);
     router.answer();
@@ -59,16 +59,16 @@
     CHECK(lastReason() == Reason::Unauthenticated);
     CHECK(output.states.back() == SessionState::Idle);
     CHECK(router.sent.size() == 1);
-    // What needs no server is not the organisation's.
+    // Statements that need no server need no key.
     runStatement(StatementKind::SetValue, "mode", "strict");
     CHECK(lastReason() == Reason::None);
-    // And given back.
+    // The key is restored.
     install(3, {{"one", "town"}});
     runStatement(StatementKind::Read);
     CHECK(router.sent.size() == 2);
 }
 
-TEST_CASE_METHOD(OrganisationFixture, "A key that is passed on speaks for its new organisation")
+TEST_CASE_METHOD(OrganisationFixture, "A key that is reassigned counts for its new organisation")
 {
     install(2, {{"one", "county"}});
     runStatement(StatementKind::Read);
@@ -78,7 +78,7 @@
 }
 
 TEST_CASE_METHOD(OrganisationFixture,
-                 "An open transaction outlives its key by a second, for its own organisation")
+                 "An open transaction may continue for a second after its key was reassigned")
 {
     runStatement(StatementKind::Begin);
     runStatement(StatementKind::Write);
@@ -89,7 +89,7 @@
     REQUIRE(router.sent.size() == 2);
     CHECK(router.sent[1].organisation == "town");
     router.answer();
-    // A later version gives it no new time.
+    // A later version does not extend the period.
     timers.advance(600ms);
     install(3, {{"three", "county"}});
     timers.advance(500ms);
@@ -102,7 +102,7 @@
 }
 
 TEST_CASE_METHOD(OrganisationFixture,
-                 "A commit after that second is refused as not run, and ends the transaction")
+                 "A commit after the grace period is refused and ends the transaction")
 {
     runStatement(StatementKind::Begin);
     runStatement(StatementKind::Write);
@@ -117,7 +117,8 @@
     CHECK(lastReason() == Reason::Unauthenticated);
 }
 
-TEST_CASE_METHOD(OrganisationFixture, "A change that leaves the key alone ends nothing")
+TEST_CASE_METHOD(OrganisationFixture,
+                 "A new configuration with the same key does not end a transaction")
 {
     runStatement(StatementKind::Begin);
     runStatement(StatementKind::Write);
@@ -128,8 +129,7 @@
     CHECK(router.sent.size() == 2);
 }
 
-TEST_CASE_METHOD(OrganisationFixture,
-                 "A route may need no key; then the statement is no organisation's")
+TEST_CASE_METHOD(OrganisationFixture, "Statements on a route without keys have no organisation")
 {
     auto open = catalogue(2, {});
     open->routes.at("main").needsKey = false;
@@ -140,16 +140,14 @@
     CHECK(router.sent[0].organisationVersion == 0);
 }
 
-TEST_CASE_METHOD(OrganisationFixture,
-                 "A configuration that leaves the organisations out opens nothing")
+TEST_CASE_METHOD(OrganisationFixture, "Keys are still required after the organisations are removed")
 {
     current.install(mainCatalogue(2), timers.now());
     runStatement(StatementKind::Read);
     CHECK(lastReason() == Reason::Unauthenticated);
 }
 
-TEST_CASE_METHOD(SessionFixture,
-                 "Without organisations a statement has none, and costs no byte for it")
+TEST_CASE_METHOD(SessionFixture, "A statement without an organisation encodes no bytes for it")
 {
     current.install(mainCatalogue(1), timers.now());
     session = open("whatever");
@@ -160,6 +158,6 @@
     const auto with = inner::encode(router.sent[0]);
     REQUIRE(without.ok());
     REQUIRE(with.ok());
-    // The name with its head, and the version.
+    // Five bytes for the name and its header, one for the version.
     CHECK(with->size() == without->size() + 6);
 }
--- a/tests/session/sessionfixture.h
+++ b/tests/session/sessionfixture.h
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-// A caller's session before a router that only notes what it is given.
+// A caller's session with a router that records statements and answers on demand.
 namespace kelptally::session {
 
 struct FakeRouter : public StatementRouter
@@ -56,7 +56,7 @@
     return options;
 }
 
-// A configuration of one database.
+// Returns a configuration with the single database "main".
 inline std::shared_ptr<Catalogue> mainCatalogue(ConfigVersion version)
 {
     auto catalogue = std::make_shared<Catalogue>();
