--- a/src/session/router.cpp
+++ b/src/session/router.cpp
@@ -161,7 +161,7 @@
     const std::string &address = owner.process.address;
     const Instant now = parts_.timers.now();
     Peer &peer = peers_[address];
-    markNeeded(peer, now);
+    startMonitoring(peer, now);
     pending.statement.timeLeft = std::max(Duration(0), pending.deadline - now);
     pending.statement.requestId = ++lastSent_;
     const absl::Status sent = parts_.links.sendTo(address, pending.statement);
@@ -485,8 +485,8 @@
             lost.push_back(address);
         if (stalled)
             peer.lastHeard = now;
-        peer.needed = peer.inFlight > 0 || (peer.needed && !waiting_.empty());
-        if (peer.needed)
+        peer.monitored = peer.inFlight > 0 || (peer.monitored && !waiting_.empty());
+        if (peer.monitored)
             watched.push_back(address);
     }
     for (const std::string &address : lost)
@@ -499,28 +499,28 @@
         parts_.timers.subscribeAfter(tickPeriod, [this] { tick(); });
 }
 
-void Router::markNeeded(Peer &peer, Instant now)
+void Router::startMonitoring(Peer &peer, Instant now)
 {
-    if (!peer.needed && !peer.silent)
+    if (!peer.monitored && !peer.silent)
         peer.lastHeard = now;
-    peer.needed = true;
+    peer.monitored = true;
 }
 
 void Router::checkPeer(const std::string &address, Peer &peer, Instant now)
 {
-    const Duration quiet = now - peer.lastHeard;
-    if (quiet >= probeAfter && now - peer.lastProbed >= probeAfter) {
+    const Duration silence = now - peer.lastHeard;
+    if (silence >= probeAfter && now - peer.lastProbed >= probeAfter) {
         peer.lastProbed = now;
         static_cast<void>(parts_.links.sendTo(address, inner::AliveRequest {++probeSequence_}));
     }
-    if (quiet >= redialAfter) {
+    if (silence >= redialAfter) {
         peer.resend = peer.resend || peer.downSince == Instant();
         parts_.links.renew(address);
     }
-    if (quiet < silentAfter || peer.silent)
+    if (silence < silentAfter || peer.silent)
         return;
     peer.silent = true;
-    parts_.log.warning("owner_silent").with("peer", address).with("silent_ms", quiet);
+    parts_.log.warning("owner_silent").with("peer", address).with("silent_ms", silence);
     onPeerLost(address, "silent");
 }
 
--- a/src/session/router.h
+++ b/src/session/router.h
@@ -126,7 +126,7 @@
         bool silent = false;
         bool dialled = false;
         // Whether statements wait for the peer, so that it is monitored.
-        bool needed = false;
+        bool monitored = false;
         // Number of statements sent to the peer and not yet answered.
         int inFlight = 0;
         // Incarnation seen at the last link-up; 0 if none.
@@ -164,7 +164,7 @@
     void tick();
     void checkPeer(const std::string &address, Peer &peer, Instant now);
     // Starts monitoring the peer; its silence is measured from now if it was not monitored.
-    void markNeeded(Peer &peer, Instant now);
+    void startMonitoring(Peer &peer, Instant now);
 
     const Parts parts_;
     std::unordered_map<inner::RequestId, Pending> pending_;
--- a/tests/platform/fakeplatform.cpp
+++ b/tests/platform/fakeplatform.cpp
@@ -76,9 +76,9 @@
         return reply->send(std::move(missing));
     }
     const auto after = std::strtoull(parameter(request.query, "after").c_str(), nullptr, 10);
-    const std::string news = rowsAfter(table, std::max<std::uint64_t>(after, 1), "");
-    if (!news.empty())
-        return reply->send(caller::jsonResponse(news));
+    const std::string changes = rowsAfter(table, std::max<std::uint64_t>(after, 1), "");
+    if (!changes.empty())
+        return reply->send(caller::jsonResponse(changes));
     thread_.timers().subscribeAfter(feedPollPeriod,
                                     [this, request, reply] { onRequest(request, reply); });
 }
