--- a/src/group/localreads.cpp
+++ b/src/group/localreads.cpp
@@ -61,8 +61,8 @@
 }
 
 // Records the log position and the lent connections from an owner's answer.
-void LocalReads::learn(const inner::RunStatement &statement, Instant sent,
-                       const inner::StatementDone &done)
+void LocalReads::onOwnerAnswer(const inner::RunStatement &statement, Instant sent,
+                               const inner::StatementDone &done)
 {
     if (!done.logPosition)
         return;
--- a/src/group/localreads.h
+++ b/src/group/localreads.h
@@ -13,7 +13,7 @@
 // the group's owner. Each read carries the log position that it must see, learned from the owner's
 // answers; the replica refuses the read if its log lacks that position. Connections come from a
 // share that the group's owner lends.
-class LocalReads : public session::NearExecutor
+class LocalReads : public session::LocalReadExecutor
 {
 public:
     struct Parts
@@ -35,8 +35,8 @@
     void setServers(const GroupName &group, const std::vector<ListedServer> &servers);
 
     bool run(const inner::RunStatement &statement, session::DoneCallback callback) override;
-    void learn(const inner::RunStatement &statement, Instant sent,
-               const inner::StatementDone &done) override;
+    void onOwnerAnswer(const inner::RunStatement &statement, Instant sent,
+                       const inner::StatementDone &done) override;
     // Closes idle connections without an answer since the given time.
     void closeStaleIdle(Instant since);
 
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -267,7 +267,7 @@
     }
     // 3. Statements that could not finish in time are refused.
     if (passed >= settings_.grace - statementReserve)
-        router_->stopTaking();
+        router_->refuseNewOperations();
     // 4. Ends when nothing is left or the grace period is nearly over.
     const bool empty = passed >= balancerDetectionTime && callers_->count() == 0
         && groups_->isIdle() && router_->inProgress() == 0;
@@ -365,7 +365,7 @@
     const bool isAnswer = std::holds_alternative<inner::StatementDone>(message)
         || std::holds_alternative<inner::AliveAnswer>(message);
     if (isAnswer && address != linkAddresses_.end())
-        router_->onHeard(address->second);
+        router_->onPeerResponse(address->second);
     std::visit([this, link](auto &fields) { handle(link, fields); }, message);
 }
 
@@ -449,7 +449,8 @@
 {
     const bool itself = message.owner == message.from.address;
     const Incarnation incarnation = itself ? message.from.incarnation : 0;
-    groups_->ownership().learnOwner(message.group, {message.epoch, {message.owner, incarnation}});
+    groups_->ownership().applyReportedOwner(message.group,
+                                            {message.epoch, {message.owner, incarnation}});
 }
 
 void HostProcess::handle(inner::LinkId link, inner::SubscribeTables &message)
--- a/tests/platform/process_test.cpp
+++ b/tests/platform/process_test.cpp
@@ -27,8 +27,7 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-// Ports that are free when they are drawn, each only once: one that was closed again may be drawn
-// again, and a process given the same port twice does not start.
+// Returns a free port that was not returned before, as the system may offer a closed port again.
 int freePort()
 {
     static std::set<int> drawn;
@@ -42,7 +41,7 @@
     }
 }
 
-// A caller's connection, read line by line.
+// A caller's connection.
 class Caller
 {
 public:
@@ -54,7 +53,7 @@
 
     void send(const std::string &text) { boost::asio::write(socket_, boost::asio::buffer(text)); }
 
-    // The next line; "closed" at the end.
+    // Returns the next line, or "closed" at the end of the stream.
     std::string line()
     {
         boost::system::error_code error;
@@ -69,8 +68,8 @@
         return text;
     }
 
-    // Everything up to READY, joined by '|'.
-    std::string ask(const std::string &text)
+    // Sends a line and returns the answer up to READY, its lines joined by '|'.
+    std::string query(const std::string &text)
     {
         send(text + "\r\n");
         std::string answer;
@@ -88,13 +87,13 @@
     boost::asio::streambuf buffer_;
 };
 
-// The real program, before a fake platform.
-// Settings stand in the build tree while a test runs.
+// Returns the path of a settings file in the build tree.
 std::string settingsFile(const std::string &name)
 {
     return std::string(BUILD_DIRECTORY) + "/process_test_" + name + ".ini";
 }
 
+// A kelptallyd process with a fake store and a fake server.
 class Deployment
 {
 public:
@@ -129,10 +128,10 @@
         return std::atoi(http.line().substr(9, 3).c_str());
     }
 
-    // Exit status of the process, or -1 if it still runs after the time.
-    int waitForEnd(std::chrono::milliseconds most)
+    // Returns the exit status of the process, or -1 if it still runs after the time limit.
+    int waitForEnd(std::chrono::milliseconds limit)
     {
-        for (auto waited = 0ms; waited < most; waited += 20ms) {
+        for (auto waited = 0ms; waited < limit; waited += 20ms) {
             int status = 0;
             if (::waitpid(process, &status, WNOHANG) == process) {
                 process = 0;
@@ -153,14 +152,14 @@
         arguments.push_back(nullptr);
         posix_spawn_file_actions_t actions;
         posix_spawn_file_actions_init(&actions);
-        const int nowhere = ::open("/dev/null", O_WRONLY);
-        posix_spawn_file_actions_adddup2(&actions, output >= 0 ? output : nowhere, STDOUT_FILENO);
+        const int devNull = ::open("/dev/null", O_WRONLY);
+        posix_spawn_file_actions_adddup2(&actions, output >= 0 ? output : devNull, STDOUT_FILENO);
         pid_t child = 0;
         char *noVariables[] = {nullptr};
         REQUIRE(::posix_spawn(&child, KELPTALLYD, &actions, nullptr, arguments.data(), noVariables)
                 == 0);
         posix_spawn_file_actions_destroy(&actions);
-        ::close(nowhere);
+        ::close(devNull);
         return child;
     }
 
@@ -177,10 +176,10 @@
 
     static constexpr const char *operatorKey = "the operators' own key";
 
-    // The settings with this log level and these lines at the end.
+    // Writes the settings with a log level and additional lines at the end.
     void writeSettings(const std::string &level, const std::string &more = "")
     {
-        // In one step, as the platform does it.
+        // Replaces the file atomically, as the platform does.
         std::ofstream(file_ + ".new")
             << "[process]\nhost=h-1\nzone=z\naddress=127.0.0.1\npeer-port=" << peerPort_
             << "\ncallers=127.0.0.1:" << callerPort << "\nreadiness=127.0.0.1:" << readinessPort
@@ -235,7 +234,7 @@
                 if (ready() == 200)
                     return;
             } catch (const boost::system::system_error &) {
-                // It does not listen yet.
+                // The process does not listen yet.
             }
         }
         FAIL("kelptallyd did not become ready");
@@ -251,83 +250,83 @@
 
 } // namespace
 
-TEST_CASE("The real process serves a session: values, prepared names, statements, transactions")
+TEST_CASE("A session runs statements, prepared statements and transactions")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
-    CHECK(caller.ask("START main me") == "READY I -");
-    CHECK(caller.ask("QUERY 1 READ a1") == "DATAROW row-of-a1|COMPLETE sig-1|READY I -");
-    CHECK(caller.ask("QUERY 2 SET mode strict") == "COMPLETE -|READY I -");
-    CHECK(caller.ask("QUERY 3 PREPARE s WRITE shape-7") == "COMPLETE -|READY I -");
-    CHECK(caller.ask("QUERY 4 EXECUTE s a1 data").rfind("COMPLETE sig-4|READY I 1.1", 0) == 0);
+    CHECK(caller.query("START main me") == "READY I -");
+    CHECK(caller.query("QUERY 1 READ a1") == "DATAROW row-of-a1|COMPLETE sig-1|READY I -");
+    CHECK(caller.query("QUERY 2 SET mode strict") == "COMPLETE -|READY I -");
+    CHECK(caller.query("QUERY 3 PREPARE s WRITE shape-7") == "COMPLETE -|READY I -");
+    CHECK(caller.query("QUERY 4 EXECUTE s a1 data").rfind("COMPLETE sig-4|READY I 1.1", 0) == 0);
     CHECK(contains(deployment.server.lines(), "QUERY - SET mode strict"));
     CHECK(contains(deployment.server.lines(), "PREPARE p1 WRITE shape-7"));
     CHECK(contains(deployment.server.lines(), "QUERY 4 EXECUTE p1 a1 data"));
-    CHECK(caller.ask("QUERY 5 BEGIN") == "COMPLETE -|READY T -");
-    CHECK(caller.ask("QUERY 6 WRITE a1 more").rfind("COMPLETE sig-6|READY T", 0) == 0);
-    CHECK(caller.ask("QUERY 7 COMMIT").rfind("COMPLETE sig-7|READY I 1.2", 0) == 0);
+    CHECK(caller.query("QUERY 5 BEGIN") == "COMPLETE -|READY T -");
+    CHECK(caller.query("QUERY 6 WRITE a1 more").rfind("COMPLETE sig-6|READY T", 0) == 0);
+    CHECK(caller.query("QUERY 7 COMMIT").rfind("COMPLETE sig-7|READY I 1.2", 0) == 0);
     CHECK(contains(deployment.server.lines(), "START cases kelptally i-1"));
-    // Another session has none of this.
+    // Prepared statements belong to one session.
     Caller other(deployment.callerPort);
-    other.ask("START main me");
-    CHECK(other.ask("QUERY 8 EXECUTE s a1 data").rfind("ERROR MALFORMED", 0) == 0);
+    other.query("START main me");
+    CHECK(other.query("QUERY 8 EXECUTE s a1 data").rfind("ERROR MALFORMED", 0) == 0);
 }
 
-TEST_CASE("A write whose answer is lost is in doubt at once, and a read is run again")
+TEST_CASE("A write whose answer is lost is reported as in doubt and is not repeated")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
-    caller.ask("QUERY 1 READ a1");
+    caller.query("START main me");
+    caller.query("QUERY 1 READ a1");
     deployment.server.loseNextWrite();
-    CHECK(caller.ask("QUERY 2 WRITE a1 data").rfind("ERROR INDOUBT", 0) == 0);
-    CHECK(caller.ask("QUERY 3 WRITE a1 data").rfind("COMPLETE sig-3", 0) == 0);
+    CHECK(caller.query("QUERY 2 WRITE a1 data").rfind("ERROR INDOUBT", 0) == 0);
+    CHECK(caller.query("QUERY 3 WRITE a1 data").rfind("COMPLETE sig-3", 0) == 0);
     int sent = 0;
     for (const std::string &line : deployment.server.lines())
         sent += line.find("QUERY 2 WRITE") != std::string::npos;
     CHECK(sent == 1);
 }
 
-TEST_CASE("Bad input gets an error or a close, and harms nobody else")
+TEST_CASE("Invalid input is refused without affecting other sessions")
 {
     Deployment deployment;
     Caller good(deployment.callerPort);
-    good.ask("START main me");
+    good.query("START main me");
     Caller unknown(deployment.callerPort);
-    CHECK(unknown.ask("START nothing me").rfind("ERROR NODB", 0) == 0);
+    CHECK(unknown.query("START nothing me").rfind("ERROR NODB", 0) == 0);
     Caller early(deployment.callerPort);
-    CHECK(early.ask("QUERY 1 READ a").rfind("ERROR MALFORMED", 0) == 0);
-    Caller odd(deployment.callerPort);
-    odd.ask("START main me");
-    CHECK(odd.ask("QUERY 1 FETCH a").rfind("ERROR MALFORMED", 0) == 0);
-    CHECK(odd.ask("QUERY 2 READ a") == "DATAROW row-of-a|COMPLETE sig-2|READY I -");
+    CHECK(early.query("QUERY 1 READ a").rfind("ERROR MALFORMED", 0) == 0);
+    Caller malformed(deployment.callerPort);
+    malformed.query("START main me");
+    CHECK(malformed.query("QUERY 1 FETCH a").rfind("ERROR MALFORMED", 0) == 0);
+    CHECK(malformed.query("QUERY 2 READ a") == "DATAROW row-of-a|COMPLETE sig-2|READY I -");
     // Pipelined statements are answered one after the other.
-    odd.send("QUERY 3 READ b\r\nQUERY 4 READ c\r\n");
-    CHECK(odd.line() == "DATAROW row-of-b");
-    CHECK(odd.line() == "COMPLETE sig-3");
-    CHECK(odd.line() == "READY I -");
-    CHECK(odd.line() == "DATAROW row-of-c");
-    // Beyond 1 MiB.
+    malformed.send("QUERY 3 READ b\r\nQUERY 4 READ c\r\n");
+    CHECK(malformed.line() == "DATAROW row-of-b");
+    CHECK(malformed.line() == "COMPLETE sig-3");
+    CHECK(malformed.line() == "READY I -");
+    CHECK(malformed.line() == "DATAROW row-of-c");
+    // A message over 1 MiB.
     Caller large(deployment.callerPort);
-    large.ask("START main me");
+    large.query("START main me");
     try {
         large.send("QUERY 1 WRITE a " + std::string(1u << 21, 'x'));
     } catch (const boost::system::system_error &) {
-        // It may close before everything was sent.
+        // The connection may be closed before everything is sent.
     }
     const std::string answer = large.line();
     CHECK((answer.rfind("ERROR TOOBIG", 0) == 0 || answer == "closed"));
-    CHECK(good.ask("QUERY 1 READ z").rfind("DATAROW row-of-z", 0) == 0);
+    CHECK(good.query("QUERY 1 READ z").rfind("DATAROW row-of-z", 0) == 0);
 }
 
-TEST_CASE("A caller that leaves in a transaction has it rolled back")
+TEST_CASE("The transaction of a caller that disconnects is rolled back at the server")
 {
     Deployment deployment;
     {
         Caller caller(deployment.callerPort);
-        caller.ask("START main me");
-        caller.ask("QUERY 1 BEGIN");
-        caller.ask("QUERY 2 WRITE a1 data");
+        caller.query("START main me");
+        caller.query("QUERY 1 BEGIN");
+        caller.query("QUERY 2 WRITE a1 data");
     }
     bool rolledBack = false;
     for (int i = 0; i < 200 && !rolledBack; ++i) {
@@ -338,7 +337,7 @@
     CHECK(!contains(deployment.server.lines(), "COMMIT"));
 }
 
-TEST_CASE("A configuration is in force as it comes, and never an older one")
+TEST_CASE("A new configuration takes effect at run time, an older one does not")
 {
     Deployment deployment;
     const auto configure = [&](int version, const std::string &database) {
@@ -352,20 +351,20 @@
     bool inForce = false;
     for (int i = 0; i < 200 && !inForce; ++i) {
         std::this_thread::sleep_for(10ms);
-        inForce = Caller(deployment.callerPort).ask("START next me") == "READY I -";
+        inForce = Caller(deployment.callerPort).query("START next me") == "READY I -";
     }
     CHECK(inForce);
-    CHECK(Caller(deployment.callerPort).ask("START main me").rfind("ERROR NODB", 0) == 0);
+    CHECK(Caller(deployment.callerPort).query("START main me").rfind("ERROR NODB", 0) == 0);
     configure(5, "main");
     std::this_thread::sleep_for(300ms);
-    CHECK(Caller(deployment.callerPort).ask("START next me") == "READY I -");
+    CHECK(Caller(deployment.callerPort).query("START next me") == "READY I -");
 }
 
-TEST_CASE("Servers are told the organisation; its key goes no further than the entry")
+TEST_CASE("The organisation is sent to servers; its key is not sent, logged or in metrics")
 {
-    int ends[2];
-    REQUIRE(::pipe(ends) == 0);
-    Deployment deployment(ends[1]);
+    int pipeEnds[2];
+    REQUIRE(::pipe(pipeEnds) == 0);
+    Deployment deployment(pipeEnds[1]);
     const auto configure = [&](int version, const std::string &tenants) {
         deployment.store.put(
             "op", "config",
@@ -376,7 +375,7 @@
     };
     const auto waitFor = [&](const std::string &start, const std::string &answer) {
         for (int i = 0; i < 200; ++i) {
-            if (Caller(deployment.callerPort).ask(start).rfind(answer, 0) == 0)
+            if (Caller(deployment.callerPort).query(start).rfind(answer, 0) == 0)
                 return true;
             std::this_thread::sleep_for(10ms);
         }
@@ -386,65 +385,67 @@
                     {"name":"county","apiKeys":["key-of-county","old-key-of-town"]})");
     REQUIRE(waitFor("START main key-of-none", "ERROR NOAUTH"));
     Caller town(deployment.callerPort);
-    CHECK(town.ask("START main key-of-town") == "READY I -");
-    CHECK(town.ask("QUERY 1 READ a1") == "DATAROW row-of-a1|COMPLETE sig-1|READY I -");
+    CHECK(town.query("START main key-of-town") == "READY I -");
+    CHECK(town.query("QUERY 1 READ a1") == "DATAROW row-of-a1|COMPLETE sig-1|READY I -");
     Caller county(deployment.callerPort);
-    CHECK(county.ask("START main old-key-of-town") == "READY I -");
-    CHECK(county.ask("QUERY 2 READ a1") == "DATAROW row-of-a1|COMPLETE sig-2|READY I -");
+    CHECK(county.query("START main old-key-of-town") == "READY I -");
+    CHECK(county.query("QUERY 2 READ a1") == "DATAROW row-of-a1|COMPLETE sig-2|READY I -");
     CHECK(contains(deployment.server.lines(), "START cases town i-1"));
     CHECK(contains(deployment.server.lines(), "START cases county i-1"));
-    CHECK(Caller(deployment.callerPort).ask("START main").rfind("ERROR NOAUTH", 0) == 0);
-    // Taken away from a connected caller.
+    CHECK(Caller(deployment.callerPort).query("START main").rfind("ERROR NOAUTH", 0) == 0);
+    // Revoked while a caller is connected.
     configure(3, R"({"name":"town","apiKeys":["key-of-town"]})");
     REQUIRE(waitFor("START main old-key-of-town", "ERROR NOAUTH"));
-    CHECK(county.ask("QUERY 3 READ a1").rfind("ERROR NOAUTH", 0) == 0);
-    CHECK(town.ask("QUERY 4 READ a1").rfind("DATAROW", 0) == 0);
+    CHECK(county.query("QUERY 3 READ a1").rfind("ERROR NOAUTH", 0) == 0);
+    CHECK(town.query("QUERY 4 READ a1").rfind("DATAROW", 0) == 0);
     CHECK(!contains(deployment.server.lines(), "QUERY 3"));
-    // No key in what a server, the log or the metrics are told.
-    std::string told = deployment.metrics();
+    // No key appears at a server, in the log or in the metrics.
+    std::string published = deployment.metrics();
     for (const std::string &line : deployment.server.lines())
-        told += line;
-    ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
+        published += line;
+    ::fcntl(pipeEnds[0], F_SETFL, O_NONBLOCK);
     char bytes[65536];
-    for (ssize_t count; (count = ::read(ends[0], bytes, sizeof bytes)) > 0;)
-        told.append(bytes, static_cast<std::size_t>(count));
-    CHECK(told.find("session_refused") != std::string::npos);
+    for (ssize_t count; (count = ::read(pipeEnds[0], bytes, sizeof bytes)) > 0;)
+        published.append(bytes, static_cast<std::size_t>(count));
+    CHECK(published.find("session_refused") != std::string::npos);
     for (const char *key : {"key-of-town", "key-of-county", "key-of-none"})
-        CHECK(told.find(key) == std::string::npos);
-    ::close(ends[0]);
-    ::close(ends[1]);
+        CHECK(published.find(key) == std::string::npos);
+    ::close(pipeEnds[0]);
+    ::close(pipeEnds[1]);
 }
 
-TEST_CASE("SIGTERM: not ready at once, idle sessions closed, and an end within the grace")
+TEST_CASE(
+    "SIGTERM makes the process unready, closes idle sessions and ends it within the grace period")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
-    caller.ask("QUERY 0 READ a");
+    caller.query("START main me");
+    caller.query("QUERY 0 READ a");
     ::kill(deployment.process, SIGTERM);
     std::this_thread::sleep_for(200ms);
     CHECK(deployment.ready() == 503);
-    CHECK(caller.ask("QUERY 1 READ a") == "DATAROW row-of-a|COMPLETE sig-1|READY I -");
+    CHECK(caller.query("QUERY 1 READ a") == "DATAROW row-of-a|COMPLETE sig-1|READY I -");
     CHECK(caller.line() == "closed");
     CHECK(deployment.waitForEnd(5000ms) == 0);
 }
 
-TEST_CASE("Nobody reads the log: service goes on")
+TEST_CASE("A blocked log pipe does not stop the service")
 {
-    int ends[2];
-    REQUIRE(::pipe(ends) == 0);
-    Deployment deployment(ends[1]);
+    int pipeEnds[2];
+    REQUIRE(::pipe(pipeEnds) == 0);
+    Deployment deployment(pipeEnds[1]);
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
-    // Refusals are logged; far more than a pipe holds.
+    caller.query("START main me");
+    // Each refusal is logged; together they exceed the capacity of the pipe.
     for (int i = 0; i < 3000; ++i)
-        REQUIRE(Caller(deployment.callerPort).ask("START nothing me").rfind("ERROR NODB", 0) == 0);
-    CHECK(caller.ask("QUERY 1 READ a").rfind("DATAROW row-of-a", 0) == 0);
-    ::close(ends[0]);
-    ::close(ends[1]);
+        REQUIRE(Caller(deployment.callerPort).query("START nothing me").rfind("ERROR NODB", 0)
+                == 0);
+    CHECK(caller.query("QUERY 1 READ a").rfind("DATAROW row-of-a", 0) == 0);
+    ::close(pipeEnds[0]);
+    ::close(pipeEnds[1]);
 }
 
-TEST_CASE("Settings with mistakes are told all at once, and nothing starts")
+TEST_CASE("Checking invalid settings fails")
 {
     const std::string file = settingsFile("bad");
     std::ofstream(file) << "[process]\nhost=h\n[log]\nlevel=loud\n[odd]\n";
@@ -456,12 +457,12 @@
     CHECK(WEXITSTATUS(status) == 1);
 }
 
-TEST_CASE("Operators see status and configuration of a host, and drain it")
+TEST_CASE("An operator can query the status and configuration of a host and drain it")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
-    caller.ask("QUERY 1 WRITE a1 data");
+    caller.query("START main me");
+    caller.query("QUERY 1 WRITE a1 data");
     admin::ProxyClient client = deployment.operatorClient();
     std::ostringstream out;
     std::ostringstream err;
@@ -476,8 +477,8 @@
     CHECK_THAT(out.str(),
                Catch::Contains(R"("database":"main")") && Catch::Contains(R"("group":"cases")")
                    && Catch::Contains(R"("timeout_ms":800)"));
-    admin::ProxyClient stranger = deployment.operatorClient("another key that is long");
-    CHECK(admin::showStatus(stranger, false, output) == admin::CtlExit::Refused);
+    admin::ProxyClient unauthorised = deployment.operatorClient("another key that is long");
+    CHECK(admin::showStatus(unauthorised, false, output) == admin::CtlExit::Refused);
     CHECK(admin::drainHost(client, "h-2", output) == admin::CtlExit::Refused);
     CHECK(deployment.ready() == 200);
     CHECK(admin::drainHost(client, "h-1", output) == admin::CtlExit::Done);
@@ -485,12 +486,12 @@
     CHECK(deployment.waitForEnd(6000ms) == 0);
 }
 
-TEST_CASE("Metrics tell where the time of statements goes")
+TEST_CASE("Metrics include statement and stage times")
 {
     Deployment deployment;
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
-    caller.ask("QUERY 1 READ a1");
+    caller.query("START main me");
+    caller.query("QUERY 1 READ a1");
     const std::string text = deployment.metrics();
     CHECK_THAT(
         text,
@@ -500,17 +501,17 @@
             && Catch::Contains(R"(kelptally_owner_connections{group="cases",server="i-1"})"));
 }
 
-TEST_CASE("A settings file that changes without a signal is taken over; a bad one changes nothing")
+TEST_CASE("A changed settings file is reloaded without a signal; an invalid one is refused")
 {
-    int ends[2];
-    REQUIRE(::pipe(ends) == 0);
-    Deployment deployment(ends[1]);
-    ::close(ends[1]);
+    int pipeEnds[2];
+    REQUIRE(::pipe(pipeEnds) == 0);
+    Deployment deployment(pipeEnds[1]);
+    ::close(pipeEnds[1]);
     std::string log;
-    const auto logs = [&](const std::string &part) {
+    const auto logContains = [&](const std::string &part) {
         char bytes[4096];
         while (log.find(part) == std::string::npos) {
-            const auto count = ::read(ends[0], bytes, sizeof bytes);
+            const auto count = ::read(pipeEnds[0], bytes, sizeof bytes);
             if (count <= 0)
                 return false;
             log.append(bytes, std::size_t(count));
@@ -518,15 +519,15 @@
         return true;
     };
     deployment.writeSettings("loud");
-    CHECK(logs("reload_refused"));
+    CHECK(logContains("reload_refused"));
     deployment.writeSettings("debug");
-    CHECK(logs(R"("event":"reloaded","log_level":"debug","needs_restart":"")"));
+    CHECK(logContains(R"("event":"reloaded","log_level":"debug","needs_restart":"")"));
     Caller caller(deployment.callerPort);
-    caller.ask("START main me");
-    caller.ask("QUERY 1 READ a1");
-    CHECK(logs(R"("event":"statement_sent")"));
+    caller.query("START main me");
+    caller.query("QUERY 1 READ a1");
+    CHECK(logContains(R"("event":"statement_sent")"));
     deployment.writeSettings("info", "[limits]\nserver-leave-time=9s\n");
-    CHECK(logs(R"("log_level":"info")"));
-    CHECK(caller.ask("QUERY 2 READ a1") == "DATAROW row-of-a1|COMPLETE sig-2|READY I -");
-    ::close(ends[0]);
+    CHECK(logContains(R"("log_level":"info")"));
+    CHECK(caller.query("QUERY 2 READ a1") == "DATAROW row-of-a1|COMPLETE sig-2|READY I -");
+    ::close(pipeEnds[0]);
 }
