--- a/src/bench/newsmodel.cpp
+++ b/src/bench/newsmodel.cpp
@@ -4,7 +4,7 @@
 #include "decision/feedpace.h"
 #include "host/tablenews.h"
 #include "inner/codec.h"
-#include "services/storegate.h"
+#include "services/storecircuitbreaker.h"
 #include "services/tablefollower.h"
 
 #include <algorithm>
@@ -133,7 +133,7 @@
     bool cutFromStore = false;
     Instant lastTrouble {};
     Metrics metrics;
-    std::unique_ptr<services::StoreGate> gate;
+    std::unique_ptr<services::StoreCircuitBreaker> breaker;
     std::unique_ptr<host::TableNews> news;
     std::vector<std::unique_ptr<services::TableFollower>> followers;
     decision::TellerOrder tellerOrder;
@@ -202,7 +202,7 @@
 void Host::start()
 {
     const auto draw = [this] { return std::uniform_real_distribution<double>(0, 1)(random); };
-    gate = std::make_unique<services::StoreGate>(services::StoreGate::Parts {
+    breaker = std::make_unique<services::StoreCircuitBreaker>(services::StoreCircuitBreaker::Parts {
         timers, *this, *this, model.log, metrics, storeTimeout,
         [this](std::function<void(bool)> callback) {
             timers.subscribeAfter(cutFromStore ? 150ms : 2ms,
@@ -216,7 +216,7 @@
         },
         draw});
     news = std::make_unique<host::TableNews>(host::TableNews::Parts {
-        timers, *gate, *this, model.log, metrics, address, zone, owners, true, draw});
+        timers, *breaker, *this, model.log, metrics, address, zone, owners, true, draw});
     const auto follow = [this](const char *table, Duration wait, auto onRow) {
         followers.push_back(std::make_unique<services::TableFollower>(
             services::TableFollower::Parts {timers, *news, model.log}, table, wait,
--- a/src/group/grouphost.cpp
+++ b/src/group/grouphost.cpp
@@ -171,7 +171,7 @@
     if (entry == nullptr)
         return;
     const auto lend = [this, link, group](inner::StatementDone &done) {
-        done.lentConnections = lentTo(link, group);
+        done.grantedConnections = lentTo(link, group);
     };
     // 1. A single read may run twice.
     if (session::isSingleRead(statement)) {
--- a/src/group/nearreads.cpp
+++ b/src/group/nearreads.cpp
@@ -70,9 +70,9 @@
         return;
     Group &group = groups_[statement.group];
     group.positions.add(sent - done.logAge, *done.logPosition);
-    if (group.lent == done.lentConnections)
+    if (group.lent == done.grantedConnections)
         return;
-    group.lent = done.lentConnections;
+    group.lent = done.grantedConnections;
     for (const auto &[id, server] : group.servers)
         server->limitConnections(group.lent);
 }
--- a/src/group/ownership.h
+++ b/src/group/ownership.h
@@ -75,7 +75,7 @@
 
     void start();
     // Whether the initial snapshot of the table has been read.
-    bool isReady() const { return follower_.isRead(); }
+    bool isReady() const { return follower_.hasSnapshot(); }
     // Makes no more claims; used when the process shuts down.
     void stopClaiming() { claiming_ = false; }
 
--- a/src/group/quotamanager.cpp
+++ b/src/group/quotamanager.cpp
@@ -152,7 +152,7 @@
         return;
     const double wanted =
         static_cast<double>(std::min(request.thousandths, maxThousandths)) / thousandths;
-    inner::QuotaGift message;
+    inner::QuotaGrant message;
     message.organisation = request.organisation;
     message.thousandths = static_cast<std::uint64_t>(
         account->account.grant(parts_.timers.now(), wanted) * thousandths);
@@ -160,7 +160,7 @@
         static_cast<void>(parts_.links.sendOn(link, message));
 }
 
-void QuotaManager::onGrant(const inner::QuotaGift &message)
+void QuotaManager::onGrant(const inner::QuotaGrant &message)
 {
     if (Account *account = find(message.organisation))
         account->account.receive(parts_.timers.now(),
--- a/src/group/quotamanager.h
+++ b/src/group/quotamanager.h
@@ -57,7 +57,7 @@
     }
 
     void onRequest(inner::LinkId link, const inner::QuotaRequest &request);
-    void onGrant(const inner::QuotaGift &message);
+    void onGrant(const inner::QuotaGrant &message);
 
 private:
     struct Account
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -95,7 +95,7 @@
                                 ports_.metrics, times_, self_});
     groups_->setServerLeaveTime(settings_.serverLeaveTime);
     groups_->start();
-    store_.onBack([this](Duration lostFor) { groups_->ownership().onStoreRecovered(lostFor); });
+    store_.onRecovery([this](Duration lostFor) { groups_->ownership().onStoreRecovered(lostFor); });
     return absl::OkStatus();
 }
 
@@ -408,7 +408,7 @@
     groups_->quotas().onRequest(link, message);
 }
 
-void HostProcess::handle(inner::LinkId, inner::QuotaGift &message)
+void HostProcess::handle(inner::LinkId, inner::QuotaGrant &message)
 {
     groups_->quotas().onGrant(message);
 }
@@ -420,11 +420,11 @@
 
 void HostProcess::handle(inner::LinkId, inner::TakeOver &message)
 {
-    if (draining_ || (message.needsRoom && !groups_->ownership().hasRoom()))
+    if (draining_ || (message.needsCapacity && !groups_->ownership().hasRoom()))
         return;
-    if (message.reach.empty())
+    if (message.requiredEndpoint.empty())
         return groups_->ownership().onTakeOverRequested(message.group, message.epoch);
-    ports_.probe(message.reach, reachTimeout,
+    ports_.probe(message.requiredEndpoint, reachTimeout,
                  [this, group = message.group, epoch = message.epoch](ProbeOutcome outcome) {
                      if (outcome == ProbeOutcome::Accepted)
                          groups_->ownership().onTakeOverRequested(group, epoch);
--- a/src/host/hostprocess.h
+++ b/src/host/hostprocess.h
@@ -6,7 +6,7 @@
 #include "group/serverlist.h"
 #include "host/tablenews.h"
 #include "inner/peerlink.h"
-#include "services/storegate.h"
+#include "services/storecircuitbreaker.h"
 #include "session/callersession.h"
 #include "session/router.h"
 #include "settings/hostsettings.h"
@@ -117,7 +117,7 @@
     void handle(inner::LinkId link, inner::StatementDone &message);
     void handle(inner::LinkId link, inner::EndTransaction &message);
     void handle(inner::LinkId link, inner::QuotaRequest &message);
-    void handle(inner::LinkId link, inner::QuotaGift &message);
+    void handle(inner::LinkId link, inner::QuotaGrant &message);
     void handle(inner::LinkId link, inner::AliveRequest &message);
     void handle(inner::LinkId link, inner::OwnershipEndRequest &message);
     void handle(inner::LinkId link, inner::OwnershipEnded &message);
@@ -173,7 +173,7 @@
 
     session::StageTimes times_;
     std::minstd_rand random_;
-    services::StoreGate store_;
+    services::StoreCircuitBreaker store_;
     NewsLinks newsLinks_ {*this};
     TableNews news_;
     bool candidatesChanged_ = false;
--- a/src/inner/cborreader.cpp
+++ b/src/inner/cborreader.cpp
@@ -57,7 +57,7 @@
 
 } // namespace
 
-bool takeCborItem(std::string_view &bytes, CborItem &item)
+bool readCborItem(std::string_view &bytes, CborItem &item)
 {
     item = CborItem();
     const auto *data = reinterpret_cast<cbor_data>(bytes.data());
--- a/src/inner/cborreader.h
+++ b/src/inner/cborreader.h
@@ -32,7 +32,7 @@
 
 // Takes the next item off the front of a document, without allocating and without looking into it.
 // False when it is cut short or not CBOR.
-bool takeCborItem(std::string_view &bytes, CborItem &item);
+bool readCborItem(std::string_view &bytes, CborItem &item);
 
 // Reads the fields of records; see layout(). Counts and lengths are held to their bounds, and to
 // what the rest of the document can hold, before anything is allocated for them. After the first
@@ -99,18 +99,18 @@
 
     void duration(Duration &into)
     {
-        const bool negative = more() && next_.type == CborItem::Negative;
+        const bool negative = hasNext() && next_.type == CborItem::Negative;
         CborItem item;
         if (!take(negative ? CborItem::Negative : CborItem::Unsigned, item))
             return;
-        const auto longest = static_cast<std::uint64_t>(Duration::max().count());
-        if ((negative ? ~item.number : item.number) > longest)
+        const auto maxNanoseconds = static_cast<std::uint64_t>(Duration::max().count());
+        if ((negative ? ~item.number : item.number) > maxNanoseconds)
             return fail("a duration is too long");
         into = Duration(static_cast<Duration::rep>(item.number));
     }
     void duration(std::optional<Duration> &into)
     {
-        if (!more() || skipNull())
+        if (!hasNext() || skipNull())
             return;
         duration(into.emplace());
     }
@@ -138,15 +138,15 @@
         CborItem item;
         if (!take(CborItem::Array, item))
             return;
-        const std::uint64_t outer = left_;
-        left_ = item.number;
+        const std::uint64_t outer = remaining_;
+        remaining_ = item.number;
         readFields(into);
-        left_ = outer;
+        remaining_ = outer;
     }
     template <typename T>
     void record(std::optional<T> &into)
     {
-        if (!more() || skipNull())
+        if (!hasNext() || skipNull())
             return;
         record(into.emplace());
     }
@@ -163,8 +163,8 @@
         CborItem item;
         if (!take(CborItem::Array, item))
             fail("the message is no array");
-        left_ = item.number;
-        if (left_ == 0)
+        remaining_ = item.number;
+        if (remaining_ == 0)
             fail("the message has no type");
         number(type);
         return type;
@@ -178,7 +178,7 @@
     }
 
 private:
-    bool more() const { return status_.ok() && left_ != 0; }
+    bool hasNext() const { return status_.ok() && remaining_ != 0; }
 
     void fail(std::string_view what)
     {
@@ -194,7 +194,7 @@
             return;
         if (++items_ > maxItems)
             return fail("the message has too many items");
-        if (!takeCborItem(bytes_, next_) || next_.type == CborItem::Unknown)
+        if (!readCborItem(bytes_, next_) || next_.type == CborItem::Unknown)
             return fail("the message is cut short or holds what no message has");
         // Each element takes a byte at least.
         if (next_.type == CborItem::Array && next_.number > bytes_.size())
@@ -204,7 +204,7 @@
     // The next element of the current array; false at its end or when it is of another type.
     bool take(CborItem::Type type, CborItem &item)
     {
-        if (!more())
+        if (!hasNext())
             return false;
         if (next_.type != type) {
             fail(next_.type == CborItem::Unknown ? "the message ends early"
@@ -212,7 +212,7 @@
             return false;
         }
         item = next_;
-        --left_;
+        --remaining_;
         advance();
         return true;
     }
@@ -220,21 +220,21 @@
     bool skipNull()
     {
         CborItem item;
-        return more() && next_.type == CborItem::Null && take(CborItem::Null, item);
+        return hasNext() && next_.type == CborItem::Null && take(CborItem::Null, item);
     }
 
     template <typename T>
     void readFields(T &into)
     {
         layout(*this, into, into);
-        while (more())
+        while (hasNext())
             skip();
     }
 
     // Passes over one element with all that it holds.
     void skip()
     {
-        --left_;
+        --remaining_;
         for (std::uint64_t open = 1; open != 0 && status_.ok(); --open) {
             if (next_.type == CborItem::Unknown)
                 return fail("the message ends early");
@@ -252,22 +252,22 @@
             return;
         if (item.number > maxCount)
             return fail("a list is too long");
-        const std::uint64_t outer = left_;
-        left_ = item.number;
+        const std::uint64_t outer = remaining_;
+        remaining_ = item.number;
         into.resize(item.number);
         for (T &value : into) {
             if (!status_.ok())
                 return;
             each(value);
         }
-        left_ = outer;
+        remaining_ = outer;
     }
 
     std::string_view bytes_;
     // Looked at and not yet taken; Unknown at the end of the document.
     CborItem next_;
     // Elements of the current array that are not read yet.
-    std::uint64_t left_ = 1;
+    std::uint64_t remaining_ = 1;
     std::size_t items_ = 0;
     absl::Status status_;
 };
--- a/src/inner/codec.cpp
+++ b/src/inner/codec.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // Bytes of most messages; saves the growth of the text.
-constexpr std::size_t typicalBytes = 512;
+constexpr std::size_t initialCapacity = 512;
 
 template <std::size_t Type>
 absl::StatusOr<Message> readFields(CborReader &reader)
@@ -39,7 +39,7 @@
 absl::StatusOr<std::string> encode(const Message &message)
 {
     std::string bytes;
-    bytes.reserve(typicalBytes);
+    bytes.reserve(initialCapacity);
     CborWriter writer(bytes);
     std::visit([&](const auto &fields) { writer.message(message.index(), fields); }, message);
     if (!writer.status().ok())
--- a/src/inner/handshake.cpp
+++ b/src/inner/handshake.cpp
@@ -52,8 +52,8 @@
     return digestToHex(hmacSha256(peerKey, text));
 }
 
-bool proofHolds(const std::string &peerKey, LinkRole role, const Hello &hello,
-                const std::string &otherNonce)
+bool isProofValid(const std::string &peerKey, LinkRole role, const Hello &hello,
+                  const std::string &otherNonce)
 {
     const std::string expected = helloProof(peerKey, role, hello, otherNonce);
     return hello.proof.size() == expected.size()
@@ -96,14 +96,14 @@
     if (peer.nonce.size() != self_.nonce.size())
         return {absl::InvalidArgumentError("a Hello without a nonce"), {}, false};
     connectorNonce_ = peer.nonce;
-    return {absl::OkStatus(), provenSelf(connectorNonce_), false};
+    return {absl::OkStatus(), helloWithProof(connectorNonce_), false};
 }
 
 HelloStep HelloExchange::onConnectorProof(const Hello &peer)
 {
     done_ = true;
     const bool holds = peer.nonce == connectorNonce_
-        && proofHolds(peerKey_, LinkRole::Connector, peer, self_.nonce);
+        && isProofValid(peerKey_, LinkRole::Connector, peer, self_.nonce);
     if (!holds)
         return {absl::UnauthenticatedError("the connector holds another peer key"), {}, false};
     return {absl::OkStatus(), {}, true};
@@ -112,16 +112,16 @@
 HelloStep HelloExchange::onAcceptorHello(const Hello &peer)
 {
     done_ = true;
-    if (!proofHolds(peerKey_, LinkRole::Acceptor, peer, self_.nonce))
+    if (!isProofValid(peerKey_, LinkRole::Acceptor, peer, self_.nonce))
         return {absl::UnauthenticatedError("the acceptor holds another peer key"), {}, false};
     if (peer.process.address != dialled_)
         return {absl::NotFoundError("the process there calls itself " + peer.process.address),
                 {},
                 false};
-    return {absl::OkStatus(), provenSelf(peer.nonce), true};
+    return {absl::OkStatus(), helloWithProof(peer.nonce), true};
 }
 
-Hello HelloExchange::provenSelf(const std::string &otherNonce) const
+Hello HelloExchange::helloWithProof(const std::string &otherNonce) const
 {
     Hello hello = self_;
     hello.proof = helloProof(peerKey_, role_, hello, otherNonce);
--- a/src/inner/handshake.h
+++ b/src/inner/handshake.h
@@ -27,8 +27,8 @@
                        const std::string &otherNonce);
 
 // Whether the Hello's proof is the right one; the time taken doesn't tell how much of it is.
-bool proofHolds(const std::string &peerKey, LinkRole role, const Hello &hello,
-                const std::string &otherNonce);
+bool isProofValid(const std::string &peerKey, LinkRole role, const Hello &hello,
+                  const std::string &otherNonce);
 
 // FailedPrecondition, with the versions of both ends, when there is none that both speak.
 absl::Status checkVersions(const Hello &self, const Hello &peer);
@@ -42,7 +42,7 @@
     // To be sent.
     std::optional<Hello> reply;
     // The other end has proved itself.
-    bool proven = false;
+    bool isAuthenticated = false;
 };
 
 // One end's part in the exchange of a link. No I/O.
@@ -61,7 +61,7 @@
     HelloStep onConnectorNonce(const Hello &peer);
     HelloStep onConnectorProof(const Hello &peer);
     HelloStep onAcceptorHello(const Hello &peer);
-    Hello provenSelf(const std::string &otherNonce) const;
+    Hello helloWithProof(const std::string &otherNonce) const;
 
     const LinkRole role_;
     const std::string peerKey_;
--- a/src/inner/layout.h
+++ b/src/inner/layout.h
@@ -280,7 +280,7 @@
     archive.number(m.ownerEpoch);
     archive.record(m.logPosition);
     archive.duration(m.logAge);
-    archive.number(m.lentConnections);
+    archive.number(m.grantedConnections);
     archive.record(m.owner);
 }
 
@@ -323,8 +323,8 @@
 {
     archive.text(m.group, maxNameBytes);
     archive.number(m.epoch);
-    archive.text(m.reach, maxNameBytes);
-    archive.flag(m.needsRoom);
+    archive.text(m.requiredEndpoint, maxNameBytes);
+    archive.flag(m.needsCapacity);
 }
 
 template <typename Archive, typename M>
@@ -335,7 +335,7 @@
 }
 
 template <typename Archive, typename M>
-void layout(Archive &archive, M &m, const QuotaGift &)
+void layout(Archive &archive, M &m, const QuotaGrant &)
 {
     archive.text(m.organisation, maxNameBytes);
     archive.number(m.thousandths);
--- a/src/inner/linkrefusal.cpp
+++ b/src/inner/linkrefusal.cpp
@@ -32,7 +32,7 @@
     return closeCode >= closeMalformed && closeCode <= closeAddress;
 }
 
-bool lasts(const absl::Status &why)
+bool isPersistent(const absl::Status &why)
 {
     return !why.ok() && !absl::IsDeadlineExceeded(why);
 }
--- a/src/inner/linkrefusal.h
+++ b/src/inner/linkrefusal.h
@@ -19,7 +19,7 @@
 
 // Whether a link that this end gave up for the reason is likely to be refused again: a peer that
 // was only silent may be there again at any moment.
-bool lasts(const absl::Status &why);
+bool isPersistent(const absl::Status &why);
 
 // The cause as logs and counters name it.
 const char *refusalCause(std::uint16_t closeCode);
--- a/src/inner/linkstate.h
+++ b/src/inner/linkstate.h
@@ -18,9 +18,9 @@
 namespace kelptally::inner {
 
 // A Hello fits; nothing larger is read from an end that has not proved itself.
-constexpr std::size_t maxUnprovenBytes = 4096;
+constexpr std::size_t maxUnauthenticatedBytes = 4096;
 // Links are looked at this often.
-constexpr Duration lookPeriod = std::chrono::milliseconds(200);
+constexpr Duration checkInterval = std::chrono::milliseconds(200);
 // One thread runs everything, so websocketpp needs no locks of its own; a mask that nobody can
 // foresee protects browsers' proxies, which are not among our peers.
 struct LinkConfig : public websocketpp::config::asio
@@ -52,7 +52,7 @@
     static constexpr long timeout_close_handshake = 1000;
     static constexpr long timeout_pong = 0;
     static constexpr std::size_t connection_read_buffer_size = 8192;
-    static constexpr std::size_t max_message_size = maxUnprovenBytes;
+    static constexpr std::size_t max_message_size = maxUnauthenticatedBytes;
     static constexpr std::size_t max_http_body_size = 1024;
     // NOLINTEND(readability-identifier-naming)
 };
@@ -69,10 +69,10 @@
     explicit Channel(LinkId theId) : id(theId) { }
 
     const LinkId id;
-    std::atomic<bool> up {false};
+    std::atomic<bool> isUp {false};
     // Bytes on their way to the links' thread, and bytes that wait there as last looked at.
-    std::atomic<std::size_t> inRing {0};
-    std::atomic<std::size_t> buffered {0};
+    std::atomic<std::size_t> queuedBytes {0};
+    std::atomic<std::size_t> bufferedBytes {0};
 };
 using ChannelPtr = std::shared_ptr<Channel>;
 
@@ -82,7 +82,8 @@
     Link(LinkId id, LinkRole role, const PeerLinkOptions &options, const Hello &self,
          const std::string &dialled)
         : channel(std::make_shared<Channel>(id)), role(role), dialled(dialled),
-          exchange(role, options.peerKey, self, dialled), watch(lookPeriod, options.silenceTimeout)
+          exchange(role, options.peerKey, self, dialled),
+          watch(checkInterval, options.silenceTimeout)
     { }
 
     const ChannelPtr channel;
@@ -90,8 +91,8 @@
     const std::string dialled;
     HelloExchange exchange;
     Connection connection;
-    Instant openBy;
-    bool proven = false;
+    Instant handshakeDeadline;
+    bool isAuthenticated = false;
     std::string peerAddress;
     decision::LinkWatch watch;
     // Why this end gave it up; otherwise the other end or the network did.
@@ -108,7 +109,7 @@
     // Dialled beside the link, to take its place.
     LinkPtr renewal;
     TimerId retry = 0;
-    Duration pause {0};
+    Duration retryDelay {0};
     std::string lastCause;
 };
 
--- a/src/inner/messages.h
+++ b/src/inner/messages.h
@@ -318,7 +318,7 @@
     std::optional<Position> logPosition;
     Duration logAge {0};
     // Connections to each replica in the entry's zone that the owner lends it for reads.
-    int lentConnections = 0;
+    int grantedConnections = 0;
 };
 
 // Rolls back what the session has open, if anything. There is no answer.
@@ -369,9 +369,9 @@
     GroupName group;
     OwnerEpoch epoch = 0;
     // "ip:port"
-    std::string reach;
+    std::string requiredEndpoint;
     // The sender serves the group, and a host with more processor time should.
-    bool needsRoom = false;
+    bool needsCapacity = false;
 };
 
 // One table that the sender follows, and the version up to which it knows it.
@@ -432,7 +432,7 @@
 };
 
 // The receiver may run so much more for the organisation; the sender so much less.
-struct QuotaGift
+struct QuotaGrant
 {
     OrganisationName organisation;
     std::uint64_t thousandths = 0;
@@ -443,6 +443,6 @@
                  LocateAnswer, HandOver, ConfigNotice, ConfigRequest, ConfigAnswer, OperatorRequest,
                  OperatorAnswer, RunStatement, StatementDone, EndTransaction, AliveRequest,
                  AliveAnswer, OwnershipEndRequest, OwnershipEnded, Stopping, TakeOver, FollowTables,
-                 TableNews, QuotaRequest, QuotaGift>;
+                 TableNews, QuotaRequest, QuotaGrant>;
 
 } // namespace kelptally::inner
--- a/src/inner/websocketlinks.cpp
+++ b/src/inner/websocketlinks.cpp
@@ -19,13 +19,13 @@
 // How long the destructor waits for what is still to be sent.
 constexpr Duration flushTimeout = std::chrono::milliseconds(500);
 // Accepted links that have not proved themselves yet.
-constexpr std::size_t maxUnproven = 1024;
+constexpr std::size_t maxUnauthenticatedLinks = 1024;
 // Pause after a refusal, which will hardly be mended within a second.
-constexpr Duration refusedPause = std::chrono::seconds(5);
+constexpr Duration refusedRetryDelay = std::chrono::seconds(5);
 // A link that can open is open within this time: some 5 ms in one region, and 100 between distant
 // ones. One dialled while its peer was without power opens a second late, at the next repeat of the
 // opening packet.
-constexpr Duration openTime = std::chrono::milliseconds(150);
+constexpr Duration maxConnectTime = std::chrono::milliseconds(150);
 
 class WebsocketLinks : public PeerLinks
 {
@@ -44,21 +44,21 @@
 
 private:
     // Links coming and going; on the links' thread.
-    void setUp(Server &server);
-    bool mayStillOpen(const LinkPtr &link) const;
+    void setHandlers(Server &server);
+    bool isConnecting(const LinkPtr &link) const;
     void dial(const std::string &address);
-    LinkPtr dialOnce(const std::string &address);
+    LinkPtr openLink(const std::string &address);
     void replaceByRenewal(const LinkPtr &renewal);
-    void dialLater(const std::string &address, bool refused);
+    void scheduleRedial(const std::string &address, bool refused);
     void accept(const Connection &connection);
     bool mayAccept() const;
-    void adopt(const LinkPtr &link, const Connection &connection);
+    void registerLink(const LinkPtr &link, const Connection &connection);
     void onOpen(const LinkPtr &link);
-    void onGone(const LinkPtr &link);
+    void onLinkClosed(const LinkPtr &link);
     void refuse(const LinkPtr &link, const absl::Status &why);
-    void giveUp(const LinkPtr &link, const absl::Status &why);
-    void lookAtLinks();
-    void lookAt(const LinkPtr &link, Instant now);
+    void abortLink(const LinkPtr &link, const absl::Status &why);
+    void checkLinks();
+    void checkLink(const LinkPtr &link, Instant now);
 
     // Messages.
     void onFrame(const LinkPtr &link, const std::string &payload);
@@ -86,7 +86,7 @@
 
     // Shared with senders.
     std::mutex mutex_;
-    std::condition_variable allGone_;
+    std::condition_variable allClosed_;
     std::unordered_map<std::string, ChannelPtr> channelByAddress_;
     std::unordered_map<LinkId, ChannelPtr> channelById_;
     bool flushed_ = false;
@@ -95,12 +95,13 @@
 WebsocketLinks::WebsocketLinks(const PeerLinkOptions &options, PeerEvents &events)
     : options_(options), events_(events),
       thread_(options.thread != nullptr ? *options.thread : ownThread_.emplace("peers")),
-      outbox_(thread_, options.sendRing, [this](Outgoing &&item) { onOutgoing(std::move(item)); }),
+      outbox_(thread_, options.maxQueuedMessages,
+              [this](Outgoing &&item) { onOutgoing(std::move(item)); }),
       refusals_(options.metrics)
 {
     server_.init_asio(&thread_.context());
     client_.init_asio(&thread_.context());
-    setUp(server_);
+    setHandlers(server_);
     const auto setNoDelay = [](auto &endpoint) {
         endpoint.set_tcp_post_init_handler([&endpoint](Handle handle) {
             boost::system::error_code ignored;
@@ -130,10 +131,10 @@
             link->connection->close(websocketpp::close::status::going_away, "stopping", ignored);
         const std::lock_guard<std::mutex> lock(mutex_);
         flushed_ = links_.empty();
-        allGone_.notify_all();
+        allClosed_.notify_all();
     });
     std::unique_lock<std::mutex> lock(mutex_);
-    allGone_.wait_for(lock, flushTimeout, [this] { return flushed_; });
+    allClosed_.wait_for(lock, flushTimeout, [this] { return flushed_; });
     lock.unlock();
     thread_.stop();
 }
@@ -156,14 +157,14 @@
     if (failed)
         return absl::UnavailableError("can't listen on " + options_.listenAddress + ": "
                                       + failed.message());
-    thread_.timers().subscribeEvery(lookPeriod, [this] { lookAtLinks(); });
+    thread_.timers().subscribeEvery(checkInterval, [this] { checkLinks(); });
     if (ownThread_)
         ownThread_->start();
     started_ = true;
     return absl::OkStatus();
 }
 
-void WebsocketLinks::setUp(Server &server)
+void WebsocketLinks::setHandlers(Server &server)
 {
     server.set_validate_handler([this](Handle) { return mayAccept(); });
     server.set_open_handler([this](Handle handle) { accept(server_.get_con_from_hdl(handle)); });
@@ -171,10 +172,10 @@
 
 bool WebsocketLinks::mayAccept() const
 {
-    std::size_t unproven = 0;
+    std::size_t unauthenticated = 0;
     for (const auto &[id, link] : links_)
-        unproven += !link->proven && link->role == LinkRole::Acceptor;
-    return unproven < maxUnproven && !stopping_;
+        unauthenticated += !link->isAuthenticated && link->role == LinkRole::Acceptor;
+    return unauthenticated < maxUnauthenticatedLinks && !stopping_;
 }
 
 void WebsocketLinks::connect(const std::string &address)
@@ -195,9 +196,9 @@
         targets_.erase(found);
         thread_.timers().cancel(target.retry);
         if (target.link)
-            giveUp(target.link, absl::CancelledError("dropped"));
+            abortLink(target.link, absl::CancelledError("dropped"));
         if (target.renewal)
-            giveUp(target.renewal, absl::CancelledError("dropped"));
+            abortLink(target.renewal, absl::CancelledError("dropped"));
     });
 }
 
@@ -209,28 +210,29 @@
         if (found == targets_.end() || !found->second.link)
             return;
         Target &target = found->second;
-        if (mayStillOpen(target.link) || mayStillOpen(target.renewal))
+        if (isConnecting(target.link) || isConnecting(target.renewal))
             return;
         if (target.renewal)
-            giveUp(target.renewal, absl::DeadlineExceededError("not open in time"));
-        target.renewal = dialOnce(address);
+            abortLink(target.renewal, absl::DeadlineExceededError("not open in time"));
+        target.renewal = openLink(address);
     });
 }
 
 // Dialled a moment ago: another attempt would come no sooner.
-bool WebsocketLinks::mayStillOpen(const LinkPtr &link) const
+bool WebsocketLinks::isConnecting(const LinkPtr &link) const
 {
-    return link && !link->proven
-        && BootClock::now() - (link->openBy - options_.handshakeTimeout) < openTime;
+    return link && !link->isAuthenticated
+        && BootClock::now() - (link->handshakeDeadline - options_.handshakeTimeout)
+        < maxConnectTime;
 }
 
 void WebsocketLinks::dial(const std::string &address)
 {
-    targets_[address].link = dialOnce(address);
+    targets_[address].link = openLink(address);
 }
 
 // Null when nothing can be dialled.
-LinkPtr WebsocketLinks::dialOnce(const std::string &address)
+LinkPtr WebsocketLinks::openLink(const std::string &address)
 {
     if (stopping_)
         return nullptr;
@@ -242,7 +244,7 @@
     }
     const auto link =
         std::make_shared<Link>(++lastId_, LinkRole::Connector, options_, ownHello(), address);
-    adopt(link, connection);
+    registerLink(link, connection);
     connection->set_open_handler([this, link](Handle) { onOpen(link); });
     client_.connect(connection);
     return link;
@@ -259,22 +261,24 @@
     target->second.renewal = nullptr;
     thread_.timers().cancel(target->second.retry);
     if (silent)
-        giveUp(silent, absl::DeadlineExceededError("silent, and another link is up"));
+        abortLink(silent, absl::DeadlineExceededError("silent, and another link is up"));
 }
 
 // Tries again after a pause that doubles up to its bound, shortened at random by up to half.
-void WebsocketLinks::dialLater(const std::string &address, bool refused)
+void WebsocketLinks::scheduleRedial(const std::string &address, bool refused)
 {
     const auto found = targets_.find(address);
     if (found == targets_.end() || stopping_)
         return;
     Target &target = found->second;
     target.link = nullptr;
-    target.pause = std::clamp(target.pause * 2, options_.reconnectMin, options_.reconnectMax);
+    target.retryDelay =
+        std::clamp(target.retryDelay * 2, options_.reconnectMin, options_.reconnectMax);
     if (refused)
-        target.pause = std::max(target.pause, std::min(refusedPause, options_.reconnectMax * 5));
+        target.retryDelay =
+            std::max(target.retryDelay, std::min(refusedRetryDelay, options_.reconnectMax * 5));
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
-    const auto delay = std::chrono::duration_cast<Duration>(target.pause * jitter(random_));
+    const auto delay = std::chrono::duration_cast<Duration>(target.retryDelay * jitter(random_));
     target.retry = thread_.timers().subscribeAfter(delay, [this, address] { dial(address); });
 }
 
@@ -282,19 +286,19 @@
 {
     const auto link =
         std::make_shared<Link>(++lastId_, LinkRole::Acceptor, options_, ownHello(), "");
-    adopt(link, connection);
+    registerLink(link, connection);
 }
 
-void WebsocketLinks::adopt(const LinkPtr &link, const Connection &connection)
+void WebsocketLinks::registerLink(const LinkPtr &link, const Connection &connection)
 {
     link->connection = connection;
-    link->openBy = BootClock::now() + options_.handshakeTimeout;
+    link->handshakeDeadline = BootClock::now() + options_.handshakeTimeout;
     links_.emplace(link->channel->id, link);
     connection->set_message_handler([this, link](Handle, Server::message_ptr message) {
         onFrame(link, message->get_payload());
     });
-    connection->set_close_handler([this, link](Handle) { onGone(link); });
-    connection->set_fail_handler([this, link](Handle) { onGone(link); });
+    connection->set_close_handler([this, link](Handle) { onLinkClosed(link); });
+    connection->set_fail_handler([this, link](Handle) { onLinkClosed(link); });
     connection->set_pong_handler([link](Handle, std::string) { link->watch.onReceived(); });
     connection->set_ping_handler([link](Handle, std::string) {
         link->watch.onReceived();
@@ -319,7 +323,7 @@
     const Hello *hello = std::get_if<Hello>(&*message);
     if (hello != nullptr)
         return onHello(link, *hello);
-    if (!link->proven)
+    if (!link->isAuthenticated)
         return refuse(link, absl::InvalidArgumentError("a message before Hello"));
     events_.onPeerMessage(link->channel->id, *std::move(message));
 }
@@ -331,20 +335,20 @@
         return refuse(link, step.status);
     if (step.reply)
         writeHello(link, *step.reply);
-    if (!step.proven)
+    if (!step.isAuthenticated)
         return;
-    link->proven = true;
+    link->isAuthenticated = true;
     link->peerAddress = peer.process.address;
     link->connection->set_max_message_size(maxFrameBytes);
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        link->channel->up = true;
+        link->channel->isUp = true;
         channelById_[link->channel->id] = link->channel;
         if (link->role == LinkRole::Connector)
             channelByAddress_[link->dialled] = link->channel;
     }
     if (link->role == LinkRole::Connector) {
-        targets_[link->dialled].pause = Duration(0);
+        targets_[link->dialled].retryDelay = Duration(0);
         targets_[link->dialled].lastCause.clear();
     }
     LOG(INFO) << "event=peer_up link=" << link->channel->id << " peer=" << link->peerAddress
@@ -369,11 +373,11 @@
     constexpr std::size_t maxCloseReason = 120;
     link->connection->close(code, std::string(why.message().substr(0, maxCloseReason)), error);
     if (error)
-        giveUp(link, why);
+        abortLink(link, why);
 }
 
 // Ends a link at once, without a word to the other end.
-void WebsocketLinks::giveUp(const LinkPtr &link, const absl::Status &why)
+void WebsocketLinks::abortLink(const LinkPtr &link, const absl::Status &why)
 {
     if (link->refused.ok())
         link->refused = why;
@@ -382,7 +386,7 @@
             websocketpp::error::make_error_code(websocketpp::error::operation_canceled));
 }
 
-void WebsocketLinks::onGone(const LinkPtr &link)
+void WebsocketLinks::onLinkClosed(const LinkPtr &link)
 {
     if (links_.erase(link->channel->id) == 0)
         return;
@@ -390,8 +394,8 @@
     const Connection &connection = link->connection;
     absl::Status why = link->refused;
     const auto code = connection->get_remote_close_code();
-    const bool refusedThere = isRefusal(code);
-    if (why.ok() && refusedThere)
+    const bool refusedByPeer = isRefusal(code);
+    if (why.ok() && refusedByPeer)
         why =
             absl::PermissionDeniedError("refused there: " + connection->get_remote_close_reason());
     if (why.ok())
@@ -400,55 +404,55 @@
     // 2. No more sending on it.
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        link->channel->up = false;
+        link->channel->isUp = false;
         channelById_.erase(link->channel->id);
         const auto found = channelByAddress_.find(link->dialled);
         if (found != channelByAddress_.end() && found->second == link->channel)
             channelByAddress_.erase(found);
         flushed_ = stopping_ && links_.empty();
         if (flushed_)
-            allGone_.notify_all();
+            allClosed_.notify_all();
     }
     // 3. Tell the user, and try again. A cause that stays the same is logged once.
     const auto target = targets_.find(link->dialled);
-    const bool news = target != targets_.end() && target->second.lastCause != why.message();
-    if (link->proven || news)
+    const bool isNewCause = target != targets_.end() && target->second.lastCause != why.message();
+    if (link->isAuthenticated || isNewCause)
         LOG(INFO) << "event=peer_down link=" << link->channel->id
                   << " peer=" << (link->dialled.empty() ? link->peerAddress : link->dialled)
                   << " cause=\"" << why.message() << '"';
-    if (link->proven)
+    if (link->isAuthenticated)
         events_.onPeerDown(link->channel->id, link->peerAddress, why);
     if (target != targets_.end() && target->second.renewal == link)
         target->second.renewal = nullptr;
     if (target != targets_.end() && target->second.link == link) {
         target->second.lastCause = std::string(why.message());
-        dialLater(link->dialled, refusedThere || lasts(link->refused));
+        scheduleRedial(link->dialled, refusedByPeer || isPersistent(link->refused));
     }
     // 4. The handlers hold the link and the link holds the connection.
     boost::asio::post(thread_.context(), [link] { link->connection = nullptr; });
 }
 
-void WebsocketLinks::lookAtLinks()
+void WebsocketLinks::checkLinks()
 {
     const Instant now = BootClock::now();
     const auto links = links_;
     for (const auto &[id, link] : links)
-        lookAt(link, now);
+        checkLink(link, now);
 }
 
-void WebsocketLinks::lookAt(const LinkPtr &link, Instant now)
+void WebsocketLinks::checkLink(const LinkPtr &link, Instant now)
 {
-    link->channel->buffered = link->connection->get_buffered_amount();
-    if (!link->proven) {
-        if (now < link->openBy)
+    link->channel->bufferedBytes = link->connection->get_buffered_amount();
+    if (!link->isAuthenticated) {
+        if (now < link->handshakeDeadline)
             return;
         refusals_.count(timeoutCause);
-        return giveUp(link, absl::DeadlineExceededError("no valid Hello in time"));
+        return abortLink(link, absl::DeadlineExceededError("no valid Hello in time"));
     }
     const decision::LinkWatch::Step step = link->watch.check();
     if (step == decision::LinkWatch::Step::Close) {
         refusals_.count(silenceCause);
-        return giveUp(link, absl::DeadlineExceededError("nothing heard in time"));
+        return abortLink(link, absl::DeadlineExceededError("nothing heard in time"));
     }
     websocketpp::lib::error_code ignored;
     if (step == decision::LinkWatch::Step::Ping)
@@ -489,31 +493,31 @@
 // On the sender's thread, which pays for the encoding.
 absl::Status WebsocketLinks::send(const ChannelPtr &channel, const Message &message)
 {
-    if (!channel || !channel->up)
+    if (!channel || !channel->isUp)
         return absl::UnavailableError("no link to the peer");
     absl::StatusOr<std::string> bytes = encode(message);
     if (!bytes.ok())
         return bytes.status();
     Outgoing outgoing {channel, *std::move(bytes)};
     const std::size_t size = outgoing.bytes.size();
-    const std::size_t waiting = channel->inRing + channel->buffered;
+    const std::size_t waiting = channel->queuedBytes + channel->bufferedBytes;
     if (waiting + size > options_.sendBufferBytes)
         return absl::ResourceExhaustedError("the send buffer of the link is full");
-    channel->inRing += size;
+    channel->queuedBytes += size;
     if (outbox_.tryPush(std::move(outgoing)))
         return absl::OkStatus();
-    channel->inRing -= size;
+    channel->queuedBytes -= size;
     return absl::ResourceExhaustedError("the ring to the links' thread is full");
 }
 
 void WebsocketLinks::onOutgoing(Outgoing &&outgoing)
 {
-    outgoing.channel->inRing -= outgoing.bytes.size();
+    outgoing.channel->queuedBytes -= outgoing.bytes.size();
     const auto found = links_.find(outgoing.channel->id);
     if (found == links_.end())
         return;
     write(found->second, outgoing.bytes);
-    outgoing.channel->buffered = found->second->connection->get_buffered_amount();
+    outgoing.channel->bufferedBytes = found->second->connection->get_buffered_amount();
 }
 
 void WebsocketLinks::write(const LinkPtr &link, const std::string &bytes)
--- a/src/inner/websocketlinks.h
+++ b/src/inner/websocketlinks.h
@@ -30,7 +30,7 @@
     // Bytes that may wait to be sent on one link.
     std::size_t sendBufferBytes = 16u << 20;
     // Messages of all links that may wait for the links' thread.
-    std::size_t sendRing = 1u << 16;
+    std::size_t maxQueuedMessages = 1u << 16;
     // Pause before a failed link is tried again: doubles from the first to the last value, each
     // shortened at random by up to half.
     Duration reconnectMin {std::chrono::milliseconds(50)};
--- a/src/services/httpclient.cpp
+++ b/src/services/httpclient.cpp
@@ -34,10 +34,10 @@
 constexpr unsigned httpVersion = 11;
 // A GET on a connection used before is sent again on a new one after this long without an answer:
 // the store's slowest answers that were measured took 400 ms.
-constexpr Duration silentAfter = std::chrono::milliseconds(500);
+constexpr Duration silenceTimeout = std::chrono::milliseconds(500);
 // A connection whose last answer is older may have gone silent: only a GET, which may be sent
 // twice, uses it. Chosen, not measured: opening a connection costs one round trip.
-constexpr Duration trustedFor = std::chrono::seconds(1);
+constexpr Duration maxIdleForWrites = std::chrono::seconds(1);
 
 http::verb verbOf(HttpMethod method)
 {
@@ -53,17 +53,17 @@
 }
 
 // A call that waits for changes sends nothing, so only probes tell that its other end is gone.
-void keepAlive(Tcp::socket &socket)
+void enableKeepAlive(Tcp::socket &socket)
 {
     constexpr int idleSeconds = 1;
-    constexpr int pauseSeconds = 1;
-    constexpr int unanswered = 3;
+    constexpr int intervalSeconds = 1;
+    constexpr int maxProbes = 3;
     Error ignored;
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
     const int handle = socket.native_handle();
     ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &idleSeconds, sizeof idleSeconds);
-    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &pauseSeconds, sizeof pauseSeconds);
-    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &unanswered, sizeof unanswered);
+    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &intervalSeconds, sizeof intervalSeconds);
+    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &maxProbes, sizeof maxProbes);
 }
 
 std::string unquoted(boost::beast::string_view tag)
@@ -102,7 +102,7 @@
     }
 
     void send(HttpRequest request, Duration timeout, HttpCallback callback);
-    void giveUpOpenCalls();
+    void abortOpenCalls();
     void close();
     Duration timeout() const { return timeout_; }
 
@@ -112,12 +112,12 @@
 
     void dispatch();
     ConnectionPtr takeConnection(const Job &job);
-    void watchSilence(const JobPtr &job);
-    void onSilent(const JobPtr &job);
-    void drop(const JobPtr &job);
+    void startSilenceTimer(const JobPtr &job);
+    void onSilenceTimeout(const JobPtr &job);
+    void closeConnectionOf(const JobPtr &job);
     void release(const ConnectionPtr &connection);
     void remove(const ConnectionPtr &connection);
-    void expire(const JobPtr &job);
+    void onTimeout(const JobPtr &job);
     void retry(const JobPtr &job);
     void finish(const JobPtr &job, absl::StatusOr<HttpResponse> result);
 
@@ -140,7 +140,7 @@
     void run(JobPtr job);
     void close();
     // Whatever still happens on the connection tells nothing of the call.
-    void forgetJob() { job_ = nullptr; }
+    void detachJob() { job_ = nullptr; }
     // Whether the server still holds the connection open, as far as it has told.
     bool isAlive();
     const JobPtr &job() const { return job_; }
@@ -198,7 +198,7 @@
         self->connected_ = true;
         Error ignored;
         self->socket_.set_option(Tcp::no_delay(true), ignored);
-        keepAlive(self->socket_);
+        enableKeepAlive(self->socket_);
         self->write();
     });
 }
@@ -296,7 +296,7 @@
     }
     job->timer = timers_.subscribeAfter(timeout, [weak, job] {
         if (const auto pool = weak.lock())
-            pool->expire(job);
+            pool->onTimeout(job);
     });
     queue_.push_back(job);
     dispatch();
@@ -313,17 +313,17 @@
         busy_.push_back(connection);
         connection->run(job);
         if (connection->isReused() && !job->retried && job->request.method == HttpMethod::Get)
-            watchSilence(job);
+            startSilenceTimer(job);
     }
 }
 
 HttpClient::Pool::ConnectionPtr HttpClient::Pool::takeConnection(const Job &job)
 {
-    const bool mayRepeat = job.request.method == HttpMethod::Get;
+    const bool isRetryable = job.request.method == HttpMethod::Get;
     while (!idle_.empty()) {
         const ConnectionPtr connection = idle_.back();
         // The last one answered most recently.
-        if (!mayRepeat && timers_.now() - connection->answeredAt() > trustedFor)
+        if (!isRetryable && timers_.now() - connection->answeredAt() > maxIdleForWrites)
             break;
         idle_.pop_back();
         if (connection->isAlive())
@@ -347,40 +347,41 @@
     connection->close();
 }
 
-void HttpClient::Pool::watchSilence(const JobPtr &job)
+void HttpClient::Pool::startSilenceTimer(const JobPtr &job)
 {
     const std::weak_ptr<Pool> weak = shared_from_this();
-    job->silenceTimer = timers_.subscribeAfter(job->request.heldBack + silentAfter, [weak, job] {
-        if (const auto pool = weak.lock())
-            pool->onSilent(job);
-    });
+    job->silenceTimer =
+        timers_.subscribeAfter(job->request.longPollTime + silenceTimeout, [weak, job] {
+            if (const auto pool = weak.lock())
+                pool->onSilenceTimeout(job);
+        });
 }
 
-void HttpClient::Pool::onSilent(const JobPtr &job)
+void HttpClient::Pool::onSilenceTimeout(const JobPtr &job)
 {
     if (job->done || job->retried)
         return;
-    drop(job);
+    closeConnectionOf(job);
     retry(job);
 }
 
 // Closes the connection that the call is on.
-void HttpClient::Pool::drop(const JobPtr &job)
+void HttpClient::Pool::closeConnectionOf(const JobPtr &job)
 {
     for (const auto &connection : std::vector<ConnectionPtr>(busy_)) {
         if (connection->job() != job)
             continue;
         remove(connection);
-        connection->forgetJob();
+        connection->detachJob();
     }
 }
 
-void HttpClient::Pool::expire(const JobPtr &job)
+void HttpClient::Pool::onTimeout(const JobPtr &job)
 {
     if (job->done)
         return;
     queue_.erase(std::remove(queue_.begin(), queue_.end(), job), queue_.end());
-    drop(job);
+    closeConnectionOf(job);
     const std::string text = address_ + ": no answer within the timeout";
     finish(job, job->sent ? absl::DeadlineExceededError(text) : absl::UnavailableError(text));
 }
@@ -408,14 +409,14 @@
     dispatch();
 }
 
-void HttpClient::Pool::giveUpOpenCalls()
+void HttpClient::Pool::abortOpenCalls()
 {
     std::vector<JobPtr> jobs;
     for (const auto &connection : busy_) {
         if (connection->job())
             jobs.push_back(connection->job());
         connection->close();
-        connection->forgetJob();
+        connection->detachJob();
     }
     busy_.clear();
     idle_.clear();
@@ -461,9 +462,9 @@
     pool_->send(std::move(request), timeout, std::move(callback));
 }
 
-void HttpClient::giveUpOpenCalls()
+void HttpClient::abortOpenCalls()
 {
-    pool_->giveUpOpenCalls();
+    pool_->abortOpenCalls();
 }
 
 std::string percentEncoded(const std::string &text)
--- a/src/services/httpclient.h
+++ b/src/services/httpclient.h
@@ -45,7 +45,7 @@
     // Header fields besides the usual ones.
     std::vector<HttpField> fields;
     // How long the server may hold the answer back, as in a question for changes.
-    Duration heldBack {0};
+    Duration longPollTime {0};
 };
 
 struct HttpResponse
@@ -82,7 +82,7 @@
     void send(HttpRequest request, Duration timeout, HttpCallback callback);
     // Ends all calls that are on a connection as DeadlineExceeded, and closes every connection:
     // what is open may never be answered, while new connections work.
-    void giveUpOpenCalls();
+    void abortOpenCalls();
 
 private:
     class Pool;
--- a/src/services/httpservices.cpp
+++ b/src/services/httpservices.cpp
@@ -80,7 +80,7 @@
     return absl::UnknownError(statusText(*response));
 }
 
-absl::Status unreadable()
+absl::Status malformedAnswer()
 {
     return absl::InternalError("the service's answer cannot be read");
 }
@@ -97,14 +97,14 @@
     const TableRow row {object.text("key", maxKeyBytes), object.text("value", maxResponseBytes),
                         response.etag};
     if (!object.valid() || row.etag.empty())
-        return unreadable();
+        return malformedAnswer();
     return row;
 }
 
 absl::StatusOr<std::optional<TableRow>> parseObject(const std::string &key, HttpResponse response)
 {
     if (response.etag.empty())
-        return unreadable();
+        return malformedAnswer();
     return TableRow {key, std::move(response.body), response.etag};
 }
 
@@ -118,10 +118,10 @@
         rows.push_back({row.text("key", maxKeyBytes), row.text("value", maxResponseBytes),
                         row.text("etag", maxKeyBytes)});
         if (!row.valid())
-            return unreadable();
+            return malformedAnswer();
     }
     if (!object.valid())
-        return unreadable();
+        return malformedAnswer();
     return rows;
 }
 
@@ -171,10 +171,10 @@
                          host.text("zone", maxKeyBytes),
                          state == "live" ? HostState::Live : HostState::Leaving});
         if (!host.valid() || (state != "live" && state != "leaving"))
-            return unreadable();
+            return malformedAnswer();
     }
     if (!object.valid())
-        return unreadable();
+        return malformedAnswer();
     return hosts;
 }
 
--- a/src/services/storegate.cpp
+++ b/src/services/storecircuitbreaker.cpp
@@ -1,4 +1,4 @@
-#include "services/storegate.h"
+#include "services/storecircuitbreaker.h"
 
 #include <prometheus/counter.h>
 
@@ -12,7 +12,7 @@
 // A process has a handful of readers, and a read for each group that it looks for an owner of.
 constexpr std::size_t maxWaiting = 1024;
 // After a loss this long, questions that are still open were asked before it, and are asked again.
-constexpr Duration longLoss = std::chrono::seconds(1);
+constexpr Duration minOutageToAbortCalls = std::chrono::seconds(1);
 
 // The service has answered, and what it said is for the caller.
 bool isAnswer(const absl::Status &status)
@@ -23,86 +23,90 @@
 
 } // namespace
 
-StoreGate::StoreGate(Parts parts) : parts_(std::move(parts)) { }
+StoreCircuitBreaker::StoreCircuitBreaker(Parts parts) : parts_(std::move(parts)) { }
 
-StoreGate::~StoreGate()
+StoreCircuitBreaker::~StoreCircuitBreaker()
 {
     *alive_ = false;
 }
 
 template <typename Result, typename Send>
-void StoreGate::submit(Send send, std::function<void(absl::StatusOr<Result>)> callback,
-                       Duration hold, std::optional<Duration> limit, bool repeats)
+void StoreCircuitBreaker::submit(Send send, std::function<void(absl::StatusOr<Result>)> callback,
+                                 Duration longPollTime, std::optional<Duration> limit,
+                                 bool isRetryable)
 {
     auto call = std::make_shared<Call>();
-    call->wantedHold = hold;
-    call->repeats = repeats;
+    call->requestedLongPollTime = longPollTime;
+    call->isRetryable = isRetryable;
     if (limit)
-        call->until = parts_.timers.now() + *limit;
+        call->deadline = parts_.timers.now() + *limit;
     call->fail = [callback](const absl::Status &status) { callback(status); };
     call->send = [this, alive = alive_, send = std::move(send), callback](const CallPtr &sent,
-                                                                          Duration held) {
-        const int sending = sent->sendings;
-        const auto answer = [this, alive, sent, sending, callback](absl::StatusOr<Result> result) {
-            if (*alive && onResult(sent, sending, result.status()))
+                                                                          Duration pollTime) {
+        const int attemptNumber = sent->attempts;
+        const auto answer = [this, alive, sent, attemptNumber,
+                             callback](absl::StatusOr<Result> result) {
+            if (*alive && onResult(sent, attemptNumber, result.status()))
                 callback(std::move(result));
         };
-        send(held, answer);
+        send(pollTime, answer);
     };
-    place(call);
+    launchOrWait(call);
 }
 
-void StoreGate::place(const CallPtr &call)
+void StoreCircuitBreaker::launchOrWait(const CallPtr &call)
 {
     const bool silent = health_.state() == decision::StoreState::Silent;
     // A write that is refused at once tells its caller so: another host may do what this one can't.
-    const bool isFirst = waiting_.empty() || call->wantedHold > Duration(0);
-    if ((answers() && isFirst && mayLaunch(*call)) || (!call->repeats && (answers() || !silent)))
-        return launch(call, call->wantedHold);
+    const bool isFirst = waiting_.empty() || call->requestedLongPollTime > Duration(0);
+    if ((isAnswering() && isFirst && mayLaunch(*call))
+        || (!call->isRetryable && (isAnswering() || !silent)))
+        return launch(call, call->requestedLongPollTime);
     wait(call);
 }
 
 // A question for changes stays open for as long as nothing happens, and so is not counted.
-bool StoreGate::mayLaunch(const Call &call) const
+bool StoreCircuitBreaker::mayLaunch(const Call &call) const
 {
-    return call.wantedHold > Duration(0) || open_ < health_.maxOpenCalls();
+    return call.requestedLongPollTime > Duration(0) || openReads_ < health_.maxOpenCalls();
 }
 
-void StoreGate::uncount(Call &call)
+void StoreCircuitBreaker::releaseSlot(Call &call)
 {
-    if (call.counted)
-        --open_;
-    call.counted = false;
+    if (call.holdsSlot)
+        --openReads_;
+    call.holdsSlot = false;
 }
 
-void StoreGate::launch(const CallPtr &call, Duration hold)
+void StoreCircuitBreaker::launch(const CallPtr &call, Duration longPollTime)
 {
     call->waiting = false;
-    call->hold = hold;
+    call->longPollTime = longPollTime;
     call->sentAt = parts_.timers.now();
-    ++call->sendings;
-    uncount(*call);
+    ++call->attempts;
+    releaseSlot(*call);
     // A write goes out in any case, and one that hangs must not hold up reads.
-    call->counted = hold == Duration(0) && call->repeats;
-    if (call->counted)
-        ++open_;
-    parts_.timers.cancel(call->expiry);
-    parts_.timers.cancel(call->overdue);
+    call->holdsSlot = longPollTime == Duration(0) && call->isRetryable;
+    if (call->holdsSlot)
+        ++openReads_;
+    parts_.timers.cancel(call->deadlineTimer);
+    parts_.timers.cancel(call->timeoutTimer);
     const Duration callTimeout =
         call == trial_ ? health_.trialTimeout(call->sentAt) : health_.callTimeout();
-    call->overdue = parts_.timers.subscribeAfter(hold + callTimeout, [this, alive = alive_, call] {
-        if (*alive)
-            onOverdue(call);
-    });
-    call->send(call, hold);
+    call->timeoutTimer =
+        parts_.timers.subscribeAfter(longPollTime + callTimeout, [this, alive = alive_, call] {
+            if (*alive)
+                onCallTimeout(call);
+        });
+    call->send(call, longPollTime);
 }
 
-void StoreGate::wait(const CallPtr &call)
+void StoreCircuitBreaker::wait(const CallPtr &call)
 {
-    parts_.timers.cancel(call->overdue);
-    uncount(*call);
+    parts_.timers.cancel(call->timeoutTimer);
+    releaseSlot(*call);
     const bool full = waiting_.size() >= maxWaiting;
-    if (full || parts_.timers.now() >= call->until) {
+    if (full || parts_.timers.now() >= call->deadline) {
         call->done = true;
         call->fail(absl::UnavailableError(full ? "too many calls wait for the table service"
                                                : "the table service does not answer"));
@@ -110,58 +114,62 @@
     }
     call->waiting = true;
     waiting_.push_back(call);
-    if (call->until != Instant::max())
-        call->expiry = parts_.timers.subscribeAt(call->until, [this, alive = alive_, call] {
-            if (!*alive || !call->waiting || call->done)
-                return;
-            waiting_.erase(std::remove(waiting_.begin(), waiting_.end(), call), waiting_.end());
-            call->done = true;
-            call->fail(absl::UnavailableError("the table service does not answer"));
-        });
-    scheduleAttempt();
+    if (call->deadline != Instant::max())
+        call->deadlineTimer =
+            parts_.timers.subscribeAt(call->deadline, [this, alive = alive_, call] {
+                if (!*alive || !call->waiting || call->done)
+                    return;
+                waiting_.erase(std::remove(waiting_.begin(), waiting_.end(), call), waiting_.end());
+                call->done = true;
+                call->fail(absl::UnavailableError("the table service does not answer"));
+            });
+    scheduleRecoveryAttempt();
 }
 
-bool StoreGate::onResult(const CallPtr &call, int sending, const absl::Status &status)
+bool StoreCircuitBreaker::onResult(const CallPtr &call, int attemptNumber,
+                                   const absl::Status &status)
 {
     // An earlier sending may be answered while the call waits or is sent again.
-    const Duration took = std::max(Duration(0), parts_.timers.now() - call->sentAt - call->hold);
-    if (sending == call->sendings)
-        uncount(*call);
+    const Duration latency =
+        std::max(Duration(0), parts_.timers.now() - call->sentAt - call->longPollTime);
+    if (attemptNumber == call->attempts)
+        releaseSlot(*call);
     // What was sent before a refusal tells nothing of the limit that was met since.
-    const bool isNews =
+    const bool isCurrent =
         health_.state() != decision::StoreState::Refusing || call->sentAt >= refusedAt_;
-    if (isAnswer(status) && isNews)
-        onAnswered(took);
+    if (isAnswer(status) && isCurrent)
+        onAnswered(latency);
     // That an earlier one is given up tells nothing: a call that had hung since the silence would
     // make the service count as lost again a moment after its return.
-    const bool isOld = !isAnswer(status) && sending != call->sendings;
-    if (call->done || isOld)
+    const bool isStale = !isAnswer(status) && attemptNumber != call->attempts;
+    if (call->done || isStale)
         return false;
-    if (isAnswer(status) || !call->repeats) {
+    if (isAnswer(status) || !call->isRetryable) {
         call->done = true;
         call->waiting = false;
         waiting_.erase(std::remove(waiting_.begin(), waiting_.end(), call), waiting_.end());
-        parts_.timers.cancel(call->overdue);
-        parts_.timers.cancel(call->expiry);
+        parts_.timers.cancel(call->timeoutTimer);
+        parts_.timers.cancel(call->deadlineTimer);
     }
     // A call whose time is over is failed by wait(), which tells the caller: told once more,
     // whoever reads again after a failure would have two readers in place of one, and then four.
-    const bool tellsCaller = call->done;
+    const bool reportsResult = call->done;
     if (!isAnswer(status)) {
-        noteFailure(*call, status, took);
+        recordFailure(*call, status, latency);
         if (!call->done && !call->waiting)
             wait(call);
     }
-    return tellsCaller;
+    return reportsResult;
 }
 
 // A refusal comes at once; what fails late was not answered, or no connection could be opened.
-void StoreGate::noteFailure(const Call &call, const absl::Status &status, Duration took)
+void StoreCircuitBreaker::recordFailure(const Call &call, const absl::Status &status,
+                                        Duration latency)
 {
-    if (givingUp_)
+    if (isAbortingOpenCalls_)
         return;
     const Instant now = parts_.timers.now();
-    const bool silent = absl::IsDeadlineExceeded(status) || took >= health_.callTimeout() / 2;
+    const bool silent = absl::IsDeadlineExceeded(status) || latency >= health_.callTimeout() / 2;
     if (silent)
         return onLost(call, health_.onTimeout(now));
     if (!absl::IsUnavailable(status))
@@ -171,26 +179,26 @@
 }
 
 // Their callers are not told of reads: those wait, and are sent again.
-void StoreGate::giveUpOpenCalls()
+void StoreCircuitBreaker::abortOpenCalls()
 {
-    givingUp_ = true;
-    parts_.giveUpOpenCalls();
-    givingUp_ = false;
+    isAbortingOpenCalls_ = true;
+    parts_.abortOpenCalls();
+    isAbortingOpenCalls_ = false;
 }
 
 // The answer of this sending may still come, and counts then; a read is sent again meanwhile.
-void StoreGate::onOverdue(const CallPtr &call)
+void StoreCircuitBreaker::onCallTimeout(const CallPtr &call)
 {
     if (call->done || call->waiting)
         return;
     onLost(*call, health_.onTimeout(parts_.timers.now()));
-    if (call->repeats)
+    if (call->isRetryable)
         wait(call);
     else
-        scheduleAttempt();
+        scheduleRecoveryAttempt();
 }
 
-void StoreGate::onLost(const Call &call, bool changed)
+void StoreCircuitBreaker::onLost(const Call &call, bool changed)
 {
     if (!changed)
         return;
@@ -202,53 +210,53 @@
     parts_.log.warning("store_lost", state)
         .with("waiting", std::uint64_t(waiting_.size()))
         .with("asked_ms", parts_.timers.now() - call.sentAt)
-        .with("held_ms", call.hold)
-        .with("sendings", call.sendings)
-        .with("repeats", call.repeats);
+        .with("held_ms", call.longPollTime)
+        .with("sendings", call.attempts)
+        .with("repeats", call.isRetryable);
 }
 
-void StoreGate::onAnswered(Duration took)
+void StoreCircuitBreaker::onAnswered(Duration latency)
 {
-    const Instant lost = health_.unavailableSince();
-    if (!health_.onAnswer(took)) {
+    const Instant lostAt = health_.unavailableSince();
+    if (!health_.onAnswer(latency)) {
         // Not from within an answer: whoever gets it comes first.
-        if (!waiting_.empty() && !launchPlanned_) {
-            launchPlanned_ = true;
+        if (!waiting_.empty() && !launchScheduled_) {
+            launchScheduled_ = true;
             parts_.timers.subscribeAt(parts_.timers.now(), [this, alive = alive_] {
                 if (!*alive)
                     return;
-                launchPlanned_ = false;
+                launchScheduled_ = false;
                 launchWaiting();
             });
         }
         return;
     }
-    const Duration lostFor = parts_.timers.now() - lost;
+    const Duration outage = parts_.timers.now() - lostAt;
     // What is asked from now on is answered.
-    if (lostFor >= longLoss)
-        giveUpOpenCalls();
+    if (outage >= minOutageToAbortCalls)
+        abortOpenCalls();
     trial_ = nullptr;
-    gaveUp_ = false;
+    hasAbortedOpenCalls_ = false;
     parts_.log.info("store_back")
-        .with("lost_ms", lostFor)
+        .with("lost_ms", outage)
         .with("waiting", std::uint64_t(waiting_.size()));
     // Not from within an answer: whoever gets it comes first.
-    parts_.timers.subscribeAt(parts_.timers.now(), [this, alive = alive_, lostFor] {
-        if (*alive && answers())
-            wake(lostFor);
+    parts_.timers.subscribeAt(parts_.timers.now(), [this, alive = alive_, outage] {
+        if (*alive && isAnswering())
+            finishRecovery(outage);
     });
 }
 
-void StoreGate::wake(Duration lostFor)
+void StoreCircuitBreaker::finishRecovery(Duration outage)
 {
     launchWaiting();
-    for (const auto &callback : whenBack_)
-        callback(lostFor);
+    for (const auto &callback : recoveryCallbacks_)
+        callback(outage);
 }
 
-void StoreGate::launchWaiting()
+void StoreCircuitBreaker::launchWaiting()
 {
-    if (!answers())
+    if (!isAnswering())
         return;
     std::deque<CallPtr> calls;
     calls.swap(waiting_);
@@ -256,55 +264,55 @@
         if (call->done)
             continue;
         if (mayLaunch(*call))
-            launch(call, call->wantedHold);
+            launch(call, call->requestedLongPollTime);
         else
             waiting_.push_back(call);
     }
 }
 
-void StoreGate::scheduleAttempt()
+void StoreCircuitBreaker::scheduleRecoveryAttempt()
 {
-    if (attemptPlanned_ || answers())
+    if (recoveryAttemptScheduled_ || isAnswering())
         return;
-    attemptPlanned_ = true;
-    const Duration pause = health_.retryDelay(parts_.timers.now(), parts_.draw());
+    recoveryAttemptScheduled_ = true;
+    const Duration pause = health_.retryDelay(parts_.timers.now(), parts_.jitter());
     parts_.timers.subscribeAfter(pause, [this, alive = alive_] {
         if (!*alive)
             return;
-        attemptPlanned_ = false;
-        attempt();
+        recoveryAttemptScheduled_ = false;
+        tryRecovery();
     });
 }
 
-void StoreGate::attempt()
+void StoreCircuitBreaker::tryRecovery()
 {
-    if (answers())
+    if (isAnswering())
         return;
-    scheduleAttempt();
-    const bool isTrying = trial_ && !trial_->done && !trial_->waiting;
-    if (isTrying)
+    scheduleRecoveryAttempt();
+    const bool isTrialOpen = trial_ && !trial_->done && !trial_->waiting;
+    if (isTrialOpen)
         return;
     if (health_.state() == decision::StoreState::Refusing)
-        return tryOne();
+        return launchTrial();
     parts_.probe([this, alive = alive_](bool reached) {
         if (!*alive || !reached || health_.state() != decision::StoreState::Silent)
             return;
         // The way is open again, and none of the open connections has said anything: they may
         // never. Once: the answers of a slow service come late.
-        if (!gaveUp_)
-            giveUpOpenCalls();
-        gaveUp_ = true;
-        tryOne();
+        if (!hasAbortedOpenCalls_)
+            abortOpenCalls();
+        hasAbortedOpenCalls_ = true;
+        launchTrial();
     });
 }
 
 // One call finds out for all. A question for changes asks to be answered at once.
-void StoreGate::tryOne()
+void StoreCircuitBreaker::launchTrial()
 {
-    if (answers())
+    if (isAnswering())
         return;
     const auto found = std::find_if(waiting_.begin(), waiting_.end(),
-                                    [](const CallPtr &call) { return call->repeats; });
+                                    [](const CallPtr &call) { return call->isRetryable; });
     // Nothing waits that could be sent twice. Whatever is asked next finds out more, and goes out
     // at once: the writes that a silent service keeps waiting, or the first read of a host that was
     // turned away, one at a time.
@@ -315,7 +323,8 @@
     launch(trial_, Duration(0));
 }
 
-void StoreGate::read(const std::string &table, const std::string &key, RowCallback callback)
+void StoreCircuitBreaker::read(const std::string &table, const std::string &key,
+                               RowCallback callback)
 {
     submit<std::optional<TableRow>>(
         [this, table, key](Duration, RowCallback answer) {
@@ -324,7 +333,8 @@
         std::move(callback), Duration(0), parts_.timeout, true);
 }
 
-void StoreGate::list(const std::string &table, const std::string &prefix, RowsCallback callback)
+void StoreCircuitBreaker::list(const std::string &table, const std::string &prefix,
+                               RowsCallback callback)
 {
     submit<std::vector<TableRow>>(
         [this, table, prefix](Duration, RowsCallback answer) {
@@ -333,7 +343,7 @@
         std::move(callback), Duration(0), parts_.timeout, true);
 }
 
-void StoreGate::write(std::vector<ConditionalWrite> writes, WriteCallback callback)
+void StoreCircuitBreaker::write(std::vector<ConditionalWrite> writes, WriteCallback callback)
 {
     submit<std::vector<std::string>>(
         [this, writes = std::move(writes)](Duration, WriteCallback answer) {
@@ -344,18 +354,18 @@
 
 // One table after the other and page by page, each with a call's time of its own: when all hosts
 // start at once the bytes of a whole table take longer than a service may be silent.
-void StoreGate::snapshot(const std::string &table, SnapshotCallback callback)
+void StoreCircuitBreaker::snapshot(const std::string &table, SnapshotCallback callback)
 {
-    readings_.push_back({table, {}, std::move(callback)});
-    if (readings_.size() == 1)
+    snapshotReads_.push_back({table, {}, std::move(callback)});
+    if (snapshotReads_.size() == 1)
         readPage();
 }
 
-void StoreGate::readPage()
+void StoreCircuitBreaker::readPage()
 {
-    const Reading &reading = readings_.front();
+    const SnapshotRead &current = snapshotReads_.front();
     submit<TablePage>(
-        [this, table = reading.table, from = reading.gathered.nextKey()](
+        [this, table = current.table, from = current.collected.nextKey()](
             Duration, PageCallback answer) { parts_.feed.page(table, from, std::move(answer)); },
         [this, alive = alive_](absl::StatusOr<TablePage> page) {
             if (*alive)
@@ -364,31 +374,31 @@
         Duration(0), std::nullopt, true);
 }
 
-void StoreGate::onPage(absl::StatusOr<TablePage> page)
+void StoreCircuitBreaker::onPage(absl::StatusOr<TablePage> page)
 {
-    Reading &reading = readings_.front();
+    SnapshotRead &current = snapshotReads_.front();
     const absl::Status status = page.status();
     const bool isLast = !status.ok() || page->isLast;
     if (status.ok())
-        reading.gathered.add(*std::move(page));
+        current.collected.add(*std::move(page));
     if (!isLast)
         return readPage();
-    const Reading done = std::move(reading);
-    readings_.pop_front();
-    if (!readings_.empty())
+    const SnapshotRead done = std::move(current);
+    snapshotReads_.pop_front();
+    if (!snapshotReads_.empty())
         readPage();
     if (status.ok())
-        done.callback(done.gathered);
+        done.callback(done.collected);
     else
         done.callback(status);
 }
 
-void StoreGate::changes(const std::string &table, std::uint64_t after, Duration wait,
-                        ChangesCallback callback)
+void StoreCircuitBreaker::changes(const std::string &table, std::uint64_t after, Duration wait,
+                                  ChangesCallback callback)
 {
     submit<TableChanges>(
-        [this, table, after](Duration hold, ChangesCallback answer) {
-            parts_.feed.changes(table, after, hold, std::move(answer));
+        [this, table, after](Duration longPollTime, ChangesCallback answer) {
+            parts_.feed.changes(table, after, longPollTime, std::move(answer));
         },
         std::move(callback), wait, std::nullopt, true);
 }
--- a/src/services/storegate.h
+++ b/src/services/storecircuitbreaker.h
@@ -21,7 +21,7 @@
 //
 // Writes are never sent twice. One that is open when the service comes back ends with an outcome
 // that is not known, and its caller settles it by reading back.
-class StoreGate : public TableService, public TableFeed
+class StoreCircuitBreaker : public TableService, public TableFeed
 {
 public:
     struct Parts
@@ -36,13 +36,13 @@
         // Opens a connection to the service and closes it; true when that worked.
         std::function<void(std::function<void(bool)>)> probe;
         // Ends all calls that are open at the service below and closes its connections.
-        std::function<void()> giveUpOpenCalls;
+        std::function<void()> abortOpenCalls;
         // Between 0 and 1, another one each time and for each host.
-        std::function<double()> draw;
+        std::function<double()> jitter;
     };
 
-    explicit StoreGate(Parts parts);
-    ~StoreGate() override;
+    explicit StoreCircuitBreaker(Parts parts);
+    ~StoreCircuitBreaker() override;
 
     void read(const std::string &table, const std::string &key, RowCallback callback) override;
     void list(const std::string &table, const std::string &prefix, RowsCallback callback) override;
@@ -52,13 +52,13 @@
                  ChangesCallback callback) override;
 
     // As far as is known: calls that are made now are sent.
-    bool answers() const { return health_.state() == decision::StoreState::Answering; }
+    bool isAnswering() const { return health_.state() == decision::StoreState::Answering; }
     // Calls wait, and none of those that are open is likely to be answered.
     bool isSilent() const { return health_.state() == decision::StoreState::Silent; }
     // Called each time that the service is back, with how long it was lost.
-    void onBack(std::function<void(Duration)> callback)
+    void onRecovery(std::function<void(Duration)> callback)
     {
-        whenBack_.push_back(std::move(callback));
+        recoveryCallbacks_.push_back(std::move(callback));
     }
 
 private:
@@ -66,76 +66,76 @@
     struct Call
     {
         // With the time for which the service may hold the answer back.
-        std::function<void(const std::shared_ptr<Call> &, Duration hold)> send;
+        std::function<void(const std::shared_ptr<Call> &, Duration longPollTime)> send;
         std::function<void(const absl::Status &)> fail;
         // As asked for, and in the sending that is under way.
-        Duration wantedHold {0};
-        Duration hold {0};
+        Duration requestedLongPollTime {0};
+        Duration longPollTime {0};
         // No later than then it is sent, or fails; the end of time for questions for changes.
-        Instant until = Instant::max();
-        bool repeats = true;
+        Instant deadline = Instant::max();
+        bool isRetryable = true;
         bool done = false;
         bool waiting = false;
         // Among those that are open.
-        bool counted = false;
+        bool holdsSlot = false;
         Instant sentAt {};
         // Counts the times that it was sent.
-        int sendings = 0;
-        TimerId overdue = 0;
-        TimerId expiry = 0;
+        int attempts = 0;
+        TimerId timeoutTimer = 0;
+        TimerId deadlineTimer = 0;
     };
     using CallPtr = std::shared_ptr<Call>;
 
     template <typename Result, typename Send>
-    void submit(Send send, std::function<void(absl::StatusOr<Result>)> callback, Duration hold,
-                std::optional<Duration> limit, bool repeats);
-    void place(const CallPtr &call);
-    void launch(const CallPtr &call, Duration hold);
+    void submit(Send send, std::function<void(absl::StatusOr<Result>)> callback,
+                Duration longPollTime, std::optional<Duration> limit, bool isRetryable);
+    void launchOrWait(const CallPtr &call);
+    void launch(const CallPtr &call, Duration longPollTime);
     void wait(const CallPtr &call);
     // True when the result goes to the caller.
-    bool onResult(const CallPtr &call, int sending, const absl::Status &status);
+    bool onResult(const CallPtr &call, int attemptNumber, const absl::Status &status);
     void readPage();
     void onPage(absl::StatusOr<TablePage> page);
-    void onOverdue(const CallPtr &call);
-    void onAnswered(Duration took);
-    void noteFailure(const Call &call, const absl::Status &status, Duration took);
+    void onCallTimeout(const CallPtr &call);
+    void onAnswered(Duration latency);
+    void recordFailure(const Call &call, const absl::Status &status, Duration latency);
     // With the call that showed it.
     void onLost(const Call &call, bool changed);
-    void giveUpOpenCalls();
-    void scheduleAttempt();
-    void attempt();
-    void tryOne();
-    void wake(Duration lostFor);
+    void abortOpenCalls();
+    void scheduleRecoveryAttempt();
+    void tryRecovery();
+    void launchTrial();
+    void finishRecovery(Duration outage);
     bool mayLaunch(const Call &call) const;
     // Of those that wait, as many as may be open.
     void launchWaiting();
     // The call's sending is over.
-    void uncount(Call &call);
+    void releaseSlot(Call &call);
 
     const Parts parts_;
     decision::StoreHealth health_;
     // Tables that are read whole, the first one page by page.
-    struct Reading
+    struct SnapshotRead
     {
         std::string table;
-        TableSnapshot gathered;
+        TableSnapshot collected;
         SnapshotCallback callback;
     };
-    std::deque<Reading> readings_;
+    std::deque<SnapshotRead> snapshotReads_;
     std::deque<CallPtr> waiting_;
     // Reads that are sent and not answered, questions for changes aside.
-    std::size_t open_ = 0;
+    std::size_t openReads_ = 0;
     // When the service refused a call last.
     Instant refusedAt_ {};
-    std::vector<std::function<void(Duration)>> whenBack_;
-    bool attemptPlanned_ = false;
-    bool launchPlanned_ = false;
+    std::vector<std::function<void(Duration)>> recoveryCallbacks_;
+    bool recoveryAttemptScheduled_ = false;
+    bool launchScheduled_ = false;
     // The call that looks for the service's return; it may long be over.
     CallPtr trial_;
     // In this loss the calls that were open have been given up.
-    bool gaveUp_ = false;
+    bool hasAbortedOpenCalls_ = false;
     // Open calls fail because they are given up, which tells nothing of the service.
-    bool givingUp_ = false;
+    bool isAbortingOpenCalls_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/services/tablefollower.cpp
+++ b/src/services/tablefollower.cpp
@@ -8,13 +8,14 @@
 namespace {
 
 // Pause after a call that failed: a service that refuses is not asked all the time.
-constexpr Duration failedPause = std::chrono::milliseconds(250);
+constexpr Duration retryDelay = std::chrono::milliseconds(250);
 
 } // namespace
 
-TableFollower::TableFollower(const Parts &parts, std::string table, Duration feedWait,
+TableFollower::TableFollower(const Parts &parts, std::string table, Duration longPollTime,
                              Handlers handlers)
-    : parts_(parts), table_(std::move(table)), feedWait_(feedWait), handlers_(std::move(handlers))
+    : parts_(parts), table_(std::move(table)), longPollTime_(longPollTime),
+      handlers_(std::move(handlers))
 { }
 
 TableFollower::~TableFollower()
@@ -24,20 +25,20 @@
 
 void TableFollower::start()
 {
-    readAll();
+    readSnapshot();
 }
 
-void TableFollower::readAll()
+void TableFollower::readSnapshot()
 {
     parts_.feed.snapshot(table_, [this, alive = alive_](absl::StatusOr<TableSnapshot> snapshot) {
         if (!*alive)
             return;
-        note(snapshot.status());
+        updateReachability(snapshot.status());
         if (snapshot.ok())
             return onSnapshot(*snapshot);
-        parts_.timers.subscribeAfter(failedPause, [this, alive] {
+        parts_.timers.subscribeAfter(retryDelay, [this, alive] {
             if (*alive)
-                readAll();
+                readSnapshot();
         });
     });
 }
@@ -45,82 +46,82 @@
 void TableFollower::onSnapshot(const TableSnapshot &snapshot)
 {
     std::map<std::string, std::string> before = versions_;
-    const std::optional<Instant> changedAfter = noteTime(snapshot.serviceTime);
+    const std::optional<Instant> changedAfter = updateServiceClock(snapshot.serviceTime);
     for (const TableRow &row : snapshot.rows) {
         before.erase(row.key);
         apply(row, changedAfter);
     }
     for (const auto &[key, version] : before)
         remove(key);
-    next_ = snapshot.next;
-    read_ = true;
-    handlers_.onRead();
-    follow();
+    position_ = snapshot.next;
+    hasSnapshot_ = true;
+    handlers_.onSnapshotRead();
+    requestChanges();
 }
 
-void TableFollower::follow()
+void TableFollower::requestChanges()
 {
-    parts_.feed.changes(table_, next_, feedWait_,
+    parts_.feed.changes(table_, position_, longPollTime_,
                         [this, alive = alive_](absl::StatusOr<TableChanges> changes) {
                             if (*alive)
                                 onChanges(changes);
                         });
 }
 
-void TableFollower::followAfter(Duration pause)
+void TableFollower::requestChangesAfter(Duration delay)
 {
-    if (pause <= Duration(0))
-        return follow();
-    parts_.timers.subscribeAfter(pause, [this, alive = alive_] {
+    if (delay <= Duration(0))
+        return requestChanges();
+    parts_.timers.subscribeAfter(delay, [this, alive = alive_] {
         if (*alive)
-            follow();
+            requestChanges();
     });
 }
 
 void TableFollower::onChanges(const absl::StatusOr<TableChanges> &changes)
 {
     if (changes.ok()) {
-        note(changes.status());
-        const std::optional<Instant> changedAfter = noteTime(changes->serviceTime);
+        updateReachability(changes.status());
+        const std::optional<Instant> changedAfter = updateServiceClock(changes->serviceTime);
         for (const RowChange &change : changes->changes) {
             if (change.removed)
                 remove(change.row.key);
             else
                 apply(change.row, changedAfter);
         }
-        next_ = changes->next;
-        return followAfter(changes->changes.empty() ? Duration(0)
-                                                    : pace_.pauseAfterChanges(parts_.timers.now()));
+        position_ = changes->next;
+        return requestChangesAfter(
+            changes->changes.empty() ? Duration(0) : pace_.pauseAfterChanges(parts_.timers.now()));
     }
     if (absl::IsOutOfRange(changes.status())) {
         parts_.log.info("history_gone").with("table", table_);
-        return readAll();
+        return readSnapshot();
     }
-    note(changes.status());
-    followAfter(failedPause);
+    updateReachability(changes.status());
+    requestChangesAfter(retryDelay);
 }
 
 // Snapshots and changes overtake each other: a version below the known one is old news.
 // News may have been long under way: the question or its answer may be held up, or come after
 // several that were lost. Whatever an answer tells has happened since the one before.
-std::optional<Instant> TableFollower::noteTime(std::optional<Duration> serviceTime)
+std::optional<Instant> TableFollower::updateServiceClock(std::optional<Duration> serviceTime)
 {
     if (!serviceTime)
         return std::nullopt;
     const Duration now = parts_.timers.now().time_since_epoch();
-    const std::optional<Duration> before = answeredAt_;
+    const std::optional<Duration> before = lastServiceTime_;
     // The service's clock went back: it is another one.
     const bool known = before && *before <= *serviceTime;
     clockOffset_ = known ? std::min(clockOffset_, now - *serviceTime) : now - *serviceTime;
-    answeredAt_ = serviceTime;
+    lastServiceTime_ = serviceTime;
     if (!known)
         return std::nullopt;
     return Instant(*before + clockOffset_);
 }
 
-void TableFollower::apply(const TableRow &news, std::optional<Instant> changedAfter)
+void TableFollower::apply(const TableRow &changed, std::optional<Instant> changedAfter)
 {
-    TableRow row = news;
+    TableRow row = changed;
     row.changedAfter = changedAfter;
     std::string &known = versions_[row.key];
     const bool older =
@@ -137,7 +138,7 @@
         handlers_.onRemoved(key);
 }
 
-void TableFollower::note(const absl::Status &status)
+void TableFollower::updateReachability(const absl::Status &status)
 {
     if (status.ok() == reachable_)
         return;
--- a/src/services/textdifference.cpp
+++ b/src/services/textdifference.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // Far above any document that a table holds.
-constexpr std::size_t maxText = 64u << 20;
+constexpr std::size_t maxTextBytes = 64u << 20;
 
 std::uint64_t hashOf(absl::string_view text)
 {
@@ -93,9 +93,9 @@
 };
 
 // Takes digits and the mark behind them.
-bool takeNumber(absl::string_view &rest, char mark, std::size_t &number)
+bool takeNumber(absl::string_view &rest, char separator, std::size_t &number)
 {
-    const std::size_t end = rest.find(mark);
+    const std::size_t end = rest.find(separator);
     if (end == absl::string_view::npos || !absl::SimpleAtoi(rest.substr(0, end), &number))
         return false;
     rest.remove_prefix(end + 1);
@@ -128,9 +128,9 @@
 std::string differenceOf(const std::string &before, const std::string &after)
 {
     const std::vector<absl::string_view> old = piecesOf(before);
-    std::unordered_map<std::string, std::size_t> places;
+    std::unordered_map<std::string, std::size_t> indexByPiece;
     for (std::size_t i = 0; i < old.size(); ++i)
-        places.emplace(std::string(old[i]), i);
+        indexByPiece.emplace(std::string(old[i]), i);
     Writer writer(after);
     std::size_t next = 0;
     for (const absl::string_view piece : piecesOf(after)) {
@@ -141,14 +141,14 @@
             continue;
         }
         // 2. Something was put in or taken out.
-        const auto place = places.find(std::string(piece));
-        if (place == places.end()) {
+        const auto found = indexByPiece.find(std::string(piece));
+        if (found == indexByPiece.end()) {
             writer.add(piece);
             ++next;
             continue;
         }
-        writer.copy(std::size_t(old[place->second].data() - before.data()), piece.size());
-        next = place->second + 1;
+        writer.copy(std::size_t(old[found->second].data() - before.data()), piece.size());
+        next = found->second + 1;
     }
     return writer.finish();
 }
@@ -159,7 +159,7 @@
     absl::string_view rest = difference;
     std::size_t size = 0;
     std::size_t hash = 0;
-    if (!takeNumber(rest, ' ', size) || !takeNumber(rest, ' ', hash) || size > maxText)
+    if (!takeNumber(rest, ' ', size) || !takeNumber(rest, ' ', hash) || size > maxTextBytes)
         return absl::InvalidArgumentError("the difference has no size or hash");
     std::string after;
     while (!rest.empty())
--- a/tests/entry/entryprocess_test.cpp
+++ b/tests/entry/entryprocess_test.cpp
@@ -122,7 +122,7 @@
         inventory.hosts.resize(1);
         inventory.hosts[0].ownerAddress = ownerAddress;
         for (settings::Kind &kind : inventory.kinds)
-            kind.deadline = std::chrono::duration_cast<Duration>(inner::patience);
+            kind.deadline = std::chrono::duration_cast<Duration>(inner::waitTimeout);
         entry.install(configuration);
         REQUIRE(inner::becomesTrue([this] { return entry.ready(); }));
         REQUIRE(owner.waitForUps(1));
--- a/tests/inner/handshake_test.cpp
+++ b/tests/inner/handshake_test.cpp
@@ -29,13 +29,13 @@
     Ends ends;
     const HelloStep answer = ends.acceptor.onHello(ends.connector.first());
     REQUIRE(answer.status.ok());
-    CHECK_FALSE(answer.proven);
+    CHECK_FALSE(answer.isAuthenticated);
     const HelloStep proof = ends.connector.onHello(*answer.reply);
     REQUIRE(proof.status.ok());
-    CHECK(proof.proven);
+    CHECK(proof.isAuthenticated);
     const HelloStep last = ends.acceptor.onHello(*proof.reply);
     CHECK(last.status.ok());
-    CHECK(last.proven);
+    CHECK(last.isAuthenticated);
     CHECK(ends.acceptor.onHello(*proof.reply).status.code() == absl::StatusCode::kInvalidArgument);
 }
 
@@ -66,15 +66,15 @@
     Hello hello = helloOf("a");
     hello.nonce = makeNonce();
     hello.proof = helloProof("key", LinkRole::Acceptor, hello, other);
-    REQUIRE(proofHolds("key", LinkRole::Acceptor, hello, other));
+    REQUIRE(isProofValid("key", LinkRole::Acceptor, hello, other));
 
-    CHECK_FALSE(proofHolds("kez", LinkRole::Acceptor, hello, other));
-    CHECK_FALSE(proofHolds("key", LinkRole::Connector, hello, other));
-    CHECK_FALSE(proofHolds("key", LinkRole::Acceptor, hello, makeNonce()));
+    CHECK_FALSE(isProofValid("kez", LinkRole::Acceptor, hello, other));
+    CHECK_FALSE(isProofValid("key", LinkRole::Connector, hello, other));
+    CHECK_FALSE(isProofValid("key", LinkRole::Acceptor, hello, makeNonce()));
     const auto altered = [&](auto change) {
         Hello copy = hello;
         change(copy);
-        return !proofHolds("key", LinkRole::Acceptor, copy, other);
+        return !isProofValid("key", LinkRole::Acceptor, copy, other);
     };
     CHECK(altered([](Hello &h) { ++h.newestVersion; }));
     CHECK(altered([](Hello &h) { --h.oldestVersion; }));
--- a/tests/inner/linkfixtures.h
+++ b/tests/inner/linkfixtures.h
@@ -15,7 +15,7 @@
 // Helpers for tests on real sockets. Waits are generous, as the machine may be loaded.
 namespace kelptally::inner {
 
-constexpr auto patience = std::chrono::seconds(30);
+constexpr auto waitTimeout = std::chrono::seconds(30);
 
 inline std::string freeAddress()
 {
@@ -29,7 +29,7 @@
 class RecordedEvents : public PeerEvents
 {
 public:
-    struct Up
+    struct LinkUp
     {
         LinkId link;
         Hello peer;
@@ -39,7 +39,7 @@
         LinkId link;
         Message message;
     };
-    struct Down
+    struct LinkDown
     {
         LinkId link;
         std::string address;
@@ -73,9 +73,9 @@
     }
 
     // Read after a wait, when nothing more is expected.
-    std::vector<Up> ups;
+    std::vector<LinkUp> ups;
     std::vector<Received> messages;
-    std::vector<Down> downs;
+    std::vector<LinkDown> downs;
 
 private:
     template <typename Change>
@@ -89,7 +89,7 @@
     bool wait(Condition condition)
     {
         std::unique_lock<std::mutex> lock(mutex_);
-        return changed_.wait_for(lock, patience, condition);
+        return changed_.wait_for(lock, waitTimeout, condition);
     }
 
     std::mutex mutex_;
@@ -127,7 +127,7 @@
 template <typename Condition>
 bool becomesTrue(Condition condition)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto end = std::chrono::steady_clock::now() + waitTimeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() > end)
             return false;
--- a/tests/inner/peerlinks_test.cpp
+++ b/tests/inner/peerlinks_test.cpp
@@ -104,9 +104,9 @@
         thread_.join();
     }
 
-    void lose(bool losing) { losing_ = losing; }
+    void setDropping(bool isDropping) { isDropping_ = isDropping; }
     // Connections that are open now lose everything; new ones work.
-    void loseOpen() { ++generation_; }
+    void dropOpenConnections() { ++generation_; }
 
 private:
     struct Pipe
@@ -136,29 +136,30 @@
         });
     }
 
-    void pump(const PipePtr &pipe, tcp::socket &from, tcp::socket &to, std::array<char, 4096> &room)
+    void pump(const PipePtr &pipe, tcp::socket &from, tcp::socket &to,
+              std::array<char, 4096> &chunk)
     {
         from.async_read_some(
-            boost::asio::buffer(room),
+            boost::asio::buffer(chunk),
             [&, this, pipe](const boost::system::error_code &error, std::size_t count) {
                 boost::system::error_code ignored;
-                const bool losing = losing_ || pipe->generation != generation_;
+                const bool isDropping = isDropping_ || pipe->generation != generation_;
                 if (error) {
                     // While bytes are lost, so is the end of the connection.
-                    if (!losing)
+                    if (!isDropping)
                         to.shutdown(tcp::socket::shutdown_both, ignored);
                     return;
                 }
-                if (!losing)
-                    boost::asio::write(to, boost::asio::buffer(room, count), ignored);
-                pump(pipe, from, to, room);
+                if (!isDropping)
+                    boost::asio::write(to, boost::asio::buffer(chunk, count), ignored);
+                pump(pipe, from, to, chunk);
             });
     }
 
     const tcp::endpoint target_;
     boost::asio::io_context context_;
     tcp::acceptor acceptor_;
-    std::atomic<bool> losing_ {false};
+    std::atomic<bool> isDropping_ {false};
     std::atomic<int> generation_ {0};
     std::thread thread_;
 };
@@ -253,20 +254,20 @@
     REQUIRE(a.links->sendTo(relayed, ConfigNotice {1}).ok());
     REQUIRE(b.events.waitForMessages(1));
 
-    relay.lose(true);
+    relay.setDropping(true);
     REQUIRE(a.events.waitForDowns(1));
     REQUIRE(b.events.waitForDowns(1));
     CHECK(a.events.downs[0].why.code() == absl::StatusCode::kDeadlineExceeded);
     CHECK(b.events.downs[0].why.code() == absl::StatusCode::kDeadlineExceeded);
-    relay.lose(false);
+    relay.setDropping(false);
     CHECK(a.events.waitForUps(2));
 }
 
 TEST_CASE("Silence is no lasting reason to give a link up, as a wrong key is")
 {
-    CHECK(lasts(absl::PermissionDeniedError("another key")));
-    CHECK_FALSE(lasts(absl::DeadlineExceededError("nothing heard in time")));
-    CHECK_FALSE(lasts(absl::OkStatus()));
+    CHECK(isPersistent(absl::PermissionDeniedError("another key")));
+    CHECK_FALSE(isPersistent(absl::DeadlineExceededError("nothing heard in time")));
+    CHECK_FALSE(isPersistent(absl::OkStatus()));
 }
 
 TEST_CASE("A silent link is replaced by one that is dialled beside it, without a moment of none")
@@ -280,7 +281,7 @@
     a.links->connect(relayed);
     REQUIRE(a.events.waitForUps(1));
     REQUIRE(b.events.waitForUps(1));
-    relay.loseOpen();
+    relay.dropOpenConnections();
     REQUIRE(a.links->sendTo(relayed, ConfigNotice {1}).ok());
     // Twice makes no second one.
     a.links->renew(relayed);
@@ -308,11 +309,11 @@
     options.self.address = relayed;
     Process b(options);
     Relay relay(relayed, options.listenAddress);
-    relay.lose(true);
+    relay.setDropping(true);
     const auto dialledAt = std::chrono::steady_clock::now();
     a.links->connect(relayed);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    relay.lose(false);
+    relay.setDropping(false);
     if (renewed)
         a.links->renew(relayed);
     REQUIRE(a.events.waitForUps(1));
--- a/tests/inner/samplemessages.h
+++ b/tests/inner/samplemessages.h
@@ -90,7 +90,7 @@
     message.owner = {"127.0.0.2:7000", 8};
     message.logPosition = Position {3, 14};
     message.logAge = std::chrono::milliseconds(6);
-    message.lentConnections = 2;
+    message.grantedConnections = 2;
     return message;
 }
 
@@ -134,7 +134,7 @@
                    {{"offers", "{}", 18, false}, {"deposits", "", 20, true}},
                    true},
         QuotaRequest {"town-water", 4500},
-        QuotaGift {"town-water", 1250},
+        QuotaGrant {"town-water", 1250},
     };
 }
 
--- a/tests/services/storegate_test.cpp
+++ b/tests/services/storecircuitbreaker_test.cpp
@@ -1,5 +1,5 @@
 #include "core/manualtimerservice.h"
-#include "services/storegate.h"
+#include "services/storecircuitbreaker.h"
 #include "services/tablefollower.h"
 
 #include <catch2/catch.hpp>
@@ -26,14 +26,15 @@
     explicit FakeStore(TimerService &theTimers) : timers(theTimers) { }
 
     template <typename Result>
-    void answer(Result result, Duration hold, std::function<void(absl::StatusOr<Result>)> callback)
+    void answer(Result result, Duration longPollTime,
+                std::function<void(absl::StatusOr<Result>)> callback)
     {
         ++calls;
-        const int id = ++lastOpen;
+        const int id = ++lastCallId;
         open[id] = [callback] { callback(absl::DeadlineExceededError("no answer")); };
-        timers.subscribeAfter(hold + 2s, [this, id] { end(id); });
+        timers.subscribeAfter(longPollTime + 2s, [this, id] { end(id); });
         if (mode == Mode::Silent) {
-            late.push_back([this, callback, result, id] {
+            lateAnswers.push_back([this, callback, result, id] {
                 if (open.erase(id) != 0)
                     callback(result);
             });
@@ -42,7 +43,7 @@
         const absl::Status status = mode == Mode::Refuses ? absl::UnavailableError("503")
             : mode == Mode::Resets                        ? absl::UnknownError("reset")
                                                           : absl::OkStatus();
-        timers.subscribeAfter(status.ok() ? took + hold : took,
+        timers.subscribeAfter(status.ok() ? latency + longPollTime : latency,
                               [this, callback, status, result, id] {
                                   // A held question is cut off with the service.
                                   if (mode == Mode::Silent || open.erase(id) == 0)
@@ -62,9 +63,9 @@
         open.erase(found);
         callback();
     }
-    void giveUp()
+    void abortOpenCalls()
     {
-        ++givenUp;
+        ++abortCount;
         while (!open.empty())
             end(open.begin()->first);
     }
@@ -97,15 +98,15 @@
     TimerService &timers;
     Mode mode = Mode::Answers;
     // Connections open also while it is silent.
-    bool accepts = false;
-    Duration took {4ms};
+    bool acceptsConnections = false;
+    Duration latency {4ms};
     int calls = 0;
     int writes = 0;
-    int givenUp = 0;
+    int abortCount = 0;
     std::map<int, std::function<void()>> open;
     // Answers what was asked in silence, unless that has been given up.
-    std::vector<std::function<void()>> late;
-    int lastOpen = 0;
+    std::vector<std::function<void()>> lateAnswers;
+    int lastCallId = 0;
 };
 
 struct Fixture
@@ -119,36 +120,36 @@
     Metrics metrics;
     FakeStore store {timers};
     int probes = 0;
-    StoreGate gate {{timers, store, store, log, metrics, 2s,
-                     [this](std::function<void(bool)> callback) {
-                         ++probes;
-                         const bool reached =
-                             store.accepts || store.mode != FakeStore::Mode::Silent;
-                         timers.subscribeAfter(reached ? 2ms : 150ms,
-                                               [callback, reached] { callback(reached); });
-                     },
-                     [this] { store.giveUp(); }, [] { return 0.5; }}};
+    StoreCircuitBreaker breaker {
+        {timers, store, store, log, metrics, 2s,
+         [this](std::function<void(bool)> callback) {
+             ++probes;
+             const bool reached = store.acceptsConnections || store.mode != FakeStore::Mode::Silent;
+             timers.subscribeAfter(reached ? 2ms : 150ms,
+                                   [callback, reached] { callback(reached); });
+         },
+         [this] { store.abortOpenCalls(); }, [] { return 0.5; }}};
 
     // Calls back with the status of the answer; -1 while there is none.
     std::shared_ptr<int> read()
     {
         const auto outcome = std::make_shared<int>(-1);
-        gate.read("t", "k", [outcome](auto row) { *outcome = int(row.status().code()); });
+        breaker.read("t", "k", [outcome](auto row) { *outcome = int(row.status().code()); });
         return outcome;
     }
     std::shared_ptr<int> write()
     {
         const auto outcome = std::make_shared<int>(-1);
-        gate.write({{"t", "k", "v", "1"}},
-                   [outcome](auto tags) { *outcome = int(tags.status().code()); });
+        breaker.write({{"t", "k", "v", "1"}},
+                      [outcome](auto tags) { *outcome = int(tags.status().code()); });
         return outcome;
     }
-    void lose(FakeStore::Mode mode)
+    void loseService(FakeStore::Mode mode)
     {
         store.mode = mode;
         read();
         timers.advance(1s);
-        REQUIRE(!gate.answers());
+        REQUIRE(!breaker.isAnswering());
     }
 };
 
@@ -167,7 +168,7 @@
 
 TEST_CASE_METHOD(Fixture, "A silent service is noticed by one call, and nothing is sent meanwhile")
 {
-    lose(FakeStore::Mode::Silent);
+    loseService(FakeStore::Mode::Silent);
     const int before = store.calls;
     const auto first = read();
     const auto second = write();
@@ -183,13 +184,13 @@
 
 TEST_CASE_METHOD(Fixture, "When the service is back all that waits is sent within 300 ms")
 {
-    lose(FakeStore::Mode::Silent);
+    loseService(FakeStore::Mode::Silent);
     const auto first = read();
     const auto second = write();
     timers.advance(500ms);
     store.mode = FakeStore::Mode::Answers;
     timers.advance(300ms);
-    CHECK(gate.answers());
+    CHECK(breaker.isAnswering());
     CHECK(*first == ok);
     CHECK(*second == ok);
     CHECK(store.writes == 1);
@@ -200,14 +201,14 @@
     std::vector<std::unique_ptr<TableFollower>> followers;
     for (const Duration wait : {2s, 5s, 9s}) {
         followers.push_back(std::make_unique<TableFollower>(
-            TableFollower::Parts {timers, gate, log}, "t", wait,
+            TableFollower::Parts {timers, breaker, log}, "t", wait,
             TableFollower::Handlers {[](const TableRow &) {}, [](const std::string &) {}, [] {}}));
         followers.back()->start();
     }
     timers.advance(1s);
     store.mode = FakeStore::Mode::Silent;
     timers.advance(3500ms);
-    REQUIRE(!gate.answers());
+    REQUIRE(!breaker.isAnswering());
     const int before = store.calls;
     store.mode = FakeStore::Mode::Answers;
     timers.advance(500ms);
@@ -215,25 +216,25 @@
     CHECK(store.calls >= before + 3);
     CHECK(store.calls <= before + 4);
     timers.advance(20s);
-    CHECK(gate.answers());
+    CHECK(breaker.isAnswering());
 }
 
 TEST_CASE_METHOD(Fixture,
                  "A trial that hangs while a late answer tells of the return counts as no loss")
 {
-    lose(FakeStore::Mode::Silent);
-    store.accepts = true;
+    loseService(FakeStore::Mode::Silent);
+    store.acceptsConnections = true;
     const auto first = read();
     const auto second = read();
-    const std::size_t before = store.late.size();
+    const std::size_t before = store.lateAnswers.size();
     timers.advance(1500ms);
     // One trial after the other, on connections that say nothing.
-    REQUIRE(store.late.size() >= before + 2);
+    REQUIRE(store.lateAnswers.size() >= before + 2);
     store.mode = FakeStore::Mode::Answers;
-    store.late[store.late.size() - 2]();
-    CHECK(gate.answers());
+    store.lateAnswers[store.lateAnswers.size() - 2]();
+    CHECK(breaker.isAnswering());
     timers.advance(3s);
-    CHECK(gate.answers());
+    CHECK(breaker.isAnswering());
     CHECK(*first == ok);
     CHECK(*second == ok);
     CHECK(metrics.toText().find("kelptally_store_losses_total{state=\"silent\"} 1\n")
@@ -251,12 +252,12 @@
     timers.advance(300ms);
     CHECK(*open == int(absl::StatusCode::kDeadlineExceeded));
     CHECK(store.writes == 1);
-    CHECK(gate.answers());
+    CHECK(breaker.isAnswering());
 }
 
 TEST_CASE_METHOD(Fixture, "A host that is turned away asks rarely, one call at a time")
 {
-    TableFollower follower({timers, gate, log}, "t", 5s,
+    TableFollower follower({timers, breaker, log}, "t", 5s,
                            {[](const TableRow &) {}, [](const std::string &) {}, [] {}});
     follower.start();
     for (const auto mode : {FakeStore::Mode::Refuses, FakeStore::Mode::Resets}) {
@@ -274,7 +275,7 @@
         CHECK(*refused != -1);
         store.mode = FakeStore::Mode::Answers;
         timers.advance(1s);
-        CHECK(gate.answers());
+        CHECK(breaker.isAnswering());
         // Whatever waits too long has failed, as before.
         for (const auto &outcome : waiting)
             CHECK(*outcome != -1);
@@ -287,14 +288,14 @@
 TEST_CASE_METHOD(Fixture,
                  "A service that turns slow is taken for silent only until its first answer")
 {
-    TableFollower follower({timers, gate, log}, "t", 5s,
+    TableFollower follower({timers, breaker, log}, "t", 5s,
                            {[](const TableRow &) {}, [](const std::string &) {}, [] {}});
     follower.start();
     timers.advance(1s);
-    store.took = 1500ms;
+    store.latency = 1500ms;
     read();
     timers.advance(4s);
-    CHECK(gate.answers());
+    CHECK(breaker.isAnswering());
     const int before = probes;
     for (int i = 0; i < 5; ++i) {
         const auto again = read();
@@ -308,33 +309,33 @@
                  "A service that accepts calls while it is silent is heard 500 ms after its return")
 {
     // Opening a connection works all the time, and calls made meanwhile are never answered.
-    store.accepts = true;
-    TableFollower follower({timers, gate, log}, "t", 5s,
+    store.acceptsConnections = true;
+    TableFollower follower({timers, breaker, log}, "t", 5s,
                            {[](const TableRow &) {}, [](const std::string &) {}, [] {}});
     follower.start();
-    TableFollower other({timers, gate, log}, "u", 9s,
+    TableFollower other({timers, breaker, log}, "u", 9s,
                         {[](const TableRow &) {}, [](const std::string &) {}, [] {}});
     other.start();
     for (int i = 0; i < 10; ++i) {
         timers.advance(100ms);
-        lose(FakeStore::Mode::Silent);
+        loseService(FakeStore::Mode::Silent);
         const int before = store.calls;
         timers.advance(2s + i * 37ms);
         CHECK(store.calls - before <= 9);
         store.mode = FakeStore::Mode::Answers;
         timers.advance(500ms);
-        CHECK(gate.answers());
+        CHECK(breaker.isAnswering());
         // What was sent meanwhile runs into its timeout now, and is no news.
         for (int j = 0; j < 40; ++j) {
             timers.advance(50ms);
-            CHECK(gate.answers());
+            CHECK(breaker.isAnswering());
         }
     }
 }
 
 TEST_CASE_METHOD(Fixture, "More calls than may wait are refused at once")
 {
-    lose(FakeStore::Mode::Silent);
+    loseService(FakeStore::Mode::Silent);
     for (int i = 0; i < 1023; ++i)
         read();
     const auto last = read();
@@ -352,15 +353,15 @@
 // that callers asked for: 106,188.
 TEST_CASE_METHOD(Fixture, "A read that is refused after its time is told once")
 {
-    store.took = 150ms;
-    lose(FakeStore::Mode::Refuses);
-    std::vector<int> told(40, 0);
-    for (int &count : told) {
+    store.latency = 150ms;
+    loseService(FakeStore::Mode::Refuses);
+    std::vector<int> callbackCounts(40, 0);
+    for (int &count : callbackCounts) {
         timers.advance(37ms);
-        gate.read("t", "k", [&count](const auto &) { ++count; });
+        breaker.read("t", "k", [&count](const auto &) { ++count; });
     }
     timers.advance(10s);
-    CHECK(told == std::vector<int>(told.size(), 1));
+    CHECK(callbackCounts == std::vector<int>(callbackCounts.size(), 1));
 }
 
 namespace {
@@ -373,8 +374,8 @@
     void page(const std::string &table, const std::string &from, PageCallback callback) override
     {
         const int number = from.empty() ? 0 : std::stoi(from);
-        asked.push_back(table + std::to_string(number));
-        if (std::exchange(loseNext, false))
+        requestedPages.push_back(table + std::to_string(number));
+        if (std::exchange(dropNextAnswer, false))
             mode = Mode::Silent;
         TablePage page;
         page.version = std::uint64_t(100 + number);
@@ -385,23 +386,24 @@
         mode = Mode::Answers;
     }
 
-    std::vector<std::string> asked;
-    bool loseNext = false;
+    std::vector<std::string> requestedPages;
+    bool dropNextAnswer = false;
 };
 
 struct PagedFixture : public Fixture
 {
     PagedStore paged {timers};
-    StoreGate pagedGate {{timers, paged, paged, log, metrics, 2s,
-                          [this](std::function<void(bool)> callback) {
-                              timers.subscribeAfter(2ms, [callback] { callback(true); });
-                          },
-                          [this] { paged.giveUp(); }, [] { return 0.5; }}};
+    StoreCircuitBreaker pagedBreaker {{timers, paged, paged, log, metrics, 2s,
+                                       [this](std::function<void(bool)> callback) {
+                                           timers.subscribeAfter(2ms,
+                                                                 [callback] { callback(true); });
+                                       },
+                                       [this] { paged.abortOpenCalls(); }, [] { return 0.5; }}};
 
     std::shared_ptr<std::optional<TableSnapshot>> snapshot(const std::string &table)
     {
         const auto result = std::make_shared<std::optional<TableSnapshot>>();
-        pagedGate.snapshot(table, [result](auto snapshot) {
+        pagedBreaker.snapshot(table, [result](auto snapshot) {
             REQUIRE(snapshot.ok());
             *result = *std::move(snapshot);
         });
@@ -418,25 +420,25 @@
 TEST_CASE_METHOD(PagedFixture,
                  "A table whose pages come slowly one after the other is no silent service")
 {
-    paged.took = 300ms;
+    paged.latency = 300ms;
     const auto read = snapshot("t");
     timers.advance(2s);
     REQUIRE(*read);
     CHECK((*read)->rows.size() == 6);
     CHECK((*read)->next == 100);
-    CHECK(paged.asked.size() == 6);
-    CHECK(paged.givenUp == 0);
+    CHECK(paged.requestedPages.size() == 6);
+    CHECK(paged.abortCount == 0);
 }
 
 TEST_CASE_METHOD(PagedFixture, "A page without an answer is asked for again, and no other")
 {
     const auto read = snapshot("t");
     timers.advance(10ms);
-    paged.loseNext = true;
+    paged.dropNextAnswer = true;
     timers.advance(5s);
     REQUIRE(*read);
     CHECK((*read)->rows.size() == 6);
-    CHECK(paged.asked.size() == 7);
+    CHECK(paged.requestedPages.size() == 7);
 }
 
 TEST_CASE_METHOD(PagedFixture,
@@ -447,7 +449,7 @@
     timers.advance(1s);
     REQUIRE(*first);
     REQUIRE(*second);
-    REQUIRE(paged.asked.size() == 12);
+    REQUIRE(paged.requestedPages.size() == 12);
     for (std::size_t i = 0; i < 12; ++i)
-        CHECK(paged.asked[i][0] == (i < 6 ? 'a' : 'b'));
+        CHECK(paged.requestedPages[i][0] == (i < 6 ? 'a' : 'b'));
 }
--- a/tests/services/storelimit_test.cpp
+++ b/tests/services/storelimit_test.cpp
@@ -1,5 +1,5 @@
 #include "core/manualtimerservice.h"
-#include "services/storegate.h"
+#include "services/storecircuitbreaker.h"
 
 #include <catch2/catch.hpp>
 
@@ -16,7 +16,7 @@
 {
     explicit LimitedStore(TimerService &timers) : timers(timers), filledAt(timers.now()) { }
 
-    bool take()
+    bool takeToken()
     {
         const Instant now = timers.now();
         const double since = toMilliseconds(now - filledAt) / 1000;
@@ -30,10 +30,10 @@
 
     void read(const std::string &, const std::string &key, RowCallback callback) override
     {
-        const bool isTaken = take();
-        ++(isTaken ? answered : refused);
-        timers.subscribeAfter(took, [key, callback, isTaken] {
-            if (isTaken)
+        const bool isAdmitted = takeToken();
+        ++(isAdmitted ? answered : refused);
+        timers.subscribeAfter(latency, [key, callback, isAdmitted] {
+            if (isAdmitted)
                 callback(TableRow {key, "v", "1"});
             else
                 callback(absl::UnavailableError("429"));
@@ -46,7 +46,7 @@
 
     TimerService &timers;
     const int limit = 2000;
-    const Duration took {5ms};
+    const Duration latency {5ms};
     double tokens = 0;
     Instant filledAt;
     int answered = 0;
@@ -60,22 +60,23 @@
     {
         missing = count * rows;
         for (int host = 0; host < count; ++host) {
-            gates.push_back(std::make_unique<StoreGate>(
-                StoreGate::Parts {timers, store, store, log, metrics, 2s,
-                                  [](const std::function<void(bool)> &callback) { callback(true); },
-                                  [] {}, [this] { return draw(random); }}));
+            breakers.push_back(std::make_unique<StoreCircuitBreaker>(StoreCircuitBreaker::Parts {
+                timers, store, store, log, metrics, 2s,
+                [](const std::function<void(bool)> &callback) { callback(true); }, [] {},
+                [this] { return draw(random); }}));
             for (int row = 0; row < rows; ++row)
-                want(*gates.back(), std::to_string(row));
+                readUntilFound(*breakers.back(), std::to_string(row));
         }
     }
 
-    void want(StoreGate &gate, const std::string &key)
+    void readUntilFound(StoreCircuitBreaker &breaker, const std::string &key)
     {
-        gate.read("t", key, [this, &gate, key](const auto &row) {
+        breaker.read("t", key, [this, &breaker, key](const auto &row) {
             if (row.ok())
                 --missing;
             else
-                timers.subscribeAfter(250ms, [this, &gate, key] { want(gate, key); });
+                timers.subscribeAfter(250ms,
+                                      [this, &breaker, key] { readUntilFound(breaker, key); });
         });
     }
 
@@ -89,7 +90,7 @@
     }()};
     Metrics metrics;
     LimitedStore store {timers};
-    std::vector<std::unique_ptr<StoreGate>> gates;
+    std::vector<std::unique_ptr<StoreCircuitBreaker>> breakers;
     int missing = 0;
 };
 
@@ -108,8 +109,8 @@
     constexpr int hosts = 300;
     constexpr int rows = 50;
     Hosts all(hosts, rows);
-    const Duration least = 1s * (hosts * rows / all.store.limit);
-    all.timers.advance(2 * least);
+    const Duration minTime = 1s * (hosts * rows / all.store.limit);
+    all.timers.advance(2 * minTime);
     // Half of what the service can do is used at least, and no more is refused than answered.
     CHECK(all.missing == 0);
     CHECK(all.store.refused <= all.store.answered);
--- a/tests/services/textdifference_test.cpp
+++ b/tests/services/textdifference_test.cpp
@@ -24,10 +24,10 @@
     return text + "],\"services\":[]}";
 }
 
-void checkDifference(const std::string &before, const std::string &after, std::size_t most)
+void checkDifference(const std::string &before, const std::string &after, std::size_t maxBytes)
 {
     const std::string difference = differenceOf(before, after);
-    CHECK(difference.size() <= most);
+    CHECK(difference.size() <= maxBytes);
     const auto applied = applyDifference(before, difference);
     REQUIRE(applied.ok());
     CHECK(*applied == after);
