--- a/src/inner/cborreader.cpp
+++ b/src/inner/cborreader.cpp
@@ -19,7 +19,7 @@
     setNumber(item, CborItem::Unsigned, value);
 }
 
-// The library gives -1 - n as n.
+// The library passes -1 - n as n.
 template <typename T>
 void onNegative(void *item, T value)
 {
@@ -32,7 +32,7 @@
     static_cast<CborItem *>(item)->text = {reinterpret_cast<const char *>(data), length};
 }
 
-// All other items are left Unknown.
+// Items of all other types stay Unknown.
 cbor_callbacks makeCallbacks()
 {
     cbor_callbacks callbacks = cbor_empty_callbacks;
--- a/src/inner/cborreader.h
+++ b/src/inner/cborreader.h
@@ -11,11 +11,11 @@
 
 namespace kelptally::inner {
 
-// One item of a CBOR document. Its text lies in the document's bytes.
+// One item of a CBOR document. Its text refers to the document's bytes.
 struct CborItem
 {
     enum Type : std::uint8_t {
-        // None of the others, which messages don't have.
+        // Any other type, which is not used in messages.
         Unknown,
         Null,
         Flag,
@@ -25,19 +25,18 @@
         Array,
     };
     Type type = Unknown;
-    // Flag: 0 or 1; Array: count of its elements; Negative: the two's complement.
+    // Flag: 0 or 1; Array: number of elements; Negative: two's complement.
     std::uint64_t number = 0;
     std::string_view text;
 };
 
-// Takes the next item off the front of a document, without allocating and without looking into it.
-// False when it is cut short or not CBOR.
+// Consumes the next item of a document without allocating; of an array, only its head. Returns
+// false when it is truncated or not CBOR.
 bool readCborItem(std::string_view &bytes, CborItem &item);
 
-// Reads the fields of records; see layout(). Counts and lengths are held to their bounds, and to
-// what the rest of the document can hold, before anything is allocated for them. After the first
-// mistake it reads nothing more. A record may be shorter than this build's (the fields it lacks
-// keep their defaults) or longer (what this build doesn't know is skipped).
+// Reads the fields of records; see layout(). Counts and lengths are checked against their bounds
+// and the remaining bytes before memory is allocated. Stops at the first error. In a shorter record
+// the missing fields keep their defaults; in a longer one the unknown fields are skipped.
 class CborReader
 {
 public:
@@ -45,7 +44,7 @@
 
     const absl::Status &status() const { return status_; }
 
-    // What a record lacks keeps its defaults, whatever was wanted of the writer.
+    // Optional fields are always read: missing ones keep their defaults.
     static bool hasMore(bool) { return true; }
 
     template <typename T>
@@ -82,11 +81,11 @@
         unsigned value = static_cast<unsigned>(into);
         number(value);
         if (value > static_cast<unsigned>(last))
-            return fail("a choice is unknown");
+            return fail("an enumerator is unknown");
         into = static_cast<E>(value);
     }
 
-    // A reason that this build doesn't know yet reads as Internal.
+    // An unknown reason, as from a newer version, reads as Internal.
     void reason(Reason &into)
     {
         std::string name;
@@ -156,13 +155,13 @@
         list(into, maxCount, [this](T &value) { record(value); });
     }
 
-    // Enters the array of the whole message and gives the number of its type.
+    // Enters the array of the message and returns the number of its type.
     std::size_t enterMessage()
     {
         std::size_t type = 0;
         CborItem item;
         if (!take(CborItem::Array, item))
-            fail("the message is no array");
+            fail("the message is not an array");
         remaining_ = item.number;
         if (remaining_ == 0)
             fail("the message has no type");
@@ -174,7 +173,7 @@
     {
         readFields(into);
         if (next_.type != CborItem::Unknown || !bytes_.empty())
-            fail("bytes follow the message");
+            fail("the message has trailing bytes");
     }
 
 private:
@@ -186,7 +185,7 @@
             status_ = absl::InvalidArgumentError(std::string(what));
     }
 
-    // Looks at the item that follows.
+    // Decodes the next item into next_.
     void advance()
     {
         next_ = CborItem();
@@ -195,13 +194,13 @@
         if (++items_ > maxItems)
             return fail("the message has too many items");
         if (!readCborItem(bytes_, next_) || next_.type == CborItem::Unknown)
-            return fail("the message is cut short or holds what no message has");
-        // Each element takes a byte at least.
+            return fail("the message is truncated or has an unsupported type");
+        // Each element takes at least one byte.
         if (next_.type == CborItem::Array && next_.number > bytes_.size())
-            return fail("an array is cut short");
+            return fail("an array is truncated");
     }
 
-    // The next element of the current array; false at its end or when it is of another type.
+    // Consumes the next element of the current array; false at its end or when it has another type.
     bool take(CborItem::Type type, CborItem &item)
     {
         if (!hasNext())
@@ -231,7 +230,7 @@
             skip();
     }
 
-    // Passes over one element with all that it holds.
+    // Skips one element with all nested ones.
     void skip()
     {
         --remaining_;
@@ -264,9 +263,9 @@
     }
 
     std::string_view bytes_;
-    // Looked at and not yet taken; Unknown at the end of the document.
+    // Next item, not yet consumed; Unknown at the end of the document.
     CborItem next_;
-    // Elements of the current array that are not read yet.
+    // Elements of the current array that are not yet read.
     std::uint64_t remaining_ = 1;
     std::size_t items_ = 0;
     absl::Status status_;
--- a/src/inner/cborwriter.h
+++ b/src/inner/cborwriter.h
@@ -10,17 +10,17 @@
 
 namespace kelptally::inner {
 
-// Writes the arrays of records, field by field; see layout(). Holds the fields to the bounds that
-// the reader at the other end holds them to.
+// Writes records as arrays, field by field; see layout(). Checks the fields against the bounds that
+// the reader enforces.
 class CborWriter
 {
 public:
     explicit CborWriter(std::string &bytes) : bytes_(bytes) { }
 
-    // OutOfRange when a bound was passed.
+    // OutOfRange when a bound was exceeded.
     const absl::Status &status() const { return status_; }
 
-    // The whole message: its type and its fields.
+    // Writes a message: its type and its fields.
     template <typename T>
     void message(std::size_t type, const T &value)
     {
@@ -29,10 +29,10 @@
             layout(*this, value, value);
         });
         check(items_ <= maxItems, "the message has too many items");
-        check(bytes_.size() <= maxFrameBytes, "the message is larger than a frame may be");
+        check(bytes_.size() <= maxFrameBytes, "the message exceeds the maximum frame size");
     }
 
-    // Whether the fields at the end of a record that follow are written.
+    // Whether the optional fields at the end of a record are written.
     bool hasMore(bool wanted) const { return wanted; }
 
     template <typename T>
@@ -54,7 +54,7 @@
     {
         number(static_cast<unsigned>(value));
     }
-    // By its stable name, as the numbers of reasons differ between versions.
+    // Written by name, as the numbers of reasons differ between versions.
     void reason(Reason value)
     {
         text(value == Reason::None ? std::string_view() : reasonInfo(value).name, maxNameBytes);
@@ -129,7 +129,7 @@
             status_ = absl::OutOfRangeError(std::string(what));
     }
 
-    // An array whose count is known once its fields are written. A head of one byte holds it.
+    // Writes an array and then its number of fields into its head, which has one byte.
     template <typename WriteFields>
     void writeRecord(WriteFields writeFields)
     {
@@ -156,7 +156,7 @@
 
     std::string &bytes_;
     std::size_t items_ = 0;
-    // Of the record that is being written.
+    // Fields of the record that is being written.
     std::size_t fields_ = 0;
     absl::Status status_;
 };
--- a/src/inner/codec.cpp
+++ b/src/inner/codec.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Bytes of most messages; saves the growth of the text.
+// Most messages fit, which avoids reallocations.
 constexpr std::size_t initialCapacity = 512;
 
 template <std::size_t Type>
@@ -25,7 +25,7 @@
 
 using ReadFields = absl::StatusOr<Message> (*)(CborReader &);
 
-// One reader for each type, at the index of the type.
+// The reader of each type, at the type's index.
 template <std::size_t... Types>
 constexpr std::array<ReadFields, sizeof...(Types)> makeReaders(std::index_sequence<Types...>)
 {
@@ -50,7 +50,7 @@
 absl::StatusOr<Message> decode(std::string_view bytes)
 {
     if (bytes.size() > maxFrameBytes)
-        return absl::InvalidArgumentError("the message is larger than a frame may be");
+        return absl::InvalidArgumentError("the message exceeds the maximum frame size");
     CborReader reader(bytes);
     const std::size_t type = reader.enterMessage();
     if (!reader.status().ok())
--- a/src/inner/codec.h
+++ b/src/inner/codec.h
@@ -9,12 +9,12 @@
 
 namespace kelptally::inner {
 
-// One message as a CBOR document (RFC 8949). OutOfRange, with the bound, when the other end would
-// refuse it.
+// Encodes a message as a CBOR document (RFC 8949). OutOfRange, with the bound, when the receiver
+// would refuse it.
 absl::StatusOr<std::string> encode(const Message &message);
 
-// The message of a CBOR document. Never throws; InvalidArgument for anything that is not a whole
-// message of a known type with fields of the right types within their bounds.
+// Decodes a CBOR document. Never throws; InvalidArgument unless it is a complete message of a known
+// type whose fields have the right types and are within their bounds.
 absl::StatusOr<Message> decode(std::string_view bytes);
 
 } // namespace kelptally::inner
--- a/src/inner/handshake.cpp
+++ b/src/inner/handshake.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t nonceBytes = 16;
 
-// Fixed start of what is signed, so that the key's other uses can't be confused with this one.
+// Prefix of the signed text, for domain separation from other uses of the key.
 constexpr const char *proofPurpose = "kelptally-peer-hello";
 
 void appendField(std::string &text, const std::string &field)
@@ -82,7 +82,7 @@
 HelloStep HelloExchange::onHello(const Hello &peer)
 {
     if (done_)
-        return {absl::InvalidArgumentError("a Hello out of turn"), {}, false};
+        return {absl::InvalidArgumentError("an unexpected Hello"), {}, false};
     const absl::Status versions = checkVersions(self_, peer);
     if (!versions.ok())
         return {versions, {}, false};
@@ -115,7 +115,7 @@
     if (!isProofValid(peerKey_, LinkRole::Acceptor, peer, self_.nonce))
         return {absl::UnauthenticatedError("the acceptor holds another peer key"), {}, false};
     if (peer.process.address != dialled_)
-        return {absl::NotFoundError("the process there calls itself " + peer.process.address),
+        return {absl::NotFoundError("the process identifies itself as " + peer.process.address),
                 {},
                 false};
     return {absl::OkStatus(), helloWithProof(peer.nonce), true};
--- a/src/inner/handshake.h
+++ b/src/inner/handshake.h
@@ -7,49 +7,49 @@
 #include <optional>
 #include <string>
 
-// How two processes prove to each other that they hold the peers' key (docs/INNER.md): the
-// connector says Hello with a nonce, the acceptor answers with its own nonce and a proof over both,
-// and the connector says Hello again with its proof.
+// Mutual authentication of two processes by the shared peer key (docs/INNER.md): the connector
+// sends a Hello with a nonce, the acceptor answers with its own nonce and a proof over both, and
+// the connector sends a second Hello with its proof.
 namespace kelptally::inner {
 
-// Which end of a link says a Hello. Part of the proof, so that a proof can't be sent back.
+// The end of a link that sends a Hello. Part of the proof, which prevents reflection attacks.
 enum class LinkRole {
     Connector,
     Acceptor,
 };
 
-// 128 random bits in hex, from the system's random source.
+// Returns 128 random bits in hex, from a cryptographically secure generator.
 std::string makeNonce();
 
-// HMAC-SHA256 in hex over the role, the fields of the Hello (its own nonce among them) and the
-// other end's nonce, under the peers' key. Each field goes in with its length.
+// Returns the HMAC-SHA256 in hex, under the peer key, of the role, the fields of the Hello (with
+// its nonce) and the other end's nonce. Each field is prefixed with its length.
 std::string helloProof(const std::string &peerKey, LinkRole role, const Hello &hello,
                        const std::string &otherNonce);
 
-// Whether the Hello's proof is the right one; the time taken doesn't tell how much of it is.
+// Whether the Hello's proof is valid. Compares in constant time.
 bool isProofValid(const std::string &peerKey, LinkRole role, const Hello &hello,
                   const std::string &otherNonce);
 
-// FailedPrecondition, with the versions of both ends, when there is none that both speak.
+// FailedPrecondition, with the versions of both ends, when they have no version in common.
 absl::Status checkVersions(const Hello &self, const Hello &peer);
 
-// What follows from a Hello that was heard.
+// Result of a received Hello.
 struct HelloStep
 {
-    // FailedPrecondition: versions; Unauthenticated: key; NotFound: another process than the one
-    // dialled; InvalidArgument: a Hello out of turn.
+    // FailedPrecondition: versions; Unauthenticated: key; NotFound: not the process that was
+    // dialled; InvalidArgument: an unexpected Hello.
     absl::Status status;
-    // To be sent.
+    // Hello to send, if any.
     std::optional<Hello> reply;
-    // The other end has proved itself.
+    // Whether the other end is authenticated.
     bool isAuthenticated = false;
 };
 
-// One end's part in the exchange of a link. No I/O.
+// State machine of the handshake at one end of a link. Does no I/O.
 class HelloExchange
 {
 public:
-    // The Hello without nonce and proof. The connector gives the address that it dialled.
+    // `self` is the Hello without nonce and proof, `dialled` the connector's target address.
     HelloExchange(LinkRole role, std::string peerKey, Hello self, std::string dialled = {});
 
     // The connector's first Hello.
--- a/src/inner/layout.h
+++ b/src/inner/layout.h
@@ -2,13 +2,12 @@
 
 #include "inner/messages.h"
 
-// The fields of each message in the order in which they stand in its array. One list serves both
-// directions: the archive is a CborWriter or a CborReader. Fields are only ever added at the end,
-// each with a default that means what the version before did without it.
+// The fields of each message in the order of its CBOR array, for both directions: the archive is a
+// CborWriter or a CborReader. New fields are only added at the end, with a default that keeps the
+// behaviour of older versions.
 namespace kelptally::inner {
 
-// Bounds of what one message may carry, in bytes and elements. An item is a field, an element of a
-// list or a list.
+// Bounds of a message, in bytes and elements. An item is a field, a list or an element of a list.
 constexpr std::size_t maxItems = 1u << 18;
 constexpr std::size_t maxNameBytes = 256;
 constexpr std::size_t maxTransactionBytes = 512;
@@ -22,7 +21,7 @@
 constexpr std::size_t maxServers = 64;
 constexpr std::size_t maxFollowedTables = 16;
 constexpr std::size_t maxNewsRows = 512;
-// Names and values of one session.
+// Names and values of a session together.
 constexpr std::size_t maxSessionTexts = 512;
 
 template <typename Archive, typename M>
@@ -259,7 +258,7 @@
     archive.duration(m.timeLeft);
     archive.duration(m.objective);
     archive.number(m.priority);
-    // Without organisations nothing is sent of them.
+    // The organisation's fields are left out when there is none.
     if (!archive.hasMore(!m.organisation.empty()))
         return;
     archive.text(m.organisation, maxNameBytes);
--- a/src/inner/linkrefusal.h
+++ b/src/inner/linkrefusal.h
@@ -10,28 +10,28 @@
 
 namespace kelptally::inner {
 
-// Close code of a link that this end refuses, of the range for private use (RFC 6455, section
-// 7.4.2).
+// Returns the close code for a link that this end refuses, from the range for private use (RFC
+// 6455, section 7.4.2).
 std::uint16_t closeCodeOf(const absl::Status &why);
 
-// Whether the other end closed a link with one of these codes.
+// Whether a close code of the other end is one of these.
 bool isRefusal(std::uint16_t closeCode);
 
-// Whether a link that this end gave up for the reason is likely to be refused again: a peer that
-// was only silent may be there again at any moment.
+// Whether a link that this end closed for the reason is likely to be closed again. Not after a
+// timeout: a silent peer may answer again at any time.
 bool isPersistent(const absl::Status &why);
 
-// The cause as logs and counters name it.
+// Returns the cause for logs and counters.
 const char *refusalCause(std::uint16_t closeCode);
 
 constexpr const char *timeoutCause = "timeout";
 constexpr const char *silenceCause = "silence";
 
-// Counts the links that this end gave up; each series exists from the start.
+// Counts the links that this end closed. All series exist from the start.
 class RefusalCounters
 {
 public:
-    // Counts nothing without metrics.
+    // Counts nothing if metrics is null.
     explicit RefusalCounters(Metrics *metrics);
 
     void count(const char *cause);
--- a/src/inner/linkstate.h
+++ b/src/inner/linkstate.h
@@ -14,15 +14,15 @@
 #include <memory>
 #include <string>
 
-// What websocketlinks.cpp keeps of each link; for that file only, as websocketpp compiles slowly.
+// State of the links; included by websocketlinks.cpp only, as websocketpp compiles slowly.
 namespace kelptally::inner {
 
-// A Hello fits; nothing larger is read from an end that has not proved itself.
+// Maximum message size before authentication; enough for a Hello.
 constexpr std::size_t maxUnauthenticatedBytes = 4096;
-// Links are looked at this often.
+// Interval of the checks for silent links and late handshakes.
 constexpr Duration checkInterval = std::chrono::milliseconds(200);
-// One thread runs everything, so websocketpp needs no locks of its own; a mask that nobody can
-// foresee protects browsers' proxies, which are not among our peers.
+// websocketpp runs on one thread and needs no locks. Frame masks need not be unpredictable, which
+// only protects HTTP proxies from browsers.
 struct LinkConfig : public websocketpp::config::asio
 {
     using type = LinkConfig;
@@ -31,7 +31,7 @@
     using elog_type = websocketpp::log::basic<concurrency_type, websocketpp::log::elevel>;
     using alog_type = websocketpp::log::basic<concurrency_type, websocketpp::log::alevel>;
     using rng_type = websocketpp::random::none::int_generator<uint32_t>;
-    // Names that websocketpp asks for.
+    // Names required by websocketpp.
     // NOLINTBEGIN(readability-identifier-naming)
     static constexpr bool enable_multithreading = false;
 
@@ -63,20 +63,21 @@
 using Handle = websocketpp::connection_hdl;
 static_assert(std::is_same_v<Connection, Client::connection_ptr>);
 
-// What senders on other threads see of a link.
+// Part of a link that is shared with senders on other threads.
 struct Channel
 {
     explicit Channel(LinkId theId) : id(theId) { }
 
     const LinkId id;
     std::atomic<bool> isUp {false};
-    // Bytes on their way to the links' thread, and bytes that wait there as last looked at.
+    // Bytes queued for the links' thread, and bytes in the connection's send buffer at the last
+    // check.
     std::atomic<std::size_t> queuedBytes {0};
     std::atomic<std::size_t> bufferedBytes {0};
 };
 using ChannelPtr = std::shared_ptr<Channel>;
 
-// One link, on the links' thread.
+// A link; used on the links' thread only.
 struct Link
 {
     Link(LinkId id, LinkRole role, const PeerLinkOptions &options, const Hello &self,
@@ -95,18 +96,18 @@
     bool isAuthenticated = false;
     std::string peerAddress;
     decision::LinkWatch watch;
-    // Why this end gave it up; otherwise the other end or the network did.
+    // Why this end closed the link; OK if the other end or the network did.
     absl::Status refused;
 };
 using LinkPtr = std::shared_ptr<Link>;
 
-// An address that a link is wanted to.
+// An address to which a link is kept open.
 struct Target
 {
-    // Calls of connect() that no drop() has undone.
+    // Calls of connect() less calls of drop().
     int users = 0;
     LinkPtr link;
-    // Dialled beside the link, to take its place.
+    // Second link that replaces the first once it is open.
     LinkPtr renewal;
     TimerId retry = 0;
     Duration retryDelay {0};
--- a/src/inner/messages.h
+++ b/src/inner/messages.h
@@ -11,21 +11,21 @@
 #include <variant>
 #include <vector>
 
-// The messages between our own processes (entry, owner, kelptallyctl through an entry).
+// Messages between kelptally processes (entry, owner, and kelptallyctl through an entry).
 namespace kelptally::inner {
 
-// Versions that this build speaks. Two processes talk in the highest version both know; a process
-// speaks its own version and the one before, so a rolling upgrade works.
+// Protocol versions of this build. Two processes use the highest version that both support. Each
+// build supports its own version and the one before, for rolling upgrades.
 constexpr int protocolVersion = 1;
 constexpr int oldestProtocolVersion = 1;
 
-// Largest frame that is accepted; checked before anything is allocated for it.
+// Maximum frame size; checked before memory is allocated for a frame.
 constexpr std::size_t maxFrameBytes = 4u << 20;
 
 using RequestId = std::uint64_t;
 
-// First message in both directions of a link. The proof is an HMAC over the other fields with the
-// peers' key of the settings.
+// First message of a link in both directions. The proof is an HMAC over the other fields under the
+// peer key from the settings.
 struct Hello
 {
     int newestVersion = protocolVersion;
@@ -39,7 +39,7 @@
 };
 
 enum class StatementStep {
-    // A statement on its own.
+    // A statement outside a transaction.
     Single,
     Begin,
     InTransaction,
@@ -47,7 +47,7 @@
     Rollback,
 };
 
-// One request of a caller, on its way from an entry to the owner of the group.
+// A caller's request, sent by an entry to the owner of the group.
 struct Execute
 {
     RequestId requestId = 0;
@@ -55,55 +55,55 @@
     TeamName team;
     KindName kind;
     StatementStep step = StatementStep::Single;
-    // Id of the transaction, for the steps after Begin.
+    // Transaction id, for the steps after Begin.
     std::string transaction;
     std::string sql;
     std::vector<Value> parameters;
     bool readOnly = false;
-    // Idempotency key; empty when the request may be repeated.
+    // Idempotency key; empty when the request may be retried without one.
     std::string key;
-    // Digest of what the key stands for, to refuse a key reused for another request.
+    // Digest of the request, to refuse a key that was used for a different one.
     std::string keyDigest;
-    // Greatest age of the data that the caller accepts; nothing stands for "newest".
+    // Maximum age of the data that the caller accepts; no value requests the newest data.
     std::optional<Duration> statedAge;
     // Time left until the caller's deadline when the message was sent.
     Duration deadlineIn {0};
     // Position of the caller's session in this group.
     std::optional<Position> sessionPosition;
-    // How often this request has been retried by the entry; the owner counts it.
+    // Number of retries of this request by the entry, for the owner's counters.
     int attempt = 0;
 };
 
-// The outcome of one Execute.
+// The outcome of an Execute.
 struct ExecuteResult
 {
     RequestId requestId = 0;
     Reason reason = Reason::None;
     Executed executed = Executed::No;
-    // SQLSTATE and message of the database, or the detail of a refusal.
+    // SQLSTATE and message of the database, or the details of a refusal.
     std::string detail;
     Rows rows;
-    // Count of rows and their byte length as the owner saw them; checked by the entry.
+    // Number and byte length of the rows at the owner; checked by the entry.
     std::size_t rowCount = 0;
     std::size_t byteLength = 0;
-    // Position that the session has seen with this answer.
+    // Position of the session after this answer.
     std::optional<Position> position;
     // Upper bound of the data's age when the owner sent this answer.
     std::optional<Duration> age;
-    // How long the owner had the request.
+    // Time that the request spent at the owner.
     Duration ownerTime {0};
     bool fromReplica = false;
     ServerName server;
-    // Whether the answer was taken from the record of an idempotency key.
+    // Whether the answer is the recorded one of the idempotency key.
     bool replayed = false;
     std::string transaction;
     Duration retryAfter {0};
-    // Address of the owner, when the asked process knows it is another.
+    // Address of the owner, if the sender knows another one.
     std::string ownerHint;
 };
 
-// The caller went away or its deadline passed: what still waits for it is dropped, and its open
-// transaction is rolled back.
+// The caller disconnected or its deadline passed: its queued request is dropped and its open
+// transaction rolled back.
 struct Cancel
 {
     RequestId requestId = 0;
@@ -120,7 +120,7 @@
     ServerName primary;
 };
 
-// From an owner to a successor, for all groups that the two share.
+// Sent by an owner to a successor, for all groups that the two share.
 struct Heartbeat
 {
     ProcessId from;
@@ -133,7 +133,8 @@
     GroupName group;
     OwnerEpoch epoch = 0;
     std::uint64_t sequence = 0;
-    // False when the successor makes no promise (it claims, or knows a newer epoch).
+    // Whether the successor renews its promise; false when it claims the group or knows a newer
+    // epoch.
     bool promised = false;
     OwnerEpoch knownEpoch = 0;
 };
@@ -145,7 +146,7 @@
     std::vector<GroupHeartbeatAnswer> groups;
 };
 
-// Asks who owns a group, and with the answer proves the asked process's incarnation.
+// Asks for the owner of a group. The answer also confirms the receiver's incarnation.
 struct Locate
 {
     RequestId requestId = 0;
@@ -158,18 +159,18 @@
     ProcessId from;
     GroupName group;
     OwnerEpoch epoch = 0;
-    // Address of the owner as far as known; empty when not.
+    // Address of the owner; empty when unknown.
     std::string owner;
 };
 
-// The owner has named the receiver the new owner in the group's row.
+// The sender has written the receiver into the group's row as its new owner.
 struct HandOver
 {
     GroupName group;
     OwnerEpoch newEpoch = 0;
 };
 
-// "I have this configuration version"; sent on links at start and at each change.
+// Announces the sender's configuration version; sent when a link opens and at each change.
 struct ConfigNotice
 {
     ConfigVersion version = 0;
@@ -194,7 +195,7 @@
     Promote,
 };
 
-// An operator's call that an owner carries out.
+// An operator's command to an owner.
 struct OperatorRequest
 {
     RequestId requestId = 0;
@@ -240,13 +241,13 @@
     std::vector<GroupStatus> groups;
 };
 
-// What a read must see of the work that was acknowledged before it began.
+// Consistency of a read: which commits acknowledged before its start it must see.
 enum class ReadRule {
     // Every acknowledged commit.
     Newest,
-    // Every commit that was acknowledged longer ago than the stated age.
+    // Every commit acknowledged longer ago than the maximum age.
     Bounded,
-    // As Bounded, and every commit of the caller's own session.
+    // As Bounded, and every commit of the caller's session.
     OwnWrites,
 };
 
@@ -256,48 +257,48 @@
     ReadOnly,
 };
 
-// What a session's statement does at the server.
+// Kind of a session's statement.
 enum class SessionVerb {
     Read,
     Write,
     Commit,
 };
 
-// One statement of a caller's session, on its way from an entry to the owner of the group. Text and
-// id go to the server as the caller wrote them.
+// A statement of a caller's session, sent by an entry to the owner of the group. Text and id are
+// passed to the server unchanged.
 struct RunStatement
 {
     RequestId requestId = 0;
     GroupName group;
-    // Number of the session at its entry; with the entry's link it names an open transaction.
+    // Session number at the entry. With the entry's link it identifies an open transaction.
     std::uint64_t session = 0;
     SessionVerb verb = SessionVerb::Read;
-    // The statement is part of an open transaction, or begins it when `begins` is set.
+    // Whether the statement is part of a transaction, which it begins when `begins` is set.
     bool inTransaction = false;
     TransactionMode begins = TransactionMode::None;
     std::string statementId;
     std::string text;
-    // Of a statement that executes a prepared one: its shape and what follows the name.
+    // For the execution of a prepared statement: its shape and the text after its name.
     std::string preparedShape;
     std::string arguments;
-    // The session's values: name and value by turns, ordered by name.
+    // The session's settings: names and values in turn, ordered by name.
     std::vector<std::string> values;
     ReadRule rule = ReadRule::Newest;
     Duration maxAge {0};
     std::optional<Position> sessionPosition;
-    // Longest time that the statement may take, from the moment the message was sent.
+    // Time until the statement's deadline when the message was sent.
     Duration timeLeft {0};
-    // Time within which the route's operator wants operations answered.
+    // Latency objective of the route.
     Duration objective {0};
-    // 0 is the most urgent.
+    // 0 is the highest priority.
     int priority = 0;
-    // Whose statement it is, by the configuration of this version; empty where callers show no
-    // keys.
+    // The caller's organisation by this version of the configuration; empty where callers present
+    // no keys.
     OrganisationName organisation;
     ConfigVersion organisationVersion = 0;
 };
 
-// The outcome of one RunStatement.
+// The outcome of a RunStatement.
 struct StatementDone
 {
     RequestId requestId = 0;
@@ -310,28 +311,28 @@
     // Position of the server's log after a write or commit of the session.
     std::optional<Position> position;
     Duration retryAfter {0};
-    // Newest ownership that the asked process knows of, when it is not the owner.
+    // Newest ownership known to the sender, when it is not the owner.
     OwnerEpoch ownerEpoch = 0;
     ProcessId owner;
-    // A position of the primary, and how long ago it was asked for: it holds whatever had been
-    // acknowledged by then.
+    // A position of the primary's log, and the time since it was requested. It covers every commit
+    // that was acknowledged before the request.
     std::optional<Position> logPosition;
     Duration logAge {0};
-    // Connections to each replica in the entry's zone that the owner lends it for reads.
+    // Connections to each replica in the entry's zone that the owner grants it for reads.
     int grantedConnections = 0;
 };
 
-// Rolls back what the session has open, if anything. There is no answer.
+// Rolls back the session's open transaction, if any. There is no answer.
 struct EndTransaction
 {
     GroupName group;
     std::uint64_t session = 0;
-    // Only what a statement of at most this number has begun: the message may be sent again, when
-    // the session has begun another transaction.
+    // Only a transaction begun by a request up to this id is rolled back, as the message may be
+    // repeated after the session has begun another one.
     RequestId begunBy = 0;
 };
 
-// Asks a process that owes answers whether it still runs; answered at once.
+// Liveness probe to a process with outstanding answers; answered at once.
 struct AliveRequest
 {
     std::uint64_t sequence = 0;
@@ -349,28 +350,28 @@
     OwnerEpoch epoch = 0;
 };
 
-// The sender acts for the group under no epoch up to this one any more, and never will again.
+// The sender does not act for the group under any epoch up to this one, now or later.
 struct OwnershipEnded
 {
     GroupName group;
     OwnerEpoch epoch = 0;
 };
 
-// The sender is being stopped: no group should be given to it.
+// The sender is shutting down and takes no more groups.
 struct Stopping
 {
     ProcessId process;
 };
 
-// The sender owns the group under the epoch and can't do what it needs: the receiver is asked to
-// claim the group, if it reaches the endpoint, which may be empty.
+// The sender owns the group under the epoch but can't serve it. The receiver is asked to claim the
+// group if it can reach the endpoint, when one is given.
 struct TakeOver
 {
     GroupName group;
     OwnerEpoch epoch = 0;
-    // "ip:port"
+    // "ip:port" or empty.
     std::string requiredEndpoint;
-    // The sender serves the group, and a host with more processor time should.
+    // Set when the sender lacks processor time: only a host with spare capacity should claim.
     bool needsCapacity = false;
 };
 
@@ -423,7 +424,7 @@
     bool isPart = false;
 };
 
-// The sender runs low of an organisation's quota, and asks for a part of what the receiver has.
+// The sender's share of an organisation's quota is low: it asks for a part of the receiver's.
 struct QuotaRequest
 {
     OrganisationName organisation;
@@ -431,7 +432,7 @@
     std::uint64_t thousandths = 0;
 };
 
-// The receiver may run so much more for the organisation; the sender so much less.
+// Moves a part of an organisation's quota from the sender to the receiver.
 struct QuotaGrant
 {
     OrganisationName organisation;
--- a/src/inner/websocketlinks.cpp
+++ b/src/inner/websocketlinks.cpp
@@ -16,15 +16,14 @@
 
 using boost::asio::ip::tcp;
 
-// How long the destructor waits for what is still to be sent.
+// Maximum time for which the destructor waits for queued messages to be sent.
 constexpr Duration flushTimeout = std::chrono::milliseconds(500);
-// Accepted links that have not proved themselves yet.
+// Limit of accepted links that are not authenticated yet.
 constexpr std::size_t maxUnauthenticatedLinks = 1024;
-// Pause after a refusal, which will hardly be mended within a second.
+// Delay after a refusal, whose cause (such as a wrong key) usually takes longer to be fixed.
 constexpr Duration refusedRetryDelay = std::chrono::seconds(5);
-// A link that can open is open within this time: some 5 ms in one region, and 100 between distant
-// ones. One dialled while its peer was without power opens a second late, at the next repeat of the
-// opening packet.
+// A link that is not open within this time may be redialled. One dialled while its peer was down
+// opens only when TCP retransmits the SYN, a second later.
 constexpr Duration maxConnectTime = std::chrono::milliseconds(150);
 
 class WebsocketLinks : public PeerLinks
@@ -43,7 +42,7 @@
     absl::Status sendOn(LinkId link, Message message) override;
 
 private:
-    // Links coming and going; on the links' thread.
+    // Opening and closing of links; on the links' thread.
     void setHandlers(Server &server);
     bool isConnecting(const LinkPtr &link) const;
     void dial(const std::string &address);
@@ -118,7 +117,7 @@
 // Flushes and closes every link, then ends the thread.
 WebsocketLinks::~WebsocketLinks()
 {
-    // On a thread of others, which has stopped by now, nothing can be flushed any more.
+    // A thread of the caller has stopped by now, so that nothing can be sent.
     if (!started_ || !ownThread_)
         return;
     boost::asio::post(thread_.context(), [this] {
@@ -206,7 +205,7 @@
 {
     boost::asio::post(thread_.context(), [this, address] {
         const auto found = targets_.find(address);
-        // Without a link there is a pause after an attempt that failed at once.
+        // Without a link a redial is scheduled already.
         if (found == targets_.end() || !found->second.link)
             return;
         Target &target = found->second;
@@ -218,7 +217,7 @@
     });
 }
 
-// Dialled a moment ago: another attempt would come no sooner.
+// Whether the link was dialled recently, so that another attempt would not open sooner.
 bool WebsocketLinks::isConnecting(const LinkPtr &link) const
 {
     return link && !link->isAuthenticated
@@ -250,7 +249,7 @@
     return link;
 }
 
-// The silent link goes once the other one is up, so that messages find one of them at any time.
+// Closes the silent link only once the other one is up, so that there is always one to send on.
 void WebsocketLinks::replaceByRenewal(const LinkPtr &renewal)
 {
     const auto target = targets_.find(renewal->dialled);
@@ -261,10 +260,10 @@
     target->second.renewal = nullptr;
     thread_.timers().cancel(target->second.retry);
     if (silent)
-        abortLink(silent, absl::DeadlineExceededError("silent, and another link is up"));
+        abortLink(silent, absl::DeadlineExceededError("replaced by a new link"));
 }
 
-// Tries again after a pause that doubles up to its bound, shortened at random by up to half.
+// Redials with exponential backoff and jitter.
 void WebsocketLinks::scheduleRedial(const std::string &address, bool refused)
 {
     const auto found = targets_.find(address);
@@ -357,7 +356,7 @@
     replaceByRenewal(link);
 }
 
-// Tells the other end why, and closes.
+// Closes a link with a close code and reason for the other end.
 void WebsocketLinks::refuse(const LinkPtr &link, const absl::Status &why)
 {
     if (!link->refused.ok())
@@ -376,7 +375,7 @@
         abortLink(link, why);
 }
 
-// Ends a link at once, without a word to the other end.
+// Ends a link at once, without a closing handshake.
 void WebsocketLinks::abortLink(const LinkPtr &link, const absl::Status &why)
 {
     if (link->refused.ok())
@@ -390,18 +389,18 @@
 {
     if (links_.erase(link->channel->id) == 0)
         return;
-    // 1. Say why.
+    // 1. Determine the cause.
     const Connection &connection = link->connection;
     absl::Status why = link->refused;
     const auto code = connection->get_remote_close_code();
     const bool refusedByPeer = isRefusal(code);
     if (why.ok() && refusedByPeer)
-        why =
-            absl::PermissionDeniedError("refused there: " + connection->get_remote_close_reason());
+        why = absl::PermissionDeniedError("refused by the peer: "
+                                          + connection->get_remote_close_reason());
     if (why.ok())
         why = absl::UnavailableError(connection->get_ec() ? connection->get_ec().message()
                                                           : "closed by the peer");
-    // 2. No more sending on it.
+    // 2. Stop sending on the link.
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         link->channel->isUp = false;
@@ -413,7 +412,7 @@
         if (flushed_)
             allClosed_.notify_all();
     }
-    // 3. Tell the user, and try again. A cause that stays the same is logged once.
+    // 3. Report and redial. A repeated cause is logged once.
     const auto target = targets_.find(link->dialled);
     const bool isNewCause = target != targets_.end() && target->second.lastCause != why.message();
     if (link->isAuthenticated || isNewCause)
@@ -428,7 +427,7 @@
         target->second.lastCause = std::string(why.message());
         scheduleRedial(link->dialled, refusedByPeer || isPersistent(link->refused));
     }
-    // 4. The handlers hold the link and the link holds the connection.
+    // 4. Break the reference cycle: the connection's handlers hold the link.
     boost::asio::post(thread_.context(), [link] { link->connection = nullptr; });
 }
 
@@ -452,7 +451,7 @@
     const decision::LinkWatch::Step step = link->watch.check();
     if (step == decision::LinkWatch::Step::Close) {
         refusals_.count(silenceCause);
-        return abortLink(link, absl::DeadlineExceededError("nothing heard in time"));
+        return abortLink(link, absl::DeadlineExceededError("nothing received in time"));
     }
     websocketpp::lib::error_code ignored;
     if (step == decision::LinkWatch::Step::Ping)
@@ -490,7 +489,7 @@
     return send(channel, message);
 }
 
-// On the sender's thread, which pays for the encoding.
+// Encodes on the sender's thread.
 absl::Status WebsocketLinks::send(const ChannelPtr &channel, const Message &message)
 {
     if (!channel || !channel->isUp)
@@ -507,7 +506,7 @@
     if (outbox_.tryPush(std::move(outgoing)))
         return absl::OkStatus();
     channel->queuedBytes -= size;
-    return absl::ResourceExhaustedError("the ring to the links' thread is full");
+    return absl::ResourceExhaustedError("the queue of the links' thread is full");
 }
 
 void WebsocketLinks::onOutgoing(Outgoing &&outgoing)
@@ -523,7 +522,7 @@
 void WebsocketLinks::write(const LinkPtr &link, const std::string &bytes)
 {
     link->watch.onMessage();
-    // A link that is about to close takes nothing more; its end is reported anyway.
+    // A closing link accepts nothing; its end is reported separately.
     static_cast<void>(link->connection->send(bytes, websocketpp::frame::opcode::binary));
 }
 
@@ -553,7 +552,7 @@
                                                          PeerEvents &events)
 {
     if (options.peerKey.empty())
-        return absl::InvalidArgumentError("the peers' key is empty");
+        return absl::InvalidArgumentError("the peer key is empty");
     auto links = std::make_unique<WebsocketLinks>(options, events);
     const absl::Status listening = links->listen();
     if (!listening.ok())
--- a/src/inner/websocketlinks.h
+++ b/src/inner/websocketlinks.h
@@ -12,43 +12,43 @@
 
 namespace kelptally::inner {
 
-// What the links of one process must know.
+// Options of the links of a process.
 struct PeerLinkOptions
 {
-    // "ip:port" to listen on; callers of connect() elsewhere use the address of `self`.
+    // "ip:port" to listen on. Peers connect to the address of `self`.
     std::string listenAddress;
     ProcessId self;
     HostName host;
     ZoneName zone;
-    // The key that all our processes share; not empty.
+    // Key shared by all processes; not empty.
     std::string peerKey;
-    // Version in force, for each Hello. Called on the links' thread; may be empty.
+    // Returns the configuration version in force, for each Hello. Called on the links' thread; may
+    // be empty.
     std::function<ConfigVersion()> configVersion;
-    // Protocol versions that are offered; others than the build's own are for tests.
+    // Protocol versions that are offered. Changed by tests only.
     int newestVersion = protocolVersion;
     int oldestVersion = oldestProtocolVersion;
-    // Bytes that may wait to be sent on one link.
+    // Maximum number of unsent bytes of a link.
     std::size_t sendBufferBytes = 16u << 20;
-    // Messages of all links that may wait for the links' thread.
+    // Maximum number of messages queued for the links' thread.
     std::size_t maxQueuedMessages = 1u << 16;
-    // Pause before a failed link is tried again: doubles from the first to the last value, each
-    // shortened at random by up to half.
+    // Exponential backoff of a failed link. Each delay is shortened at random by up to half.
     Duration reconnectMin {std::chrono::milliseconds(50)};
     Duration reconnectMax {std::chrono::seconds(1)};
-    // From the start of the TCP connection to a proven Hello.
+    // Time from the start of the TCP connection to a valid Hello.
     Duration handshakeTimeout {std::chrono::seconds(2)};
-    // A link on which nothing at all is heard for this long is given up.
+    // A link is closed when nothing is received on it for this long.
     Duration silenceTimeout {std::chrono::milliseconds(1800)};
-    // Runs the links when given, so that no message changes threads; it is started and stopped by
-    // its owner and outlives the links. Without it the links start a thread "peers".
+    // Thread for the links, which saves a thread change per message. Started and stopped by the
+    // caller; must outlive the links. If null, the links start a thread "peers".
     DutyThread *thread = nullptr;
-    // Counts links and refusals when given; outlives the links.
+    // Counts links and refusals; may be null, must outlive the links.
     Metrics *metrics = nullptr;
 };
 
-// Links over websocketpp, on the given thread or one of their own ("peers"). The events must
-// outlive the result; the destructor flushes what waits to be sent for up to half a second and then
-// closes. Fails when the address can't be listened on or the key is empty.
+// Creates links over websocketpp. The events must outlive the result. On a thread of their own, the
+// destructor of the links sends queued messages for up to half a second before it closes them.
+// Fails when the address can't be listened on or the key is empty.
 absl::StatusOr<std::unique_ptr<PeerLinks>> makePeerLinks(const PeerLinkOptions &options,
                                                          PeerEvents &events);
 
--- a/src/services/configrows.cpp
+++ b/src/services/configrows.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t maxAuthorLength = 256;
 constexpr std::size_t maxTimeLength = 64;
 constexpr std::size_t maxNewestBytes = 1024;
-// A control character takes six bytes in JSON.
+// A control character takes six bytes in JSON; the rest is for the other fields.
 constexpr std::size_t maxVersionBytes = 6 * settings::maxDocumentBytes + 4096;
 
 absl::Status tooLarge()
--- a/src/services/configrows.h
+++ b/src/services/configrows.h
@@ -8,26 +8,26 @@
 
 namespace kelptally::services {
 
-// Table of the accepted configuration versions: the row "newest", and for each version one with
-// its document and a small one without.
+// Table of the accepted configuration versions: the row "newest", and for each version a row with
+// its document and a history row without.
 constexpr char configTable[] = "config";
 constexpr char newestConfigKey[] = "newest";
-// Object with a copy of the newest version, for starts while the table service is down.
+// Object with a copy of the newest version, for a start while the table service is unavailable.
 constexpr char configSnapshotKey[] = "config-snapshot";
 
-// The row "newest": small, since every process reads it again and again.
+// The row "newest". It is small, as every process polls it.
 struct NewestConfigRow
 {
     ConfigVersion version = 0;
     std::string changeId;
 };
 
-// The row of one version, with and without its document, and the snapshot.
+// The row of one version, its history row (without the document), and the snapshot.
 struct ConfigVersionRow
 {
     ConfigVersion version = 0;
     std::string author;
-    // Drawn by whoever applies, so that a lost answer is recognised by reading back.
+    // Random id of the change. A writer whose answer was lost finds its change by this id.
     std::string changeId;
     // UTC, ISO 8601.
     std::string time;
@@ -37,8 +37,8 @@
 std::string configVersionKey(ConfigVersion version);
 std::string configHistoryKey(ConfigVersion version);
 
-// JSON texts of the rows. InvalidArgument when a text is not such a row, or when a row is over its
-// bounds or not UTF-8.
+// JSON encoding of the rows. InvalidArgument when a text is not such a row, or when a row exceeds
+// its bounds or is not UTF-8.
 absl::StatusOr<std::string> encodeConfigRow(const NewestConfigRow &row);
 absl::StatusOr<std::string> encodeConfigRow(const ConfigVersionRow &row);
 absl::StatusOr<NewestConfigRow> decodeNewestConfigRow(const std::string &text);
--- a/src/services/httpclient.cpp
+++ b/src/services/httpclient.cpp
@@ -25,18 +25,15 @@
 using Tcp = asio::ip::tcp;
 using Error = boost::system::error_code;
 
-// A process has a handful of calls to the platform open at once; a slow one must not hold up the
-// others. Chosen, not measured.
+// More than one, so that a slow call doesn't block the others.
 constexpr std::size_t maxConnections = 4;
 constexpr std::size_t maxQueued = 256;
-// A configuration document of the largest size in JSON, with room for its escapes.
+// Holds the largest configuration document as escaped JSON.
 constexpr std::uint64_t maxResponseBytes = 16u << 20;
 constexpr unsigned httpVersion = 11;
-// A GET on a connection used before is sent again on a new one after this long without an answer:
-// the store's slowest answers that were measured took 400 ms.
+// A GET without an answer for this long on a reused connection is retried on a new one.
 constexpr Duration silenceTimeout = std::chrono::milliseconds(500);
-// A connection whose last answer is older may have gone silent: only a GET, which may be sent
-// twice, uses it. Chosen, not measured: opening a connection costs one round trip.
+// Requests that can't be retried use a connection only if it answered within this time.
 constexpr Duration maxIdleForWrites = std::chrono::seconds(1);
 
 http::verb verbOf(HttpMethod method)
@@ -52,7 +49,7 @@
     return http::verb::get;
 }
 
-// A call that waits for changes sends nothing, so only probes tell that its other end is gone.
+// Detects a dead peer during a long poll, in which nothing is sent.
 void enableKeepAlive(Tcp::socket &socket)
 {
     constexpr int idleSeconds = 1;
@@ -73,14 +70,14 @@
     return std::string(tag);
 }
 
-// One call on its way.
+// A queued or running call.
 struct Job
 {
     HttpRequest request;
     HttpCallback callback;
     TimerId timer = 0;
     TimerId silenceTimer = 0;
-    // Whether any byte may have left this process.
+    // Whether any byte may have been sent.
     bool sent = false;
     bool retried = false;
     bool done = false;
@@ -89,7 +86,7 @@
 
 } // namespace
 
-// The calls waiting and the connections that carry them.
+// Queue of calls and pool of connections.
 class HttpClient::Pool : public std::enable_shared_from_this<Pool>
 {
 public:
@@ -131,7 +128,7 @@
     std::vector<ConnectionPtr> busy_;
 };
 
-// One connection, with one call at a time. After any failure it is closed and never used again.
+// A connection, with one call at a time. It is closed after any failure.
 class HttpClient::Pool::Connection : public std::enable_shared_from_this<Connection>
 {
 public:
@@ -139,13 +136,13 @@
 
     void run(JobPtr job);
     void close();
-    // Whatever still happens on the connection tells nothing of the call.
+    // Later events of the connection no longer affect the call.
     void detachJob() { job_ = nullptr; }
-    // Whether the server still holds the connection open, as far as it has told.
+    // Whether the connection is open and has no unexpected input.
     bool isAlive();
     const JobPtr &job() const { return job_; }
     bool isReused() const { return reused_; }
-    // When it last answered; the beginning of time before that.
+    // Time of the last answer; Instant() before the first one.
     Instant answeredAt() const { return answeredAt_; }
 
 private:
@@ -240,7 +237,7 @@
     const JobPtr job = std::move(job_);
     job_ = nullptr;
     answeredAt_ = pool->timers_.now();
-    // Bytes beyond the answer belong to no call.
+    // A connection with bytes beyond the answer can't be reused.
     if (parser_->keep_alive() && buffer_.size() == 0)
         pool->release(shared_from_this());
     else
@@ -267,7 +264,7 @@
 void HttpClient::Pool::Connection::close()
 {
     Error ignored;
-    // With a call open, what it has not delivered yet must not arrive later.
+    // A reset discards what is not sent yet, so that an aborted request can't arrive later.
     if (job_)
         socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     socket_.close(ignored);
@@ -287,7 +284,8 @@
     job->callback = std::move(callback);
     const std::weak_ptr<Pool> weak = shared_from_this();
     if (queue_.size() >= maxQueued || endpoint_.port() == 0) {
-        const char *why = endpoint_.port() == 0 ? " is no address" : ": too many calls are waiting";
+        const char *why =
+            endpoint_.port() == 0 ? " is not an address" : ": too many calls are waiting";
         asio::post(context_, [weak, job, why] {
             if (const auto pool = weak.lock())
                 pool->finish(job, absl::UnavailableError(pool->address_ + why));
@@ -322,7 +320,7 @@
     const bool isRetryable = job.request.method == HttpMethod::Get;
     while (!idle_.empty()) {
         const ConnectionPtr connection = idle_.back();
-        // The last one answered most recently.
+        // The last idle connection is the one that answered most recently.
         if (!isRetryable && timers_.now() - connection->answeredAt() > maxIdleForWrites)
             break;
         idle_.pop_back();
@@ -365,7 +363,7 @@
     retry(job);
 }
 
-// Closes the connection that the call is on.
+// Closes the call's connection.
 void HttpClient::Pool::closeConnectionOf(const JobPtr &job)
 {
     for (const auto &connection : std::vector<ConnectionPtr>(busy_)) {
@@ -389,7 +387,7 @@
 void HttpClient::Pool::retry(const JobPtr &job)
 {
     job->retried = true;
-    // The other idle connections are likely to be as stale.
+    // The other idle connections are likely to be dead too.
     idle_.clear();
     queue_.push_front(job);
     dispatch();
@@ -420,7 +418,7 @@
     }
     busy_.clear();
     idle_.clear();
-    const std::string text = address_ + ": given up, as other calls are answered";
+    const std::string text = address_ + ": aborted because open connections are silent";
     for (const JobPtr &job : jobs)
         finish(job, job->sent ? absl::DeadlineExceededError(text) : absl::UnavailableError(text));
     dispatch();
--- a/src/services/httpclient.h
+++ b/src/services/httpclient.h
@@ -18,10 +18,10 @@
     Post,
 };
 
-// The condition of a conditional request (RFC 9110, section 13).
+// Condition of a conditional request (RFC 9110, section 13).
 enum class HttpCondition {
     None,
-    // If-Match with the request's tag.
+    // If-Match with the request's entity tag.
     Matches,
     // If-None-Match: *
     Absent,
@@ -40,48 +40,48 @@
     std::string target;
     std::string body;
     HttpCondition condition = HttpCondition::None;
-    // Without its quotes.
+    // Without quotes.
     std::string etag;
-    // Header fields besides the usual ones.
+    // Additional header fields.
     std::vector<HttpField> fields;
-    // How long the server may hold the answer back, as in a question for changes.
+    // Time by which the server may delay its answer (long polling).
     Duration longPollTime {0};
 };
 
 struct HttpResponse
 {
     int status = 0;
-    // Without its quotes; empty when there is none.
+    // Without quotes; empty when there is none.
     std::string etag;
     std::string body;
 };
 
 using HttpCallback = std::function<void(absl::StatusOr<HttpResponse>)>;
 
-// A client of one HTTP/1.1 server over a few keep-alive connections. Used on the duty thread only;
-// callbacks come there too, each exactly once and never from within send(). A destroyed client
-// forgets the calls that are open. The duty thread outlives it.
+// Client of one HTTP/1.1 server with a small pool of keep-alive connections. Used on the duty
+// thread only, which must outlive it. Callbacks are called there, each exactly once and never from
+// within send(). Destroying the client drops open calls without a callback.
 //
-// Errors: Unavailable when nothing of the request left this process; DeadlineExceeded when it was
-// sent and no answer came in time; Unknown when the connection broke after it was sent. A GET that
-// breaks or stays unanswered on a connection used before is sent once more, anything else never. A
-// call that is given up resets its connection, so that a request still on its way cannot arrive
-// later. Open connections may have gone silent without a reset: anything but a GET goes out on a
-// connection that was opened or answered a moment ago.
+// Errors: Unavailable when nothing of the request was sent; DeadlineExceeded when it was sent and
+// no answer arrived in time; Unknown when the connection broke after it was sent. A GET that fails
+// or gets no answer on a reused connection is retried once on a new one; other requests are never
+// retried. An aborted call resets its connection, so that its request can't arrive later. As idle
+// connections may be dead without a reset, other requests than GET use a new connection or one that
+// answered recently.
 class HttpClient
 {
 public:
-    // The address is "ip:port". The timeout counts from send() to the whole answer.
+    // The address is "ip:port". The timeout covers a call from send() to the complete answer.
     HttpClient(DutyThread &thread, const std::string &address, Duration timeout);
     ~HttpClient();
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
     void send(HttpRequest request, HttpCallback callback);
-    // The same with another timeout.
+    // As above, with a timeout of its own.
     void send(HttpRequest request, Duration timeout, HttpCallback callback);
-    // Ends all calls that are on a connection as DeadlineExceeded, and closes every connection:
-    // what is open may never be answered, while new connections work.
+    // Ends all calls on a connection with DeadlineExceeded and closes every connection. For a
+    // server whose open connections are silent while new ones work.
     void abortOpenCalls();
 
 private:
@@ -89,7 +89,7 @@
     std::shared_ptr<Pool> pool_;
 };
 
-// Percent-encodes one segment of a path or one value of a query (RFC 3986).
+// Percent-encodes a path segment or a query value (RFC 3986).
 std::string percentEncoded(const std::string &text);
 
 } // namespace kelptally::services
--- a/src/services/httpservices.cpp
+++ b/src/services/httpservices.cpp
@@ -15,7 +15,7 @@
 constexpr int statusPreconditionFailed = 412;
 constexpr int statusServerError = 500;
 
-// Bounds of what an answer may hold; the client bounds the whole of it.
+// Bounds of the parts of an answer. The client bounds its total size.
 constexpr std::size_t maxResponseBytes = 16u << 20;
 constexpr std::size_t maxKeyBytes = 1024;
 constexpr std::size_t maxListed = 100'000;
@@ -25,7 +25,7 @@
     return "the service answered " + std::to_string(response.status);
 }
 
-// What an answer to a read means: no error, NotFound, or why there is no result.
+// Converts the answer to a read: OK, NotFound or the error.
 absl::Status readStatus(const absl::StatusOr<HttpResponse> &response)
 {
     if (!response.ok())
@@ -39,7 +39,7 @@
     return absl::InvalidArgumentError(statusText(*response));
 }
 
-// Wraps a callback of results: an error goes straight to it, anything else through the parser.
+// Wraps the callback of a read: passes errors on and parses other answers.
 template <typename T, typename Parse>
 HttpCallback onRead(std::function<void(absl::StatusOr<T>)> callback, Parse parse)
 {
@@ -52,7 +52,7 @@
     };
 }
 
-// As onRead(), for one row: a missing one is no error.
+// As onRead(), for one row: a missing row is not an error.
 template <typename Parse>
 HttpCallback onRowRead(RowCallback callback, Parse parse)
 {
@@ -66,7 +66,8 @@
         parse);
 }
 
-// What an answer to a write means. A server error may come after the effect, so it tells nothing.
+// Converts the answer to a write. A server error may come after the effect, so that the outcome is
+// unknown.
 absl::Status writeStatus(const absl::StatusOr<HttpResponse> &response)
 {
     if (!response.ok())
@@ -82,7 +83,7 @@
 
 absl::Status malformedAnswer()
 {
-    return absl::InternalError("the service's answer cannot be read");
+    return absl::InternalError("malformed answer from the service");
 }
 
 Json parsed(const HttpResponse &response)
@@ -125,7 +126,7 @@
     return rows;
 }
 
-// Wraps the callback of a write in the same way as onRead().
+// As onRead(), for a write.
 template <typename Parse>
 HttpCallback onWritten(WriteCallback callback, Parse parse)
 {
@@ -138,7 +139,7 @@
     };
 }
 
-// The new tags of a transaction. An answer that cannot be read leaves the outcome unknown.
+// Parses the new tags of a transaction. A malformed answer leaves the outcome unknown.
 absl::StatusOr<std::vector<std::string>> parseTags(const HttpResponse &response, std::size_t count)
 {
     const Json json = parsed(response);
@@ -148,14 +149,14 @@
         if (item.is_string())
             tags.push_back(item.get<std::string>());
     if (!object.valid() || tags.size() != count)
-        return absl::UnknownError("the service's answer cannot be read");
+        return absl::UnknownError("malformed answer from the service");
     return tags;
 }
 
 absl::StatusOr<std::vector<std::string>> parseTag(const HttpResponse &response)
 {
     if (response.etag.empty())
-        return absl::UnknownError("the service's answer has no tag");
+        return absl::UnknownError("the service's answer has no entity tag");
     return std::vector<std::string> {response.etag};
 }
 
@@ -178,7 +179,7 @@
     return hosts;
 }
 
-// JSON is UTF-8; nothing else can be sent.
+// InvalidArgument for text that is not UTF-8.
 absl::StatusOr<std::string> serialized(const Json &json)
 {
     try {
--- a/src/services/httpservices.h
+++ b/src/services/httpservices.h
@@ -6,9 +6,9 @@
 #include <memory>
 #include <string>
 
-// The platform's services over HTTP/1.1 with JSON, as docs/STANDIN.md publishes the protocol. Each
-// is made, used and destroyed on the given duty thread, or while that does not run. The address is
-// "ip:port"; the timeout bounds each call as a whole.
+// The platform's services over HTTP/1.1 with JSON (protocol: docs/STANDIN.md). Each is created,
+// used and destroyed on the given duty thread, or while that thread is not running. The address is
+// "ip:port"; the timeout covers a whole call.
 namespace kelptally::services {
 
 std::unique_ptr<TableService> makeTableService(DutyThread &thread, const std::string &address,
--- a/src/services/jsonobject.h
+++ b/src/services/jsonobject.h
@@ -8,14 +8,14 @@
 
 namespace kelptally::services {
 
-// Reads the members of one JSON object with their types and bounds. The first one that is missing,
-// of another type or too large makes the whole invalid; what is given for it then is empty.
+// Reads the members of a JSON object and checks their types and bounds. A member that is missing,
+// of another type or too large makes the object invalid and reads as an empty value.
 class JsonObject
 {
 public:
     explicit JsonObject(const nlohmann::json &json) : json_(json), valid_(json.is_object()) { }
 
-    // Valid as long as every member that was asked for could be read.
+    // Whether all members read so far were valid.
     bool valid() const { return valid_; }
 
     std::string text(const char *name, std::size_t maxLength)
@@ -42,7 +42,7 @@
         return JsonObject(value ? *value : none);
     }
 
-    // An array of at most so many values.
+    // Returns an array of at most maxSize values.
     const nlohmann::json &array(const char *name, std::size_t maxSize)
     {
         static const nlohmann::json none = nlohmann::json::array();
@@ -73,7 +73,7 @@
     bool valid_;
 };
 
-// The JSON of a text within the bound; a discarded value for anything else.
+// Parses JSON; returns a discarded value for a text that is malformed or too long.
 inline nlohmann::json parseJson(const std::string &text, std::size_t maxLength)
 {
     if (text.size() > maxLength)
--- a/src/services/ownershiprow.h
+++ b/src/services/ownershiprow.h
@@ -11,14 +11,14 @@
 // Table of the ownership rows; a row's key is its group's name.
 constexpr char ownershipTable[] = "ownership";
 
-// Largest ownership row that is accepted, in bytes.
+// Maximum size of an ownership row in bytes.
 constexpr std::size_t maxOwnershipRowBytes = 4096;
 
-// An ownership row as the JSON text that the table service keeps.
+// Encodes an ownership row as the JSON text stored in the table service.
 std::string encodeOwnershipRow(const decision::OwnershipRow &row);
 
-// The row of such a text; InvalidArgument for anything else. Unknown members are left alone, so
-// that a newer build may add some.
+// Decodes an ownership row; InvalidArgument for any other text. Unknown members are ignored, so
+// that newer versions can add some.
 absl::StatusOr<decision::OwnershipRow> decodeOwnershipRow(const std::string &text);
 
 } // namespace kelptally::services
--- a/src/services/storecircuitbreaker.cpp
+++ b/src/services/storecircuitbreaker.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-// A process has a handful of readers, and a read for each group that it looks for an owner of.
+// Maximum number of queued calls.
 constexpr std::size_t maxWaiting = 1024;
-// After a loss this long, questions that are still open were asked before it, and are asked again.
+// After an outage of at least this long, calls still in flight are aborted and sent again: they may
+// never be answered.
 constexpr Duration minOutageToAbortCalls = std::chrono::seconds(1);
 
-// The service has answered, and what it said is for the caller.
+// Whether the service has answered the call, be it with an error that the caller has to handle.
 bool isAnswer(const absl::Status &status)
 {
     return status.ok() || absl::IsOutOfRange(status) || absl::IsFailedPrecondition(status)
@@ -57,7 +58,8 @@
 void StoreCircuitBreaker::launchOrWait(const CallPtr &call)
 {
     const bool silent = health_.state() == decision::StoreState::Silent;
-    // A write that is refused at once tells its caller so: another host may do what this one can't.
+    // A write is sent also while the service refuses calls, so that its caller learns of the
+    // refusal and another host can take over.
     const bool isFirst = waiting_.empty() || call->requestedLongPollTime > Duration(0);
     if ((isAnswering() && isFirst && mayLaunch(*call))
         || (!call->isRetryable && (isAnswering() || !silent)))
@@ -65,7 +67,7 @@
     wait(call);
 }
 
-// A question for changes stays open for as long as nothing happens, and so is not counted.
+// Requests for changes are long polls and don't count towards the limit.
 bool StoreCircuitBreaker::mayLaunch(const Call &call) const
 {
     return call.requestedLongPollTime > Duration(0) || openReads_ < health_.maxOpenCalls();
@@ -85,7 +87,7 @@
     call->sentAt = parts_.timers.now();
     ++call->attempts;
     releaseSlot(*call);
-    // A write goes out in any case, and one that hangs must not hold up reads.
+    // Writes are not counted, so that one that hangs doesn't block reads.
     call->holdsSlot = longPollTime == Duration(0) && call->isRetryable;
     if (call->holdsSlot)
         ++openReads_;
@@ -108,7 +110,7 @@
     const bool full = waiting_.size() >= maxWaiting;
     if (full || parts_.timers.now() >= call->deadline) {
         call->done = true;
-        call->fail(absl::UnavailableError(full ? "too many calls wait for the table service"
+        call->fail(absl::UnavailableError(full ? "too many calls are waiting for the table service"
                                                : "the table service does not answer"));
         return;
     }
@@ -129,18 +131,19 @@
 bool StoreCircuitBreaker::onResult(const CallPtr &call, int attemptNumber,
                                    const absl::Status &status)
 {
-    // An earlier sending may be answered while the call waits or is sent again.
+    // An earlier attempt may be answered while the call is queued or sent again.
     const Duration latency =
         std::max(Duration(0), parts_.timers.now() - call->sentAt - call->longPollTime);
     if (attemptNumber == call->attempts)
         releaseSlot(*call);
-    // What was sent before a refusal tells nothing of the limit that was met since.
+    // The answer to a call sent before a refusal does not show that the service accepts calls
+    // again.
     const bool isCurrent =
         health_.state() != decision::StoreState::Refusing || call->sentAt >= refusedAt_;
     if (isAnswer(status) && isCurrent)
         onAnswered(latency);
-    // That an earlier one is given up tells nothing: a call that had hung since the silence would
-    // make the service count as lost again a moment after its return.
+    // The failure of an earlier attempt is ignored: it may have hung since the outage, and would
+    // open the breaker again right after the recovery.
     const bool isStale = !isAnswer(status) && attemptNumber != call->attempts;
     if (call->done || isStale)
         return false;
@@ -151,8 +154,8 @@
         parts_.timers.cancel(call->timeoutTimer);
         parts_.timers.cancel(call->deadlineTimer);
     }
-    // A call whose time is over is failed by wait(), which tells the caller: told once more,
-    // whoever reads again after a failure would have two readers in place of one, and then four.
+    // wait() fails a call past its deadline and calls back itself. A second callback would multiply
+    // the reads of callers that retry after a failure.
     const bool reportsResult = call->done;
     if (!isAnswer(status)) {
         recordFailure(*call, status, latency);
@@ -162,7 +165,7 @@
     return reportsResult;
 }
 
-// A refusal comes at once; what fails late was not answered, or no connection could be opened.
+// Refusals arrive quickly; a late failure means that there was no answer or no connection.
 void StoreCircuitBreaker::recordFailure(const Call &call, const absl::Status &status,
                                         Duration latency)
 {
@@ -178,7 +181,7 @@
     onLost(call, health_.onRefusal(now));
 }
 
-// Their callers are not told of reads: those wait, and are sent again.
+// Ends the calls in flight. Reads are queued again without a callback.
 void StoreCircuitBreaker::abortOpenCalls()
 {
     isAbortingOpenCalls_ = true;
@@ -186,7 +189,7 @@
     isAbortingOpenCalls_ = false;
 }
 
-// The answer of this sending may still come, and counts then; a read is sent again meanwhile.
+// A read is queued again. A late answer to the attempt that timed out still counts.
 void StoreCircuitBreaker::onCallTimeout(const CallPtr &call)
 {
     if (call->done || call->waiting)
@@ -219,7 +222,7 @@
 {
     const Instant lostAt = health_.unavailableSince();
     if (!health_.onAnswer(latency)) {
-        // Not from within an answer: whoever gets it comes first.
+        // Deferred, so that the caller of the answered call is called back first.
         if (!waiting_.empty() && !launchScheduled_) {
             launchScheduled_ = true;
             parts_.timers.subscribeAt(parts_.timers.now(), [this, alive = alive_] {
@@ -232,7 +235,6 @@
         return;
     }
     const Duration outage = parts_.timers.now() - lostAt;
-    // What is asked from now on is answered.
     if (outage >= minOutageToAbortCalls)
         abortOpenCalls();
     trial_ = nullptr;
@@ -240,7 +242,7 @@
     parts_.log.info("store_back")
         .with("lost_ms", outage)
         .with("waiting", std::uint64_t(waiting_.size()));
-    // Not from within an answer: whoever gets it comes first.
+    // Deferred, so that the caller of the answered call is called back first.
     parts_.timers.subscribeAt(parts_.timers.now(), [this, alive = alive_, outage] {
         if (*alive && isAnswering())
             finishRecovery(outage);
@@ -297,8 +299,8 @@
     parts_.probe([this, alive = alive_](bool reached) {
         if (!*alive || !reached || health_.state() != decision::StoreState::Silent)
             return;
-        // The way is open again, and none of the open connections has said anything: they may
-        // never. Once: the answers of a slow service come late.
+        // New connections work while open ones are silent, and may stay so. Aborts their calls only
+        // once an outage, as a slow service may still answer later ones.
         if (!hasAbortedOpenCalls_)
             abortOpenCalls();
         hasAbortedOpenCalls_ = true;
@@ -306,16 +308,15 @@
     });
 }
 
-// One call finds out for all. A question for changes asks to be answered at once.
+// Sends one queued call to find out whether the service has recovered, without long polling.
 void StoreCircuitBreaker::launchTrial()
 {
     if (isAnswering())
         return;
     const auto found = std::find_if(waiting_.begin(), waiting_.end(),
                                     [](const CallPtr &call) { return call->isRetryable; });
-    // Nothing waits that could be sent twice. Whatever is asked next finds out more, and goes out
-    // at once: the writes that a silent service keeps waiting, or the first read of a host that was
-    // turned away, one at a time.
+    // No retryable call is queued. Closes the breaker, so that the queued writes or the next call
+    // take the part of the trial.
     if (found == waiting_.end())
         return onAnswered(Duration(0));
     trial_ = *found;
@@ -352,8 +353,8 @@
         std::move(callback), Duration(0), parts_.timeout, false);
 }
 
-// One table after the other and page by page, each with a call's time of its own: when all hosts
-// start at once the bytes of a whole table take longer than a service may be silent.
+// Reads one table after the other and page by page, each page with its own timeout: when many hosts
+// start together a whole table takes longer than the timeout of a call.
 void StoreCircuitBreaker::snapshot(const std::string &table, SnapshotCallback callback)
 {
     snapshotReads_.push_back({table, {}, std::move(callback)});
--- a/src/services/storecircuitbreaker.h
+++ b/src/services/storecircuitbreaker.h
@@ -13,14 +13,13 @@
 
 namespace kelptally::services {
 
-// The table service as one process sees it: all calls go through here, and what one of them learns
-// counts for all. While the service is lost, reads and questions for changes wait here instead of
-// being sent; one attempt at a time looks for its return, and with the first answer everything that
-// waits is sent at once on new connections, or, where the service had refused, as fast as answers
-// come.
+// Circuit breaker in front of the table service, shared by all calls of one process. While the
+// service is unavailable, reads and requests for changes are queued here. One trial call at a time
+// checks whether the service has recovered. With its answer the queued calls are sent: all at once
+// on new connections, or, after a refusal, at the rate at which answers arrive.
 //
-// Writes are never sent twice. One that is open when the service comes back ends with an outcome
-// that is not known, and its caller settles it by reading back.
+// Writes are never sent twice. A write that is in flight when the service recovers ends with an
+// unknown outcome, and its caller must read back.
 class StoreCircuitBreaker : public TableService, public TableFeed
 {
 public:
@@ -31,13 +30,13 @@
         TableFeed &feed;
         EventLog &log;
         Metrics &metrics;
-        // Longest that a read or a write waits here before it is sent.
+        // Maximum time for which a read or a write is queued before it is sent.
         Duration timeout;
-        // Opens a connection to the service and closes it; true when that worked.
+        // Opens and closes a connection to the service; passes whether that succeeded.
         std::function<void(std::function<void(bool)>)> probe;
-        // Ends all calls that are open at the service below and closes its connections.
+        // Ends all calls in flight at the table service and closes its connections.
         std::function<void()> abortOpenCalls;
-        // Between 0 and 1, another one each time and for each host.
+        // Returns a random number from 0 to 1.
         std::function<double()> jitter;
     };
 
@@ -51,35 +50,35 @@
     void changes(const std::string &table, std::uint64_t after, Duration wait,
                  ChangesCallback callback) override;
 
-    // As far as is known: calls that are made now are sent.
+    // Whether the service answers, so that calls are sent at once.
     bool isAnswering() const { return health_.state() == decision::StoreState::Answering; }
-    // Calls wait, and none of those that are open is likely to be answered.
+    // Whether the service is unresponsive: calls are queued, and those in flight are likely to time
+    // out.
     bool isSilent() const { return health_.state() == decision::StoreState::Silent; }
-    // Called each time that the service is back, with how long it was lost.
+    // Adds a callback for each recovery of the service; it gets the length of the outage.
     void onRecovery(std::function<void(Duration)> callback)
     {
         recoveryCallbacks_.push_back(std::move(callback));
     }
 
 private:
-    // One call of a caller, over all the times that it is sent.
+    // A caller's call with all its attempts.
     struct Call
     {
-        // With the time for which the service may hold the answer back.
+        // Sends the call. The service may delay its answer by the long poll time.
         std::function<void(const std::shared_ptr<Call> &, Duration longPollTime)> send;
         std::function<void(const absl::Status &)> fail;
-        // As asked for, and in the sending that is under way.
+        // The caller's, and that of the current attempt.
         Duration requestedLongPollTime {0};
         Duration longPollTime {0};
-        // No later than then it is sent, or fails; the end of time for questions for changes.
+        // The call fails if it was not sent by then; Instant::max() for requests for changes.
         Instant deadline = Instant::max();
         bool isRetryable = true;
         bool done = false;
         bool waiting = false;
-        // Among those that are open.
+        // Whether it counts in openReads_.
         bool holdsSlot = false;
         Instant sentAt {};
-        // Counts the times that it was sent.
         int attempts = 0;
         TimerId timeoutTimer = 0;
         TimerId deadlineTimer = 0;
@@ -92,14 +91,14 @@
     void launchOrWait(const CallPtr &call);
     void launch(const CallPtr &call, Duration longPollTime);
     void wait(const CallPtr &call);
-    // True when the result goes to the caller.
+    // Returns whether the result goes to the caller.
     bool onResult(const CallPtr &call, int attemptNumber, const absl::Status &status);
     void readPage();
     void onPage(absl::StatusOr<TablePage> page);
     void onCallTimeout(const CallPtr &call);
     void onAnswered(Duration latency);
     void recordFailure(const Call &call, const absl::Status &status, Duration latency);
-    // With the call that showed it.
+    // Reports a lost service, with the call that revealed it, if the state has changed.
     void onLost(const Call &call, bool changed);
     void abortOpenCalls();
     void scheduleRecoveryAttempt();
@@ -107,14 +106,14 @@
     void launchTrial();
     void finishRecovery(Duration outage);
     bool mayLaunch(const Call &call) const;
-    // Of those that wait, as many as may be open.
+    // Sends queued calls, up to the limit of calls in flight.
     void launchWaiting();
-    // The call's sending is over.
+    // Takes the call out of openReads_.
     void releaseSlot(Call &call);
 
     const Parts parts_;
     decision::StoreHealth health_;
-    // Tables that are read whole, the first one page by page.
+    // Snapshots that were asked for. The first is being read, page by page.
     struct SnapshotRead
     {
         std::string table;
@@ -123,18 +122,18 @@
     };
     std::deque<SnapshotRead> snapshotReads_;
     std::deque<CallPtr> waiting_;
-    // Reads that are sent and not answered, questions for changes aside.
+    // Reads in flight, requests for changes excluded.
     std::size_t openReads_ = 0;
-    // When the service refused a call last.
+    // Time of the service's last refusal.
     Instant refusedAt_ {};
     std::vector<std::function<void(Duration)>> recoveryCallbacks_;
     bool recoveryAttemptScheduled_ = false;
     bool launchScheduled_ = false;
-    // The call that looks for the service's return; it may long be over.
+    // The last trial call; it may have ended.
     CallPtr trial_;
-    // In this loss the calls that were open have been given up.
+    // Whether the calls in flight were aborted during the current outage.
     bool hasAbortedOpenCalls_ = false;
-    // Open calls fail because they are given up, which tells nothing of the service.
+    // Set while calls are aborted here, whose failures are no sign of the service's state.
     bool isAbortingOpenCalls_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/services/tablefollower.cpp
+++ b/src/services/tablefollower.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Pause after a call that failed: a service that refuses is not asked all the time.
+// Delay after a failed call.
 constexpr Duration retryDelay = std::chrono::milliseconds(250);
 
 } // namespace
@@ -94,23 +94,22 @@
             changes->changes.empty() ? Duration(0) : pace_.pauseAfterChanges(parts_.timers.now()));
     }
     if (absl::IsOutOfRange(changes.status())) {
-        parts_.log.info("history_gone").with("table", table_);
+        parts_.log.info("table_history_expired").with("table", table_);
         return readSnapshot();
     }
     updateReachability(changes.status());
     requestChangesAfter(retryDelay);
 }
 
-// Snapshots and changes overtake each other: a version below the known one is old news.
-// News may have been long under way: the question or its answer may be held up, or come after
-// several that were lost. Whatever an answer tells has happened since the one before.
+// Returns the earliest time, by this host's clock, at which the changes of an answer may have been
+// made: the service's time of the answer before. No value when that is not known.
 std::optional<Instant> TableFollower::updateServiceClock(std::optional<Duration> serviceTime)
 {
     if (!serviceTime)
         return std::nullopt;
     const Duration now = parts_.timers.now().time_since_epoch();
     const std::optional<Duration> before = lastServiceTime_;
-    // The service's clock went back: it is another one.
+    // A clock that went back means that the service was restarted or replaced.
     const bool known = before && *before <= *serviceTime;
     clockOffset_ = known ? std::min(clockOffset_, now - *serviceTime) : now - *serviceTime;
     lastServiceTime_ = serviceTime;
@@ -119,6 +118,7 @@
     return Instant(*before + clockOffset_);
 }
 
+// Snapshots and changes may overtake each other: ignores a version older than the known one.
 void TableFollower::apply(const TableRow &changed, std::optional<Instant> changedAfter)
 {
     TableRow row = changed;
--- a/src/services/tablefollower.h
+++ b/src/services/tablefollower.h
@@ -12,8 +12,8 @@
 
 namespace kelptally::services {
 
-// Keeps up with one table: a snapshot, then its changes, and a snapshot again when the history is
-// gone.
+// Follows one table: reads a snapshot and then its changes, and a new snapshot when the service no
+// longer has the changes that follow.
 class TableFollower
 {
 public:
@@ -26,22 +26,22 @@
 
     struct Handlers
     {
-        // A row that is new or has changed.
+        // Called for each row that is new or has changed.
         std::function<void(const TableRow &)> onRow;
         std::function<void(const std::string &key)> onRemoved;
-        // After each snapshot.
+        // Called after each snapshot.
         std::function<void()> onSnapshotRead;
     };
 
-    // The wait is the longest that one question for changes stays open: each costs a call, and an
-    // answer that is lost on its way is noticed no sooner.
+    // The long poll time bounds each request for changes. A longer one saves calls, but delays the
+    // detection of a lost answer.
     TableFollower(const Parts &parts, std::string table, Duration longPollTime, Handlers handlers);
     ~TableFollower();
 
     void start();
-    // Whether the whole table has been read once.
+    // Whether the whole table has been read at least once.
     bool hasSnapshot() const { return hasSnapshot_; }
-    // All changes up to this version are known.
+    // Version up to which all changes are known.
     std::uint64_t position() const { return position_; }
 
 private:
@@ -59,12 +59,12 @@
     const std::string table_;
     const Duration longPollTime_;
     const Handlers handlers_;
-    // Version of each row as last seen.
+    // Last known version of each row.
     std::map<std::string, std::string> versions_;
     std::uint64_t position_ = 0;
     // The service's clock at its last answer.
     std::optional<Duration> lastServiceTime_;
-    // This host's clock less the service's, at the fastest answer so far.
+    // This host's clock less the service's: the minimum of all answers.
     Duration clockOffset_ {0};
     decision::FeedPace pace_;
     bool hasSnapshot_ = false;
--- a/src/services/tableservice.h
+++ b/src/services/tableservice.h
@@ -10,23 +10,23 @@
 #include <string>
 #include <vector>
 
-// The ports to the platform: table service, object store and host list.
+// The interfaces of the platform: table service, object store and host list.
 namespace kelptally::services {
 
-// A row with the tag that conditional writes name.
+// A row and the entity tag for conditional writes to it.
 struct TableRow
 {
     std::string key;
     std::string value;
     std::string etag;
-    // The service's own steady clock when it answered, where it tells it.
+    // The service's steady clock at the time of its answer, if it sends it.
     std::optional<Duration> serviceTime = std::nullopt;
-    // In news of a followed table: the earliest time, by this host's clock, at which the row may
-    // have changed. Nothing when it may have been at any time.
+    // Set by TableFollower: the earliest time, by this host's clock, at which the row may have
+    // changed. No value when that is not known.
     std::optional<Instant> changedAfter = std::nullopt;
 };
 
-// One conditional write. Without an expected tag the row must not exist yet.
+// A conditional write. Without an expected tag the row must not exist yet.
 struct ConditionalWrite
 {
     std::string table;
@@ -39,8 +39,8 @@
 using RowsCallback = std::function<void(absl::StatusOr<std::vector<TableRow>>)>;
 using WriteCallback = std::function<void(absl::StatusOr<std::vector<std::string>>)>;
 
-// The platform's transactional table service. Callbacks come exactly once, on the thread that made
-// the call.
+// The platform's transactional table service. Each callback is called exactly once, on the thread
+// that made the call.
 class TableService
 {
 public:
@@ -50,41 +50,42 @@
     virtual void list(const std::string &table, const std::string &prefix,
                       RowsCallback callback) = 0;
 
-    // All writes or none. Gives the new tags; FailedPrecondition when a condition does not hold
-    // (nothing was written); Unavailable when the request never left this process; DeadlineExceeded
-    // or Unknown when the outcome is not known: read back and look for your change id.
+    // Writes all rows or none, and passes their new tags. FailedPrecondition when a condition does
+    // not hold (nothing was written); Unavailable when the request was not sent; DeadlineExceeded
+    // or Unknown when the outcome is unknown: the caller has to read the rows back and compare
+    // change ids.
     virtual void write(std::vector<ConditionalWrite> writes, WriteCallback callback) = 0;
 };
 
-// A row that changed, or that is gone.
+// A row that was written or removed.
 struct RowChange
 {
     TableRow row;
     bool removed = false;
 };
 
-// Changes of one table after a place in its history.
+// Changes of one table after a given version.
 struct TableChanges
 {
     std::vector<RowChange> changes;
-    // Where the next call goes on.
+    // Version from which the next call continues.
     std::uint64_t next = 0;
     // As in TableRow.
     std::optional<Duration> serviceTime = std::nullopt;
 };
 
-// Some rows of a table, in the order of their keys.
+// Some rows of a table, ordered by key.
 struct TablePage
 {
     std::vector<TableRow> rows;
-    // Of the table when the page was read.
+    // Version of the table when the page was read.
     std::uint64_t version = 0;
     // As in TableRow.
     std::optional<Duration> serviceTime = std::nullopt;
     bool isLast = true;
 };
 
-// All rows of one table as of one moment, and where its changes go on from there.
+// All rows of one table, and the version from which its changes continue.
 struct TableSnapshot
 {
     std::vector<TableRow> rows;
@@ -92,9 +93,9 @@
     // As in TableRow.
     std::optional<Duration> serviceTime = std::nullopt;
 
-    // Pages are read one after the other: changes count from the first one.
+    // Appends a page. The first one sets the version, as rows may change while pages are read.
     void add(TablePage page);
-    // The smallest key above the last one.
+    // Key at which the next page starts.
     std::string nextKey() const { return rows.empty() ? std::string() : rows.back().key + '\x01'; }
 };
 
@@ -102,18 +103,18 @@
 using ChangesCallback = std::function<void(absl::StatusOr<TableChanges>)>;
 using SnapshotCallback = std::function<void(absl::StatusOr<TableSnapshot>)>;
 
-// The changes of a table service, where it tells them. Callbacks as for TableService.
+// The change feed of a table service. Callbacks as for TableService.
 class TableFeed
 {
 public:
     virtual ~TableFeed() = default;
 
     virtual void snapshot(const std::string &table, SnapshotCallback callback) = 0;
-    // The rows from this key on, as many as the service gives in one answer. One that knows no
-    // pages gives all.
+    // Passes the rows from the key on, as many as the service sends in one answer. The default
+    // implementation passes all rows.
     virtual void page(const std::string &table, const std::string &from, PageCallback callback);
-    // Answers with the first change, or without any after the wait. OutOfRange: the history after
-    // this place is gone, take a snapshot.
+    // Answers with the next changes, or with none after the wait. OutOfRange when the service no
+    // longer has the changes after this version: the caller has to take a snapshot.
     virtual void changes(const std::string &table, std::uint64_t after, Duration wait,
                          ChangesCallback callback) = 0;
 };
@@ -125,7 +126,7 @@
     virtual ~ObjectStore() = default;
 
     virtual void get(const std::string &key, RowCallback callback) = 0;
-    // Writes under the same conditions as TableService::write; the table's name is not used.
+    // Writes under the same conditions as TableService::write(). The table's name is ignored.
     virtual void put(ConditionalWrite object, WriteCallback callback) = 0;
 };
 
@@ -137,7 +138,7 @@
 struct ListedHost
 {
     std::string name;
-    // IP of the host.
+    // IP address.
     std::string address;
     std::string zone;
     HostState state = HostState::Live;
@@ -145,7 +146,8 @@
 
 using HostsCallback = std::function<void(absl::StatusOr<std::vector<ListedHost>>)>;
 
-// The platform's list of hosts. It lags: a new host may be missing and a dead one still listed.
+// The platform's list of hosts. It may be stale: a new host may be missing and a dead one still
+// listed.
 class HostList
 {
 public:
--- a/src/services/textdifference.cpp
+++ b/src/services/textdifference.cpp
@@ -8,13 +8,13 @@
 #include <unordered_map>
 #include <vector>
 
-// A difference is "SIZE HASH " of the later text, then steps: "cOFFSET,LENGTH;" copies from the
-// earlier text, "tLENGTH:BYTES" is new.
+// Format: "SIZE HASH " of the later text, then steps: "cOFFSET,LENGTH;" copies bytes of the earlier
+// text, "tLENGTH:BYTES" inserts new bytes.
 namespace kelptally::services {
 
 namespace {
 
-// Far above any document that a table holds.
+// Bounds the memory that a malformed difference can claim.
 constexpr std::size_t maxTextBytes = 64u << 20;
 
 std::uint64_t hashOf(absl::string_view text)
@@ -25,7 +25,7 @@
     return hash;
 }
 
-// Cuts behind the separators of lists and objects, so that pieces of two versions are alike.
+// Splits after the separators of lists and objects, so that unchanged values give equal pieces.
 std::vector<absl::string_view> piecesOf(absl::string_view text)
 {
     std::vector<absl::string_view> pieces;
@@ -92,7 +92,7 @@
     std::string literal_;
 };
 
-// Takes digits and the mark behind them.
+// Consumes a number and the separator after it.
 bool takeNumber(absl::string_view &rest, char separator, std::size_t &number)
 {
     const std::size_t end = rest.find(separator);
@@ -102,7 +102,7 @@
     return true;
 }
 
-// False when the step is malformed.
+// Applies one step; returns false when it is malformed.
 bool applyStep(absl::string_view before, absl::string_view &rest, std::string &after)
 {
     const char kind = rest[0];
@@ -134,13 +134,13 @@
     Writer writer(after);
     std::size_t next = 0;
     for (const absl::string_view piece : piecesOf(after)) {
-        // 1. Mostly the texts go on alike; a piece that was replaced stands in the same place.
+        // 1. The next piece of the earlier text follows.
         if (next < old.size() && old[next] == piece) {
             writer.copy(std::size_t(old[next].data() - before.data()), piece.size());
             ++next;
             continue;
         }
-        // 2. Something was put in or taken out.
+        // 2. A new piece, which is taken to replace the next one, or one from elsewhere.
         const auto found = indexByPiece.find(std::string(piece));
         if (found == indexByPiece.end()) {
             writer.add(piece);
--- a/src/services/textdifference.h
+++ b/src/services/textdifference.h
@@ -4,14 +4,15 @@
 
 #include <string>
 
-// What a text differs in from an earlier version of it, for documents of which each version changes
-// a few values: a configuration of 200 KB with another time-out differs in some hundred bytes.
+// Delta encoding of a text against an earlier version of it, for documents of which each version
+// changes a few values.
 namespace kelptally::services {
 
-// The difference is at worst a little longer than the text itself.
+// Returns the difference, which is at worst slightly longer than the later text.
 std::string differenceOf(const std::string &before, const std::string &after);
 
-// The later text. Fails when the difference is malformed, or was made from another text.
+// Returns the later text. InvalidArgument when the difference is malformed, FailedPrecondition when
+// it was made from another text.
 absl::StatusOr<std::string> applyDifference(const std::string &before,
                                             const std::string &difference);
 
