--- a/tests/inner/codec_benchmark.cpp
+++ b/tests/inner/codec_benchmark.cpp
@@ -8,7 +8,7 @@
 using namespace kelptally;
 using namespace kelptally::inner;
 
-// Figures for docs/design/inner.md.
+// Encoding and decoding times; see docs/design/inner.md.
 TEST_CASE("Codec", "[benchmark]")
 {
     Execute execute = sampleExecute();
--- a/tests/inner/codec_test.cpp
+++ b/tests/inner/codec_test.cpp
@@ -20,7 +20,7 @@
     return encode(message).value();
 }
 
-// An array head with a count of up to 2^32 - 1.
+// Returns an array head with a four-byte count.
 std::string longArrayHead(std::uint32_t count)
 {
     return bytesOf({0x9a, int(count >> 24), int(count >> 16 & 0xff), int(count >> 8 & 0xff),
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("Every message type survives encoding")
+TEST_CASE("Every message type is restored from its encoding")
 {
     const std::vector<Message> samples = sampleMessages();
     REQUIRE(samples.size() == std::variant_size_v<Message>);
@@ -40,12 +40,12 @@
         const auto decoded = decode(bytes);
         REQUIRE(decoded.ok());
         CHECK(decoded->index() == i);
-        // The encoding has every field in it, so equal bytes mean equal messages.
+        // The encoding contains every field, so that equal bytes mean equal messages.
         CHECK(encoded(*decoded) == bytes);
     }
 }
 
-TEST_CASE("Fields come back as they were sent")
+TEST_CASE("Decoded fields equal the encoded ones")
 {
     const auto execute = std::get<Execute>(*decode(encoded(sampleExecute())));
     CHECK(execute.requestId == 123456789012345);
@@ -67,7 +67,7 @@
     CHECK_FALSE(empty.sessionPosition);
 }
 
-TEST_CASE("A message cut short anywhere is refused")
+TEST_CASE("A truncated message is refused")
 {
     for (const Message &sample : sampleMessages()) {
         const std::string bytes = encoded(sample);
@@ -78,7 +78,7 @@
     }
 }
 
-TEST_CASE("A shorter record keeps defaults and a longer one is skipped over")
+TEST_CASE("Missing fields keep their defaults and unknown fields are skipped")
 {
     // [6, 8]: a Locate without its group; [6, 8, "g", 1, [2, "x"]]: one with unknown fields.
     const auto shorter = decode(bytesOf({0x82, 6, 8}));
@@ -91,11 +91,11 @@
     CHECK(std::get<Locate>(*longer).group == "g");
 }
 
-TEST_CASE("Wrong types, unknown types and unknown choices are refused")
+TEST_CASE("Wrong types, unknown types and unknown enumerators are refused")
 {
     CHECK_FALSE(decode(bytesOf({0x80})).ok());
     CHECK_FALSE(decode(bytesOf({0x07})).ok());
-    // The first type beyond the known ones; types from 24 on take two bytes.
+    // The first unknown type. Types from 24 on take two bytes.
     static_assert(std::variant_size_v<Message> > 23);
     CHECK(decode(bytesOf({0x81, 0x18, std::variant_size_v<Message> - 1})).ok());
     CHECK_FALSE(decode(bytesOf({0x81, 0x18, std::variant_size_v<Message>})).ok());
@@ -119,9 +119,9 @@
     CHECK(std::get<OperatorAnswer>(*answer).reason == Reason::Internal);
 }
 
-TEST_CASE("Counts and lengths that the message can't hold are refused")
+TEST_CASE("Counts and lengths beyond the end of the message are refused")
 {
-    // As the whole message, as a field that is read, and as one that is skipped over.
+    // As the whole message, as a known field and as an unknown one.
     const std::string locate = bytesOf({0x85, 6, 1, 0x61, 'g'});
     for (const std::string &before : {std::string(), bytesOf({0x83, 12, 1}), locate}) {
         CHECK_FALSE(decode(before + longArrayHead(0xffffffff)).ok());
@@ -131,7 +131,7 @@
         CHECK_FALSE(
             decode(before + bytesOf({0x7b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})).ok());
     }
-    // Arrays in arrays, and the texts of texts that recursive decoders fall for, in any number.
+    // Deeply nested items, which exhaust the stack of recursive decoders.
     for (const char head : {'\x81', '\x7f', '\x9f', '\xd8'}) {
         CHECK_FALSE(decode(std::string(maxFrameBytes, head)).ok());
         CHECK_FALSE(decode(locate + std::string(maxFrameBytes - locate.size(), head)).ok());
@@ -140,7 +140,7 @@
     CHECK_FALSE(decode(std::string(maxFrameBytes + 1, '\0')).ok());
 }
 
-TEST_CASE("The count of items is bounded, also of those that are skipped over")
+TEST_CASE("The number of items is bounded, including skipped ones")
 {
     const std::string locate = bytesOf({0x84, 6, 1, 0x61, 'g'});
     // The message's own array and its four elements count too.
@@ -150,7 +150,7 @@
     CHECK_FALSE(decode(locate + longArrayHead(count + 1) + std::string(room + 1, '\1')).ok());
 }
 
-TEST_CASE("Names and lists have bounds of their own")
+TEST_CASE("Names and lists have their own bounds")
 {
     Locate locate {1, std::string(256, 'g')};
     CHECK(decode(encoded(locate)).ok());
--- a/tests/inner/handshake_test.cpp
+++ b/tests/inner/handshake_test.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("Both ends prove the key to each other")
+TEST_CASE("Both ends authenticate each other")
 {
     Ends ends;
     const HelloStep answer = ends.acceptor.onHello(ends.connector.first());
@@ -39,7 +39,7 @@
     CHECK(ends.acceptor.onHello(*proof.reply).status.code() == absl::StatusCode::kInvalidArgument);
 }
 
-TEST_CASE("A proof can't be replayed on another link or sent back")
+TEST_CASE("A proof can't be replayed on another link or reflected")
 {
     Ends first;
     const Hello answer = *first.acceptor.onHello(first.connector.first()).reply;
@@ -48,10 +48,10 @@
     Ends second;
     // An acceptor's proof for an older connector's nonce.
     CHECK(second.connector.onHello(answer).status.code() == absl::StatusCode::kUnauthenticated);
-    // A connector's whole exchange, replayed to the acceptor.
+    // A connector's complete exchange, replayed to the acceptor.
     REQUIRE(second.acceptor.onHello(first.connector.first()).status.ok());
     CHECK(second.acceptor.onHello(proof).status.code() == absl::StatusCode::kUnauthenticated);
-    // The acceptor's own proof, sent back to it by an end that uses its nonce.
+    // The acceptor's own proof, reflected to it.
     HelloExchange acceptor(LinkRole::Acceptor, "key", helloOf("a"));
     Hello mirror = helloOf("a");
     mirror.nonce = makeNonce();
@@ -60,7 +60,7 @@
     CHECK(acceptor.onHello(mirror).status.code() == absl::StatusCode::kUnauthenticated);
 }
 
-TEST_CASE("Every field of a Hello is under the proof")
+TEST_CASE("The proof covers every field of a Hello")
 {
     const std::string other = makeNonce();
     Hello hello = helloOf("a");
@@ -85,11 +85,11 @@
     CHECK(altered([](Hello &h) { ++h.configVersion; }));
     CHECK(altered([](Hello &h) { h.nonce = makeNonce(); }));
     CHECK(altered([](Hello &h) { h.proof.clear(); }));
-    // The border between two fields counts.
+    // The boundary between two fields is covered too.
     CHECK(altered([](Hello &h) { h.host = "hos", h.zone = "tzone"; }));
 }
 
-TEST_CASE("Adjacent versions talk and others don't")
+TEST_CASE("Only overlapping version ranges are compatible")
 {
     Hello older;
     older.newestVersion = 2;
--- a/tests/inner/linkfixtures.h
+++ b/tests/inner/linkfixtures.h
@@ -12,7 +12,7 @@
 #include <mutex>
 #include <thread>
 
-// Helpers for tests on real sockets. Waits are generous, as the machine may be loaded.
+// Helpers for tests with real sockets. Timeouts are long, as the machine may be loaded.
 namespace kelptally::inner {
 
 constexpr auto waitTimeout = std::chrono::seconds(30);
@@ -25,7 +25,7 @@
     return "127.0.0.1:" + std::to_string(tcp::acceptor(context, any).local_endpoint().port());
 }
 
-// Keeps all events of one process's links.
+// Records all events of a process's links.
 class RecordedEvents : public PeerEvents
 {
 public:
@@ -72,7 +72,7 @@
         return wait([&] { return downs.size() >= count; });
     }
 
-    // Read after a wait, when nothing more is expected.
+    // Read only after a wait, when no more events are expected.
     std::vector<LinkUp> ups;
     std::vector<Received> messages;
     std::vector<LinkDown> downs;
@@ -96,7 +96,7 @@
     std::condition_variable changed_;
 };
 
-// One process: its links and what they reported.
+// A process: its links and their events.
 struct Process
 {
     explicit Process(PeerLinkOptions theOptions) : options(std::move(theOptions))
@@ -123,7 +123,7 @@
     return options;
 }
 
-// Whether the condition comes true in time; for what only shows as a counter.
+// Polls until the condition holds; returns false on a timeout.
 template <typename Condition>
 bool becomesTrue(Condition condition)
 {
--- a/tests/inner/peerlinks_test.cpp
+++ b/tests/inner/peerlinks_test.cpp
@@ -59,7 +59,7 @@
             answer += byte;
     }
 
-    // Everything until the other end closes.
+    // Reads until the other end closes.
     std::string readAll()
     {
         std::string all;
@@ -77,7 +77,7 @@
     tcp::socket socket_;
 };
 
-// The head of a masked binary frame (mask zero; RFC 6455, section 5.2).
+// Returns the head of a binary frame with a zero mask (RFC 6455, section 5.2).
 std::string frameHead(std::uint64_t length)
 {
     const int width = length < 126 ? 0 : length < 65536 ? 2 : 8;
@@ -88,7 +88,7 @@
     return head + std::string(4, '\0');
 }
 
-// Passes bytes on between two processes until it is told to lose them, which neither end notices.
+// Forwards bytes between two processes, or drops them without closing the connection.
 class Relay
 {
 public:
@@ -105,7 +105,7 @@
     }
 
     void setDropping(bool isDropping) { isDropping_ = isDropping; }
-    // Connections that are open now lose everything; new ones work.
+    // Drops all bytes of the open connections; new ones work.
     void dropOpenConnections() { ++generation_; }
 
 private:
@@ -145,7 +145,7 @@
                 boost::system::error_code ignored;
                 const bool isDropping = isDropping_ || pipe->generation != generation_;
                 if (error) {
-                    // While bytes are lost, so is the end of the connection.
+                    // The end of the connection is dropped too.
                     if (!isDropping)
                         to.shutdown(tcp::socket::shutdown_both, ignored);
                     return;
@@ -166,7 +166,7 @@
 
 } // namespace
 
-TEST_CASE("Messages go both ways in order")
+TEST_CASE("Messages arrive in order in both directions")
 {
     Process a(linkOptions(freeAddress(), 11));
     Process b(linkOptions(freeAddress(), 22));
@@ -198,7 +198,7 @@
     CHECK(a.events.messages[0].link == a.events.ups[0].link);
 }
 
-TEST_CASE("A process may link to itself")
+TEST_CASE("A process can link to itself")
 {
     Process self(linkOptions(freeAddress()));
     REQUIRE(self.links);
@@ -209,7 +209,7 @@
     CHECK(std::get<ConfigNotice>(self.events.messages[0].message).version == 3);
 }
 
-TEST_CASE("A link comes back after the peer was replaced")
+TEST_CASE("A link is reopened after the peer was replaced")
 {
     Process a(linkOptions(freeAddress()));
     const std::string address = freeAddress();
@@ -235,7 +235,7 @@
     CHECK(a.links->sendTo(address, Locate()).code() == absl::StatusCode::kUnavailable);
 }
 
-TEST_CASE("A silent link is found by both ends, and an idle one stays")
+TEST_CASE("Both ends close a silent link and keep an idle one")
 {
     PeerLinkOptions options = linkOptions(freeAddress());
     options.silenceTimeout = std::chrono::milliseconds(2000);
@@ -249,7 +249,7 @@
     a.links->connect(relayed);
     REQUIRE(a.events.waitForUps(1));
     REQUIRE(b.events.waitForUps(1));
-    // Nobody sends for longer than the timeout; the pings keep the link.
+    // No messages for longer than the timeout: pings keep the link open.
     std::this_thread::sleep_for(std::chrono::milliseconds(2500));
     REQUIRE(a.links->sendTo(relayed, ConfigNotice {1}).ok());
     REQUIRE(b.events.waitForMessages(1));
@@ -263,14 +263,14 @@
     CHECK(a.events.waitForUps(2));
 }
 
-TEST_CASE("Silence is no lasting reason to give a link up, as a wrong key is")
+TEST_CASE("A timeout is not a persistent cause, unlike a wrong key")
 {
     CHECK(isPersistent(absl::PermissionDeniedError("another key")));
-    CHECK_FALSE(isPersistent(absl::DeadlineExceededError("nothing heard in time")));
+    CHECK_FALSE(isPersistent(absl::DeadlineExceededError("nothing received in time")));
     CHECK_FALSE(isPersistent(absl::OkStatus()));
 }
 
-TEST_CASE("A silent link is replaced by one that is dialled beside it, without a moment of none")
+TEST_CASE("A silent link is replaced by a new one without a gap")
 {
     Process a(linkOptions(freeAddress()));
     const std::string relayed = freeAddress();
@@ -283,7 +283,7 @@
     REQUIRE(b.events.waitForUps(1));
     relay.dropOpenConnections();
     REQUIRE(a.links->sendTo(relayed, ConfigNotice {1}).ok());
-    // Twice makes no second one.
+    // The second call has no effect.
     a.links->renew(relayed);
     a.links->renew(relayed);
     REQUIRE(a.events.waitForUps(2));
@@ -299,8 +299,7 @@
 
 namespace {
 
-// How long a link takes whose first attempt reaches a peer that says nothing, as one that has no
-// power yet, for its first 300 ms.
+// Returns the time until a link opens whose peer drops everything for the first 300 ms.
 std::chrono::steady_clock::duration timeToOpen(bool renewed)
 {
     Process a(linkOptions(freeAddress()));
@@ -322,14 +321,14 @@
 
 } // namespace
 
-TEST_CASE("A link that hangs since it was dialled is opened by a renewal, long before it times out")
+TEST_CASE("Renewing a link that hangs while it opens is faster than its timeout")
 {
     const auto byItself = timeToOpen(false);
     const auto byRenewal = timeToOpen(true);
     CHECK(2 * byRenewal < byItself);
 }
 
-TEST_CASE("A renewal that nobody answers changes nothing")
+TEST_CASE("A renewal without an answer has no effect")
 {
     Process a(linkOptions(freeAddress()));
     {
@@ -343,7 +342,7 @@
     CHECK(a.events.ups.size() == 1);
 }
 
-TEST_CASE("A link that two parts want stays until both have dropped it")
+TEST_CASE("A link with two users stays open until both have dropped it")
 {
     Process a(linkOptions(freeAddress()));
     Process b(linkOptions(freeAddress()));
@@ -360,7 +359,7 @@
     CHECK(a.events.ups.size() == 1);
 }
 
-TEST_CASE("What was sent before a planned stop arrives")
+TEST_CASE("Messages sent before a shutdown arrive")
 {
     Process b(linkOptions(freeAddress()));
     constexpr std::size_t count = 500;
@@ -375,7 +374,7 @@
     CHECK(b.events.waitForDowns(1));
 }
 
-TEST_CASE("Another key, version or process is refused and counted")
+TEST_CASE("A wrong key, version or process is refused and counted")
 {
     Metrics metrics;
     PeerLinkOptions acceptor = linkOptions(freeAddress());
@@ -416,7 +415,7 @@
     }
 }
 
-TEST_CASE("An unproven end can neither speak, nor send much, nor stay")
+TEST_CASE("An unauthenticated end can't send messages or large frames, or stay connected")
 {
     Metrics metrics;
     PeerLinkOptions options = linkOptions(freeAddress());
@@ -434,7 +433,7 @@
         CHECK(client.readAll().find("a message before Hello") != std::string::npos);
         CHECK(refused(metrics, "malformed"));
     }
-    SECTION("a proof of nothing")
+    SECTION("an invalid proof")
     {
         client.upgrade();
         Hello hello;
@@ -469,7 +468,7 @@
     CHECK(process.events.messages.empty());
 }
 
-TEST_CASE("A message over the bound is refused by its sender, and nothing is lost")
+TEST_CASE("A message over the limit is refused by its sender, and the link stays open")
 {
     Process a(linkOptions(freeAddress()));
     Process b(linkOptions(freeAddress()));
@@ -483,7 +482,7 @@
     CHECK(std::get<ConfigAnswer>(b.events.messages[0].message).document == large.document);
 }
 
-TEST_CASE("A full send buffer refuses and goes on afterwards")
+TEST_CASE("A full send buffer refuses messages until it has drained")
 {
     PeerLinkOptions small = linkOptions(freeAddress());
     small.sendBufferBytes = 100;
@@ -500,7 +499,7 @@
     CHECK(b.events.waitForMessages(1));
 }
 
-TEST_CASE("Links need a key and an address of their own")
+TEST_CASE("Links need a key and a free address")
 {
     RecordedEvents events;
     PeerLinkOptions options = linkOptions(freeAddress());
--- a/tests/inner/samplemessages.h
+++ b/tests/inner/samplemessages.h
@@ -2,7 +2,7 @@
 
 #include "inner/messages.h"
 
-// Messages with every field set to something other than its default.
+// Sample messages in which every field has a non-default value.
 namespace kelptally::inner {
 
 inline Execute sampleExecute()
--- a/tests/services/httpservices_test.cpp
+++ b/tests/services/httpservices_test.cpp
@@ -16,7 +16,7 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-// A server that answers the first request of each connection with fixed bytes and hangs up.
+// A server that answers the first request of each connection with fixed bytes and closes it.
 class FixedServer
 {
 public:
@@ -58,7 +58,7 @@
     std::thread thread_;
 };
 
-// A server whose connections go silent after their first answer, while new ones work.
+// A server whose connections are silent after their first answer, while new ones work.
 class SilentServer
 {
 public:
@@ -119,7 +119,7 @@
 
 } // namespace
 
-TEST_CASE("rows are written under their conditions, all or none")
+TEST_CASE("conditional writes of several rows are atomic")
 {
     PlatformFixture fixture;
     CHECK(fixture.read("ownership", "g")->has_value() == false);
@@ -156,7 +156,7 @@
     CHECK((*rows)[1].etag == (*fixture.read("t", "a2"))->etag);
 }
 
-TEST_CASE("an answer lost after the effect is Unknown, and reading back shows the effect")
+TEST_CASE("a lost answer to a write is Unknown, and reading back shows the row")
 {
     PlatformFixture fixture;
     fixture.setFaults(R"({"service":"tables","loseAnswers":1})");
@@ -165,7 +165,7 @@
     CHECK(fixture.write({{"t", "k2", "v", {}}}).ok());
 }
 
-TEST_CASE("a reset connection leaves a write Unknown and without effect; only reads are repeated")
+TEST_CASE("a write on a reset connection is Unknown and not retried, unlike a read")
 {
     PlatformFixture fixture;
     REQUIRE(fixture.write({{"t", "warm", "v", {}}}).ok());
@@ -174,12 +174,12 @@
     CHECK_FALSE(fixture.read("t", "k").ok());
     fixture.setFaults(R"({"service":"tables","outage":"none"})");
     CHECK(fixture.read("t", "k")->has_value() == false);
-    // One write to warm up and one that was reset: none was sent twice.
+    // The first write and the one that was reset, each sent once.
     CHECK_THAT(fixture.request(HttpMethod::Get, "/counters").body,
                Catch::Contains(R"("tables":{"reads":2,"writes":2})"));
 }
 
-TEST_CASE("a read on a connection that the server has dropped is sent once more")
+TEST_CASE("a read on a connection that the server has closed is retried once")
 {
     PlatformFixture fixture;
     REQUIRE(fixture.read("t", "k").ok());
@@ -189,7 +189,7 @@
                Catch::Contains(R"("tables":{"reads":3,"writes":0})"));
 }
 
-TEST_CASE("a service that refuses leaves a write Unknown and a read Unavailable")
+TEST_CASE("a refused write is Unknown and a refused read Unavailable")
 {
     PlatformFixture fixture;
     fixture.setFaults(R"({"outage":"refuse"})");
@@ -200,14 +200,13 @@
     CHECK(absl::IsUnavailable(fixture.listHosts().status()));
 }
 
-TEST_CASE("a slow service exceeds the deadline, and its effect may come later")
+TEST_CASE("a slow write exceeds the deadline and may still take effect")
 {
     PlatformFixture fixture(1s);
     fixture.setFaults(R"({"service":"tables","slowMs":3000})");
     CHECK(absl::IsDeadlineExceeded(fixture.write({{"t", "k", "v", {}}}).status()));
     fixture.setFaults(R"({"service":"tables","slowMs":0})");
-    // Until the slow write lands, the row is absent; reads that time out on a busy machine count
-    // as absent too.
+    // The row is absent until the slow write is done. Reads may time out on a busy machine.
     absl::StatusOr<std::optional<TableRow>> row;
     do {
         row = fixture.read("t", "k");
@@ -215,7 +214,7 @@
     CHECK((*row)->value == "v");
 }
 
-TEST_CASE("a write that never left this process is Unavailable")
+TEST_CASE("a write that was not sent is Unavailable")
 {
     PlatformFixture fixture;
     std::string closedAddress;
@@ -231,7 +230,7 @@
     CHECK(absl::IsUnavailable(fixture.write({{"t", "k", "v", {}}}).status()));
 }
 
-TEST_CASE("bytes that JSON cannot carry are refused before they are sent")
+TEST_CASE("text that is not UTF-8 is refused before it is sent")
 {
     PlatformFixture fixture;
     CHECK(absl::IsInvalidArgument(fixture.write({{"t", "k", "\xff", {}}}).status()));
@@ -239,11 +238,11 @@
                Catch::Contains(R"("tables":{"reads":0,"writes":0})"));
 }
 
-TEST_CASE("calls beyond the bound of the queue are refused at once")
+TEST_CASE("calls beyond the limit of the queue fail at once")
 {
     PlatformFixture fixture;
     fixture.setFaults(R"({"service":"tables","slowMs":600000})");
-    // As text: the library counts a status's users in code that the thread sanitizer does not see.
+    // As text: absl::Status counts references in code without thread sanitizer instrumentation.
     std::promise<std::string> refused;
     std::atomic<bool> told {false};
     boost::asio::post(fixture.thread.context(), [&] {
@@ -258,7 +257,7 @@
     CHECK_THAT(status, Catch::Contains("too many calls"));
 }
 
-TEST_CASE("answers that make no sense are errors, and leave a write Unknown")
+TEST_CASE("a malformed answer is an error, and leaves a write Unknown")
 {
     const std::string answers[] = {
         httpAnswer("200 OK", ""),
@@ -280,7 +279,7 @@
     }
 }
 
-TEST_CASE("a refusal of the request itself wrote nothing")
+TEST_CASE("a write refused as invalid is InvalidArgument")
 {
     PlatformFixture fixture;
     FixedServer server(httpAnswer("413 Payload Too Large", "{}"));
@@ -288,7 +287,7 @@
     CHECK(absl::IsInvalidArgument(fixture.write({{"t", "k", "v", {}}}).status()));
 }
 
-TEST_CASE("objects are put under their conditions")
+TEST_CASE("objects are written under their conditions")
 {
     PlatformFixture fixture;
     CHECK(fixture.getObject("snapshot")->has_value() == false);
@@ -303,7 +302,7 @@
     CHECK((*fixture.getObject("snapshot"))->value == "x");
 }
 
-TEST_CASE("the list of hosts shows a change only after its lag")
+TEST_CASE("the list of hosts shows a change after its delay")
 {
     PlatformFixture fixture;
     const std::string one =
@@ -322,7 +321,7 @@
     CHECK(fixture.request(HttpMethod::Put, "/hosts", R"({"hosts":5})").status == 400);
 }
 
-TEST_CASE("a read on a connection that has gone silent is sent again on a new one")
+TEST_CASE("a read on a silent connection is retried on a new one")
 {
     SilentServer server(httpAnswer("404 Not Found", "{}"));
     PlatformFixture fixture;
@@ -331,7 +330,7 @@
     CHECK(fixture.read("t", "k").ok());
 }
 
-TEST_CASE("a write goes out on a connection that answered a moment ago, or on a new one")
+TEST_CASE("a write uses a connection that answered recently, or a new one")
 {
     SilentServer server(httpAnswer("200 OK", R"({"etags":["1"]})"));
     PlatformFixture fixture;
--- a/tests/services/platformfixture.h
+++ b/tests/services/platformfixture.h
@@ -16,7 +16,7 @@
 
 namespace kelptally::services {
 
-// The stand-in of the platform on its own thread, and clients of it on another.
+// The platform stand-in on one thread and its clients on another.
 class PlatformFixture
 {
 public:
@@ -39,7 +39,7 @@
 
     static std::string addressOf(int port) { return "127.0.0.1:" + std::to_string(port); }
 
-    // Makes a call on the clients' thread and waits for its result.
+    // Runs a call on the clients' thread and waits for its result.
     template <typename Result, typename Call>
     Result wait(Call call)
     {
--- a/tests/services/rows_test.cpp
+++ b/tests/services/rows_test.cpp
@@ -7,7 +7,7 @@
 using namespace kelptally;
 using namespace kelptally::services;
 
-TEST_CASE("an ownership row survives its JSON")
+TEST_CASE("an ownership row is restored from its JSON")
 {
     decision::OwnershipRow row;
     row.epoch = 7;
@@ -26,7 +26,7 @@
     CHECK(read->changeId == row.changeId);
 }
 
-TEST_CASE("a text that is no ownership row is refused")
+TEST_CASE("a text that is not an ownership row is refused")
 {
     const std::string whole = encodeOwnershipRow({1, {"a:1", 2}, {{"b:1", 3}}, 4, "p", "c"});
     REQUIRE(decodeOwnershipRow(whole).ok());
@@ -56,7 +56,7 @@
     CHECK_FALSE(decodeOwnershipRow(std::string(maxOwnershipRowBytes + 1, '[')).ok());
 }
 
-TEST_CASE("configuration rows survive their JSON, and others are refused")
+TEST_CASE("configuration rows are restored from their JSON, and other texts are refused")
 {
     const ConfigVersionRow row {3, "ann", "id", "2026-12-02T16:00:00Z", "[zone a]\n; \xC3\xA5\t"};
     const auto text = encodeConfigRow(row);
--- a/tests/services/storecircuitbreaker_test.cpp
+++ b/tests/services/storecircuitbreaker_test.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-// A service that answers, hangs, refuses or resets, and counts what reaches it.
+// A service that answers, hangs, refuses or resets calls, and counts them.
 struct FakeStore : public TableService, public TableFeed
 {
     enum class Mode {
         Answers,
-        // What is asked now is never answered, also later.
+        // Calls made in this mode are never answered, unless by lateAnswers.
         Silent,
         Refuses,
         Resets,
@@ -45,7 +45,7 @@
                                                           : absl::OkStatus();
         timers.subscribeAfter(status.ok() ? latency + longPollTime : latency,
                               [this, callback, status, result, id] {
-                                  // A held question is cut off with the service.
+                                  // An outage also ends a long poll without an answer.
                                   if (mode == Mode::Silent || open.erase(id) == 0)
                                       return;
                                   if (status.ok())
@@ -97,14 +97,14 @@
 
     TimerService &timers;
     Mode mode = Mode::Answers;
-    // Connections open also while it is silent.
+    // Whether connections can be opened also while it is silent.
     bool acceptsConnections = false;
     Duration latency {4ms};
     int calls = 0;
     int writes = 0;
     int abortCount = 0;
     std::map<int, std::function<void()>> open;
-    // Answers what was asked in silence, unless that has been given up.
+    // Answer the calls made in Silent mode, unless these were aborted.
     std::vector<std::function<void()>> lateAnswers;
     int lastCallId = 0;
 };
@@ -130,7 +130,7 @@
          },
          [this] { store.abortOpenCalls(); }, [] { return 0.5; }}};
 
-    // Calls back with the status of the answer; -1 while there is none.
+    // Returns the status code of the answer; -1 while there is none.
     std::shared_ptr<int> read()
     {
         const auto outcome = std::make_shared<int>(-1);
@@ -157,7 +157,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(Fixture, "While the service answers, calls pass and nothing else is sent")
+TEST_CASE_METHOD(Fixture, "Calls pass through while the service answers")
 {
     const auto outcome = read();
     timers.advance(10ms);
@@ -166,7 +166,7 @@
     CHECK(probes == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "A silent service is noticed by one call, and nothing is sent meanwhile")
+TEST_CASE_METHOD(Fixture, "One timeout opens the breaker, and no calls are sent while it is open")
 {
     loseService(FakeStore::Mode::Silent);
     const int before = store.calls;
@@ -175,14 +175,14 @@
     timers.advance(1s);
     CHECK(store.calls == before);
     CHECK(probes > 4);
-    // What waits for longer than its time fails, as not sent.
+    // Calls queued past their deadline fail as not sent.
     timers.advance(2s);
     CHECK(*first == int(absl::StatusCode::kUnavailable));
     CHECK(*second == int(absl::StatusCode::kUnavailable));
     CHECK(store.writes == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "When the service is back all that waits is sent within 300 ms")
+TEST_CASE_METHOD(Fixture, "Queued calls are sent within 300 ms of the recovery")
 {
     loseService(FakeStore::Mode::Silent);
     const auto first = read();
@@ -196,7 +196,7 @@
     CHECK(store.writes == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "Questions for changes that hang since before the loss are asked again")
+TEST_CASE_METHOD(Fixture, "Requests for changes that hang since before the outage are sent again")
 {
     std::vector<std::unique_ptr<TableFollower>> followers;
     for (const Duration wait : {2s, 5s, 9s}) {
@@ -212,15 +212,14 @@
     const int before = store.calls;
     store.mode = FakeStore::Mode::Answers;
     timers.advance(500ms);
-    // Each of them, the one that would have waited for four seconds more among them.
+    // All three, including the one whose long poll had four more seconds.
     CHECK(store.calls >= before + 3);
     CHECK(store.calls <= before + 4);
     timers.advance(20s);
     CHECK(breaker.isAnswering());
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "A trial that hangs while a late answer tells of the return counts as no loss")
+TEST_CASE_METHOD(Fixture, "A trial that hangs during a recovery by a late answer is not a new loss")
 {
     loseService(FakeStore::Mode::Silent);
     store.acceptsConnections = true;
@@ -228,7 +227,7 @@
     const auto second = read();
     const std::size_t before = store.lateAnswers.size();
     timers.advance(1500ms);
-    // One trial after the other, on connections that say nothing.
+    // At least two trials, on silent connections.
     REQUIRE(store.lateAnswers.size() >= before + 2);
     store.mode = FakeStore::Mode::Answers;
     store.lateAnswers[store.lateAnswers.size() - 2]();
@@ -241,8 +240,7 @@
           != std::string::npos);
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "A write that is open at the return ends as unknown and is not sent twice")
+TEST_CASE_METHOD(Fixture, "A write in flight at the recovery ends as unknown and is not retried")
 {
     store.mode = FakeStore::Mode::Silent;
     const auto open = write();
@@ -255,7 +253,7 @@
     CHECK(breaker.isAnswering());
 }
 
-TEST_CASE_METHOD(Fixture, "A host that is turned away asks rarely, one call at a time")
+TEST_CASE_METHOD(Fixture, "A refused host sends trial calls rarely, one at a time")
 {
     TableFollower follower({timers, breaker, log}, "t", 5s,
                            {[](const TableRow &) {}, [](const std::string &) {}, [] {}});
@@ -269,14 +267,14 @@
         const int before = store.calls;
         timers.advance(1900ms);
         CHECK(store.calls - before <= 5);
-        // Writes are refused at once, so that another host is asked.
+        // Writes fail at once, so that another host can take over.
         const auto refused = write();
         timers.advance(10ms);
         CHECK(*refused != -1);
         store.mode = FakeStore::Mode::Answers;
         timers.advance(1s);
         CHECK(breaker.isAnswering());
-        // Whatever waits too long has failed, as before.
+        // Calls queued for too long have failed.
         for (const auto &outcome : waiting)
             CHECK(*outcome != -1);
         const auto after = read();
@@ -286,7 +284,7 @@
 }
 
 TEST_CASE_METHOD(Fixture,
-                 "A service that turns slow is taken for silent only until its first answer")
+                 "A service that becomes slow counts as silent only until its first answer")
 {
     TableFollower follower({timers, breaker, log}, "t", 5s,
                            {[](const TableRow &) {}, [](const std::string &) {}, [] {}});
@@ -305,10 +303,10 @@
     CHECK(probes == before);
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "A service that accepts calls while it is silent is heard 500 ms after its return")
+TEST_CASE_METHOD(
+    Fixture, "A service that accepts connections while silent is available 500 ms after recovery")
 {
-    // Opening a connection works all the time, and calls made meanwhile are never answered.
+    // Connections can always be opened, but calls made during the outage are never answered.
     store.acceptsConnections = true;
     TableFollower follower({timers, breaker, log}, "t", 5s,
                            {[](const TableRow &) {}, [](const std::string &) {}, [] {}});
@@ -325,7 +323,7 @@
         store.mode = FakeStore::Mode::Answers;
         timers.advance(500ms);
         CHECK(breaker.isAnswering());
-        // What was sent meanwhile runs into its timeout now, and is no news.
+        // The timeouts of calls sent during the outage don't open the breaker again.
         for (int j = 0; j < 40; ++j) {
             timers.advance(50ms);
             CHECK(breaker.isAnswering());
@@ -333,7 +331,7 @@
     }
 }
 
-TEST_CASE_METHOD(Fixture, "More calls than may wait are refused at once")
+TEST_CASE_METHOD(Fixture, "Calls beyond the limit of the queue fail at once")
 {
     loseService(FakeStore::Mode::Silent);
     for (int i = 0; i < 1023; ++i)
@@ -342,16 +340,9 @@
     CHECK(*last == int(absl::StatusCode::kUnavailable));
 }
 
-// A read waits in the gate while the service turns this host away, and is sent from time to time.
-// The attempt that was under way when the read's time ran out was refused, and its caller was told
-// twice: once that the time is over, once of the refusal. Whoever reads again after a refusal then
-// had two readers in place of one, and so on: the reading back of a write whose outcome is unknown
-// is repeated up to 20 times, and one host made 18,000 such reads a second.
-//
-// From a day of 300 hosts and 150 groups whose store was asked for more than it allows: 4.29
-// million calls launched in 18 s, 4.24 million of them refused, a third of them by 12 hosts; reads
-// that callers asked for: 106,188.
-TEST_CASE_METHOD(Fixture, "A read that is refused after its time is told once")
+// A read whose attempt was refused after its deadline called back twice. Each retrying caller then
+// sent two reads in place of one, and so on.
+TEST_CASE_METHOD(Fixture, "A read that is refused after its deadline calls back once")
 {
     store.latency = 150ms;
     loseService(FakeStore::Mode::Refuses);
@@ -366,7 +357,7 @@
 
 namespace {
 
-// Tables of six pages; each takes longer the more are under way at once.
+// A service whose tables have six pages.
 struct PagedStore : public FakeStore
 {
     using FakeStore::FakeStore;
@@ -380,7 +371,7 @@
         TablePage page;
         page.version = std::uint64_t(100 + number);
         page.isLast = number == 5;
-        // Keys count up, so that the next page begins with the number of this one's row.
+        // The row's key is the number of the next page.
         page.rows.push_back({std::to_string(number + 1), "v", "1"});
         answer<TablePage>(page, Duration(0), std::move(callback));
         mode = Mode::Answers;
@@ -413,12 +404,9 @@
 
 } // namespace
 
-// 986 hosts read three tables of six, two and one pages at once, 1.9 MB each. A page took 0.3 s by
-// then, and what was to be answered within 0.8 s were all pages of a table together: each host took
-// the store for silent, gave up what it had and began again, and nobody was served for sixteen
-// seconds.
-TEST_CASE_METHOD(PagedFixture,
-                 "A table whose pages come slowly one after the other is no silent service")
+// With one timeout for a whole table, hosts that started together took a busy service for silent
+// and read their tables again from the start.
+TEST_CASE_METHOD(PagedFixture, "A table with slow pages does not open the breaker")
 {
     paged.latency = 300ms;
     const auto read = snapshot("t");
@@ -430,7 +418,7 @@
     CHECK(paged.abortCount == 0);
 }
 
-TEST_CASE_METHOD(PagedFixture, "A page without an answer is asked for again, and no other")
+TEST_CASE_METHOD(PagedFixture, "Only the page without an answer is requested again")
 {
     const auto read = snapshot("t");
     timers.advance(10ms);
@@ -441,8 +429,7 @@
     CHECK(paged.requestedPages.size() == 7);
 }
 
-TEST_CASE_METHOD(PagedFixture,
-                 "Tables are read one after the other, in the order in which they are wanted")
+TEST_CASE_METHOD(PagedFixture, "Tables are read one after the other, in the order of the requests")
 {
     const auto first = snapshot("a");
     const auto second = snapshot("b");
--- a/tests/services/storelimit_test.cpp
+++ b/tests/services/storelimit_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A service that answers so many calls a second, from all hosts together, and refuses the rest.
+// A service with a rate limit for all hosts together, which refuses calls above it.
 struct LimitedStore : public TableService, public TableFeed
 {
     explicit LimitedStore(TimerService &timers) : timers(timers), filledAt(timers.now()) { }
@@ -53,7 +53,7 @@
     int refused = 0;
 };
 
-// Hosts that each want some rows, and ask again after a pause where a read fails.
+// Hosts that each read some rows, and retry failed reads after a delay.
 struct Hosts
 {
     Hosts(int count, int rows)
@@ -96,22 +96,16 @@
 
 } // namespace
 
-// The load: 300 hosts begin at once before 150 groups, and each looks for the owners of the 50 that
-// are near. The service answers 2,000 calls a second and refuses the rest. A host that was refused
-// waits, tries one call, and with its answer sent all that waited; most of those were refused, and
-// it began again 100 ms later, for as long as anything waited.
-//
-// From such a day, 12 s of it: 334,547 calls, where 24,000 would have been answered; store_lost
-// reason=turned_away 4,649 times and store_back 4,418 times, claim_unread 6,523 times. Leases could
-// not be read (lease_unread 2,820 times), and owners gave their groups away.
-TEST_CASE("Hosts that the service's limit turns away share it without pressing")
+// Hosts that start together exceed the service's rate limit. A host that sent its whole queue after
+// one successful trial was refused again, which kept the service overloaded.
+TEST_CASE("Hosts refused by the rate limit share it without overloading the service")
 {
     constexpr int hosts = 300;
     constexpr int rows = 50;
     Hosts all(hosts, rows);
     const Duration minTime = 1s * (hosts * rows / all.store.limit);
     all.timers.advance(2 * minTime);
-    // Half of what the service can do is used at least, and no more is refused than answered.
+    // At least half of the limit is used, and no more calls are refused than answered.
     CHECK(all.missing == 0);
     CHECK(all.store.refused <= all.store.answered);
 }
--- a/tests/services/tablefollower_test.cpp
+++ b/tests/services/tablefollower_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Answers when the test says so.
+// A feed that is answered by the test.
 struct FakeFeed : public TableFeed
 {
     void snapshot(const std::string &, SnapshotCallback callback) override
@@ -61,7 +61,8 @@
 
 } // namespace
 
-TEST_CASE_METHOD(Fixture, "A snapshot, then its changes, each once and never an older one")
+TEST_CASE_METHOD(Fixture,
+                 "A snapshot and then its changes are applied once each, without older versions")
 {
     start();
     feed.onSnapshot(TableSnapshot {{{"a", "1", "9"}, {"b", "1", "10"}}, 12});
@@ -72,8 +73,7 @@
     CHECK(rows == std::vector<std::string> {"a=1", "b=1", "a=2", "-b"});
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "Lost history is made up for by a snapshot, also when that fails at first")
+TEST_CASE_METHOD(Fixture, "After lost history a snapshot is read, with retries")
 {
     start();
     feed.onSnapshot(TableSnapshot {{{"a", "1", "9"}, {"b", "1", "10"}}, 12});
@@ -87,7 +87,7 @@
     CHECK(feed.after == 20);
 }
 
-TEST_CASE_METHOD(Fixture, "A question without news is asked again where it stood")
+TEST_CASE_METHOD(Fixture, "A request without changes is repeated from the same position")
 {
     start();
     feed.onSnapshot(TableSnapshot {{{"a", "1", "9"}}, 12});
@@ -101,7 +101,7 @@
     CHECK(rows.size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "News tell the earliest time at which they may have happened")
+TEST_CASE_METHOD(Fixture, "Changes carry the earliest time at which they may have been made")
 {
     // The service's clock is 100 s behind, and each way takes 2 ms.
     const auto serviceTime = [&](Duration back) {
@@ -115,16 +115,16 @@
     feed.onSnapshot(TableSnapshot {{{"k", "v", "1"}}, 1, serviceTime(2ms)});
     CHECK(!changedAfter);
     const Instant first = timers.now();
-    // 1. At any time since the answer before.
+    // 1. The change was made after the previous answer.
     timers.advance(1s);
     feed.onChanges(TableChanges {change("2"), 2, serviceTime(2ms)});
     CHECK(changedAfter == first);
-    // 2. An answer that was held up for three seconds tells nothing later than its own time.
+    // 2. An answer that was delayed by three seconds.
     const Instant second = timers.now();
     timers.advance(4s);
     feed.onChanges(TableChanges {change("3"), 3, serviceTime(3s)});
     CHECK(changedAfter == second);
-    // 3. Two questions were lost, and the third is answered at once: at any time since the last.
+    // 3. After two lost requests the change was made after the last answer.
     const Instant lastAnswer = timers.now() - 3s + 2ms;
     timers.advance(2s);
     feed.onChanges(absl::UnavailableError("lost"));
@@ -134,7 +134,7 @@
     timers.advance(4ms);
     feed.onChanges(TableChanges {change("4"), 4, serviceTime(2ms)});
     CHECK(changedAfter == lastAnswer);
-    // 4. Another service, whose clock is behind: nothing is known.
+    // 4. After a restart of the service, whose clock went back, the time is unknown.
     timers.advance(1s);
     feed.onChanges(TableChanges {change("5"), 5, Duration(1s)});
     CHECK(!changedAfter);
--- a/tests/services/textdifference_test.cpp
+++ b/tests/services/textdifference_test.cpp
@@ -14,7 +14,7 @@
         + "\",\"type\":\"read_own\",\"timeoutMs\":" + std::to_string(timeout) + ",\"priority\":2}";
 }
 
-// A configuration of some 100 KB; the route has another time-out, and some may be missing.
+// A large configuration in which one route has another timeout and one may be missing.
 std::string document(int version, int changed, int timeout, int missing = -1)
 {
     std::string text = "{\"version\":" + std::to_string(version) + ",\"routes\":[";
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("A document with another value differs in a few bytes")
+TEST_CASE("The difference of one changed value is small")
 {
     const std::string before = document(1, -1, 0);
     REQUIRE(before.size() > 100'000);
@@ -46,7 +46,7 @@
     checkDifference(before, before, 100);
 }
 
-TEST_CASE("Any text follows from any other by its difference")
+TEST_CASE("Applying the difference of two texts gives the later one")
 {
     const bool holds = rc::check("round trip", [] {
         const auto piece = rc::gen::element<std::string>("a,", "b}", "{c", "\n", "]", "long one,");
@@ -65,7 +65,7 @@
     CHECK(holds);
 }
 
-TEST_CASE("A difference is refused that is malformed or was made from another text")
+TEST_CASE("A malformed difference, or one of another text, is refused")
 {
     const std::string before = document(1, -1, 0);
     const std::string difference = differenceOf(before, document(2, 700, 900));
