--- a/src/inner/cborwriter.h
+++ b/src/inner/cborwriter.h
@@ -33,7 +33,7 @@
     }
 
     // Whether the optional fields at the end of a record are written.
-    bool hasMore(bool wanted) const { return wanted; }
+    bool hasMore(bool isPresent) const { return isPresent; }
 
     template <typename T>
     void number(T value)
--- a/src/inner/handshake.cpp
+++ b/src/inner/handshake.cpp
@@ -81,7 +81,7 @@
 
 HelloStep HelloExchange::onHello(const Hello &peer)
 {
-    if (done_)
+    if (isComplete_)
         return {absl::InvalidArgumentError("an unexpected Hello"), {}, false};
     const absl::Status versions = checkVersions(self_, peer);
     if (!versions.ok())
@@ -101,7 +101,7 @@
 
 HelloStep HelloExchange::onConnectorProof(const Hello &peer)
 {
-    done_ = true;
+    isComplete_ = true;
     const bool holds = peer.nonce == connectorNonce_
         && isProofValid(peerKey_, LinkRole::Connector, peer, self_.nonce);
     if (!holds)
@@ -111,7 +111,7 @@
 
 HelloStep HelloExchange::onAcceptorHello(const Hello &peer)
 {
-    done_ = true;
+    isComplete_ = true;
     if (!isProofValid(peerKey_, LinkRole::Acceptor, peer, self_.nonce))
         return {absl::UnauthenticatedError("the acceptor holds another peer key"), {}, false};
     if (peer.process.address != dialled_)
--- a/src/inner/handshake.h
+++ b/src/inner/handshake.h
@@ -68,7 +68,7 @@
     Hello self_;
     const std::string dialled_;
     std::string connectorNonce_;
-    bool done_ = false;
+    bool isComplete_ = false;
 };
 
 } // namespace kelptally::inner
--- a/src/inner/linkrefusal.cpp
+++ b/src/inner/linkrefusal.cpp
@@ -13,9 +13,9 @@
 
 } // namespace
 
-std::uint16_t closeCodeOf(const absl::Status &why)
+std::uint16_t closeCodeOf(const absl::Status &reason)
 {
-    switch (why.code()) {
+    switch (reason.code()) {
     case absl::StatusCode::kUnauthenticated:
         return closeKey;
     case absl::StatusCode::kFailedPrecondition:
@@ -32,9 +32,9 @@
     return closeCode >= closeMalformed && closeCode <= closeAddress;
 }
 
-bool isPersistent(const absl::Status &why)
+bool isPersistent(const absl::Status &reason)
 {
-    return !why.ok() && !absl::IsDeadlineExceeded(why);
+    return !reason.ok() && !absl::IsDeadlineExceeded(reason);
 }
 
 const char *refusalCause(std::uint16_t closeCode)
--- a/src/inner/linkrefusal.h
+++ b/src/inner/linkrefusal.h
@@ -12,14 +12,14 @@
 
 // Returns the close code for a link that this end refuses, from the range for private use (RFC
 // 6455, section 7.4.2).
-std::uint16_t closeCodeOf(const absl::Status &why);
+std::uint16_t closeCodeOf(const absl::Status &reason);
 
 // Whether a close code of the other end is one of these.
 bool isRefusal(std::uint16_t closeCode);
 
 // Whether a link that this end closed for the reason is likely to be closed again. Not after a
 // timeout: a silent peer may answer again at any time.
-bool isPersistent(const absl::Status &why);
+bool isPersistent(const absl::Status &reason);
 
 // Returns the cause for logs and counters.
 const char *refusalCause(std::uint16_t closeCode);
--- a/src/inner/linkstate.h
+++ b/src/inner/linkstate.h
@@ -66,7 +66,7 @@
 // Part of a link that is shared with senders on other threads.
 struct Channel
 {
-    explicit Channel(LinkId theId) : id(theId) { }
+    explicit Channel(LinkId linkId) : id(linkId) { }
 
     const LinkId id;
     std::atomic<bool> isUp {false};
@@ -97,7 +97,7 @@
     std::string peerAddress;
     decision::LinkWatch watch;
     // Why this end closed the link; OK if the other end or the network did.
-    absl::Status refused;
+    absl::Status closeReason;
 };
 using LinkPtr = std::shared_ptr<Link>;
 
--- a/src/inner/peerlink.h
+++ b/src/inner/peerlink.h
@@ -22,7 +22,8 @@
     virtual void onPeerUp(LinkId link, const Hello &peer) = 0;
     virtual void onPeerMessage(LinkId link, Message message) = 0;
     // The link is closed; outstanding answers on it will not arrive.
-    virtual void onPeerDown(LinkId link, const std::string &address, const absl::Status &why) = 0;
+    virtual void onPeerDown(LinkId link, const std::string &address,
+                            const absl::Status &reason) = 0;
 };
 
 // Links between kelptally processes: a listening endpoint, and one outgoing link per peer address.
--- a/src/inner/websocketlinks.cpp
+++ b/src/inner/websocketlinks.cpp
@@ -54,8 +54,8 @@
     void registerLink(const LinkPtr &link, const Connection &connection);
     void onOpen(const LinkPtr &link);
     void onLinkClosed(const LinkPtr &link);
-    void refuse(const LinkPtr &link, const absl::Status &why);
-    void abortLink(const LinkPtr &link, const absl::Status &why);
+    void refuse(const LinkPtr &link, const absl::Status &reason);
+    void abortLink(const LinkPtr &link, const absl::Status &reason);
     void checkLinks();
     void checkLink(const LinkPtr &link, Instant now);
 
@@ -314,7 +314,7 @@
 {
     link->watch.onReceived();
     link->watch.onMessage();
-    if (!link->refused.ok())
+    if (!link->closeReason.ok())
         return;
     absl::StatusOr<Message> message = decode(payload);
     if (!message.ok())
@@ -357,29 +357,29 @@
 }
 
 // Closes a link with a close code and reason for the other end.
-void WebsocketLinks::refuse(const LinkPtr &link, const absl::Status &why)
+void WebsocketLinks::refuse(const LinkPtr &link, const absl::Status &reason)
 {
-    if (!link->refused.ok())
+    if (!link->closeReason.ok())
         return;
-    link->refused = why;
-    const auto code = closeCodeOf(why);
+    link->closeReason = reason;
+    const auto code = closeCodeOf(reason);
     refusals_.count(refusalCause(code));
     const std::string &peer = link->dialled.empty() ? link->peerAddress : link->dialled;
     LOG(WARNING) << "event=peer_refused link=" << link->channel->id << " peer=" << peer
                  << " remote=" << link->connection->get_remote_endpoint()
-                 << " reason=" << refusalCause(code) << " cause=\"" << why.message() << '"';
+                 << " reason=" << refusalCause(code) << " cause=\"" << reason.message() << '"';
     websocketpp::lib::error_code error;
     constexpr std::size_t maxCloseReason = 120;
-    link->connection->close(code, std::string(why.message().substr(0, maxCloseReason)), error);
+    link->connection->close(code, std::string(reason.message().substr(0, maxCloseReason)), error);
     if (error)
-        abortLink(link, why);
+        abortLink(link, reason);
 }
 
 // Ends a link at once, without a closing handshake.
-void WebsocketLinks::abortLink(const LinkPtr &link, const absl::Status &why)
+void WebsocketLinks::abortLink(const LinkPtr &link, const absl::Status &reason)
 {
-    if (link->refused.ok())
-        link->refused = why;
+    if (link->closeReason.ok())
+        link->closeReason = reason;
     if (link->connection->get_state() != websocketpp::session::state::closed)
         link->connection->terminate(
             websocketpp::error::make_error_code(websocketpp::error::operation_canceled));
@@ -391,15 +391,15 @@
         return;
     // 1. Determine the cause.
     const Connection &connection = link->connection;
-    absl::Status why = link->refused;
+    absl::Status reason = link->closeReason;
     const auto code = connection->get_remote_close_code();
     const bool refusedByPeer = isRefusal(code);
-    if (why.ok() && refusedByPeer)
-        why = absl::PermissionDeniedError("refused by the peer: "
-                                          + connection->get_remote_close_reason());
-    if (why.ok())
-        why = absl::UnavailableError(connection->get_ec() ? connection->get_ec().message()
-                                                          : "closed by the peer");
+    if (reason.ok() && refusedByPeer)
+        reason = absl::PermissionDeniedError("refused by the peer: "
+                                             + connection->get_remote_close_reason());
+    if (reason.ok())
+        reason = absl::UnavailableError(connection->get_ec() ? connection->get_ec().message()
+                                                             : "closed by the peer");
     // 2. Stop sending on the link.
     {
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -414,18 +414,19 @@
     }
     // 3. Report and redial. A repeated cause is logged once.
     const auto target = targets_.find(link->dialled);
-    const bool isNewCause = target != targets_.end() && target->second.lastCause != why.message();
+    const bool isNewCause =
+        target != targets_.end() && target->second.lastCause != reason.message();
     if (link->isAuthenticated || isNewCause)
         LOG(INFO) << "event=peer_down link=" << link->channel->id
                   << " peer=" << (link->dialled.empty() ? link->peerAddress : link->dialled)
-                  << " cause=\"" << why.message() << '"';
+                  << " cause=\"" << reason.message() << '"';
     if (link->isAuthenticated)
-        events_.onPeerDown(link->channel->id, link->peerAddress, why);
+        events_.onPeerDown(link->channel->id, link->peerAddress, reason);
     if (target != targets_.end() && target->second.renewal == link)
         target->second.renewal = nullptr;
     if (target != targets_.end() && target->second.link == link) {
-        target->second.lastCause = std::string(why.message());
-        scheduleRedial(link->dialled, refusedByPeer || isPersistent(link->refused));
+        target->second.lastCause = std::string(reason.message());
+        scheduleRedial(link->dialled, refusedByPeer || isPersistent(link->closeReason));
     }
     // 4. Break the reference cycle: the connection's handlers hold the link.
     boost::asio::post(thread_.context(), [link] { link->connection = nullptr; });
--- a/src/services/httpclient.cpp
+++ b/src/services/httpclient.cpp
@@ -284,11 +284,11 @@
     job->callback = std::move(callback);
     const std::weak_ptr<Pool> weak = shared_from_this();
     if (queue_.size() >= maxQueued || endpoint_.port() == 0) {
-        const char *why =
+        const char *reason =
             endpoint_.port() == 0 ? " is not an address" : ": too many calls are waiting";
-        asio::post(context_, [weak, job, why] {
+        asio::post(context_, [weak, job, reason] {
             if (const auto pool = weak.lock())
-                pool->finish(job, absl::UnavailableError(pool->address_ + why));
+                pool->finish(job, absl::UnavailableError(pool->address_ + reason));
         });
         return;
     }
--- a/src/services/storecircuitbreaker.cpp
+++ b/src/services/storecircuitbreaker.cpp
@@ -9,8 +9,7 @@
 
 namespace {
 
-// Maximum number of queued calls.
-constexpr std::size_t maxWaiting = 1024;
+constexpr std::size_t maxQueuedCalls = 1024;
 // After an outage of at least this long, calls still in flight are aborted and sent again: they may
 // never be answered.
 constexpr Duration minOutageToAbortCalls = std::chrono::seconds(1);
@@ -107,7 +106,7 @@
 {
     parts_.timers.cancel(call->timeoutTimer);
     releaseSlot(*call);
-    const bool full = waiting_.size() >= maxWaiting;
+    const bool full = waiting_.size() >= maxQueuedCalls;
     if (full || parts_.timers.now() >= call->deadline) {
         call->done = true;
         call->fail(absl::UnavailableError(full ? "too many calls are waiting for the table service"
@@ -277,8 +276,8 @@
     if (recoveryAttemptScheduled_ || isAnswering())
         return;
     recoveryAttemptScheduled_ = true;
-    const Duration pause = health_.retryDelay(parts_.timers.now(), parts_.jitter());
-    parts_.timers.subscribeAfter(pause, [this, alive = alive_] {
+    const Duration delay = health_.retryDelay(parts_.timers.now(), parts_.jitter());
+    parts_.timers.subscribeAfter(delay, [this, alive = alive_] {
         if (!*alive)
             return;
         recoveryAttemptScheduled_ = false;
--- a/tests/inner/codec_test.cpp
+++ b/tests/inner/codec_test.cpp
@@ -144,10 +144,10 @@
 {
     const std::string locate = bytesOf({0x84, 6, 1, 0x61, 'g'});
     // The message's own array and its four elements count too.
-    const std::size_t room = maxItems - 5;
-    const auto count = static_cast<std::uint32_t>(room);
-    CHECK(decode(locate + longArrayHead(count) + std::string(room, '\1')).ok());
-    CHECK_FALSE(decode(locate + longArrayHead(count + 1) + std::string(room + 1, '\1')).ok());
+    const std::size_t remaining = maxItems - 5;
+    const auto count = static_cast<std::uint32_t>(remaining);
+    CHECK(decode(locate + longArrayHead(count) + std::string(remaining, '\1')).ok());
+    CHECK_FALSE(decode(locate + longArrayHead(count + 1) + std::string(remaining + 1, '\1')).ok());
 }
 
 TEST_CASE("Names and lists have their own bounds")
--- a/tests/inner/linkfixtures.h
+++ b/tests/inner/linkfixtures.h
@@ -43,7 +43,7 @@
     {
         LinkId link;
         std::string address;
-        absl::Status why;
+        absl::Status reason;
     };
 
     void onPeerUp(LinkId link, const Hello &peer) override
@@ -54,9 +54,9 @@
     {
         record([&] { messages.push_back({link, std::move(message)}); });
     }
-    void onPeerDown(LinkId link, const std::string &address, const absl::Status &why) override
+    void onPeerDown(LinkId link, const std::string &address, const absl::Status &reason) override
     {
-        record([&] { downs.push_back({link, address, why}); });
+        record([&] { downs.push_back({link, address, reason}); });
     }
 
     bool waitForUps(std::size_t count)
--- a/tests/inner/peerlinks_test.cpp
+++ b/tests/inner/peerlinks_test.cpp
@@ -220,7 +220,7 @@
     b.reset();
     REQUIRE(a.events.waitForDowns(1));
     CHECK(a.events.downs[0].address == address);
-    CHECK_FALSE(a.events.downs[0].why.ok());
+    CHECK_FALSE(a.events.downs[0].reason.ok());
     CHECK(a.links->sendTo(address, Locate()).code() == absl::StatusCode::kUnavailable);
     CHECK(a.links->sendOn(a.events.ups[0].link, Locate()).code() == absl::StatusCode::kUnavailable);
 
@@ -257,8 +257,8 @@
     relay.setDropping(true);
     REQUIRE(a.events.waitForDowns(1));
     REQUIRE(b.events.waitForDowns(1));
-    CHECK(a.events.downs[0].why.code() == absl::StatusCode::kDeadlineExceeded);
-    CHECK(b.events.downs[0].why.code() == absl::StatusCode::kDeadlineExceeded);
+    CHECK(a.events.downs[0].reason.code() == absl::StatusCode::kDeadlineExceeded);
+    CHECK(b.events.downs[0].reason.code() == absl::StatusCode::kDeadlineExceeded);
     relay.setDropping(false);
     CHECK(a.events.waitForUps(2));
 }
--- a/tests/services/httpservices_test.cpp
+++ b/tests/services/httpservices_test.cpp
@@ -244,11 +244,11 @@
     fixture.setFaults(R"({"service":"tables","slowMs":600000})");
     // As text: absl::Status counts references in code without thread sanitizer instrumentation.
     std::promise<std::string> refused;
-    std::atomic<bool> told {false};
+    std::atomic<bool> isPromiseSet {false};
     boost::asio::post(fixture.thread.context(), [&] {
         for (int i = 0; i < 300; ++i)
             fixture.tables->read("t", "k", [&](absl::StatusOr<std::optional<TableRow>> row) {
-                if (!told.exchange(true))
+                if (!isPromiseSet.exchange(true))
                     refused.set_value(row.status().ToString());
             });
     });
--- a/tests/services/tablefollower_test.cpp
+++ b/tests/services/tablefollower_test.cpp
@@ -17,11 +17,11 @@
         ++snapshots;
         onSnapshot = std::move(callback);
     }
-    void changes(const std::string &, std::uint64_t place, Duration theWait,
+    void changes(const std::string &, std::uint64_t version, Duration longPollTime,
                  ChangesCallback callback) override
     {
-        after = place;
-        wait = theWait;
+        after = version;
+        wait = longPollTime;
         onChanges = std::move(callback);
     }
 
