--- a/src/group/grouphost.cpp
+++ b/src/group/grouphost.cpp
@@ -172,7 +172,7 @@
     if (entry == nullptr)
         return;
     const auto lend = [this, link, group](inner::StatementDone &done) {
-        done.lentConnections = connectionsLentTo(link, group);
+        done.grantedConnections = connectionsLentTo(link, group);
     };
     // 1. Single reads may run twice.
     if (session::isSingleRead(statement)) {
--- a/src/group/localreads.cpp
+++ b/src/group/localreads.cpp
@@ -68,9 +68,9 @@
         return;
     Group &group = groups_[statement.group];
     group.positions.add(sent - done.logAge, *done.logPosition);
-    if (group.connectionLimit == done.lentConnections)
+    if (group.connectionLimit == done.grantedConnections)
         return;
-    group.connectionLimit = done.lentConnections;
+    group.connectionLimit = done.grantedConnections;
     for (const auto &[id, server] : group.servers)
         server->limitConnections(group.connectionLimit);
 }
--- a/src/inner/codec.cpp
+++ b/src/inner/codec.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Bytes of most messages; saves the growth of the text.
-constexpr std::size_t typicalBytes = 512;
+// Most messages fit, which avoids reallocations.
+constexpr std::size_t initialCapacity = 512;
 
 template <std::size_t Type>
 absl::StatusOr<Message> readFields(CborReader &reader)
@@ -25,7 +25,7 @@
 
 using ReadFields = absl::StatusOr<Message> (*)(CborReader &);
 
-// One reader for each type, at the index of the type.
+// The reader of each type, at the type's index.
 template <std::size_t... Types>
 constexpr std::array<ReadFields, sizeof...(Types)> makeReaders(std::index_sequence<Types...>)
 {
@@ -39,7 +39,7 @@
 absl::StatusOr<std::string> encode(const Message &message)
 {
     std::string bytes;
-    bytes.reserve(typicalBytes);
+    bytes.reserve(initialCapacity);
     CborWriter writer(bytes);
     std::visit([&](const auto &fields) { writer.message(message.index(), fields); }, message);
     if (!writer.status().ok())
@@ -50,7 +50,7 @@
 absl::StatusOr<Message> decode(std::string_view bytes)
 {
     if (bytes.size() > maxFrameBytes)
-        return absl::InvalidArgumentError("the message is larger than a frame may be");
+        return absl::InvalidArgumentError("the message exceeds the maximum frame size");
     CborReader reader(bytes);
     const std::size_t type = reader.enterMessage();
     if (!reader.status().ok())
--- a/src/inner/handshake.cpp
+++ b/src/inner/handshake.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t nonceBytes = 16;
 
-// Fixed start of what is signed, so that the key's other uses can't be confused with this one.
+// Prefix of the signed text, for domain separation from other uses of the key.
 constexpr const char *proofPurpose = "kelptally-peer-hello";
 
 void appendField(std::string &text, const std::string &field)
@@ -52,8 +52,8 @@
     return digestToHex(hmacSha256(peerKey, text));
 }
 
-bool proofHolds(const std::string &peerKey, LinkRole role, const Hello &hello,
-                const std::string &otherNonce)
+bool isProofValid(const std::string &peerKey, LinkRole role, const Hello &hello,
+                  const std::string &otherNonce)
 {
     const std::string expected = helloProof(peerKey, role, hello, otherNonce);
     return hello.proof.size() == expected.size()
@@ -81,8 +81,8 @@
 
 HelloStep HelloExchange::onHello(const Hello &peer)
 {
-    if (done_)
-        return {absl::InvalidArgumentError("a Hello out of turn"), {}, false};
+    if (isComplete_)
+        return {absl::InvalidArgumentError("an unexpected Hello"), {}, false};
     const absl::Status versions = checkVersions(self_, peer);
     if (!versions.ok())
         return {versions, {}, false};
@@ -96,14 +96,14 @@
     if (peer.nonce.size() != self_.nonce.size())
         return {absl::InvalidArgumentError("a Hello without a nonce"), {}, false};
     connectorNonce_ = peer.nonce;
-    return {absl::OkStatus(), provenSelf(connectorNonce_), false};
+    return {absl::OkStatus(), helloWithProof(connectorNonce_), false};
 }
 
 HelloStep HelloExchange::onConnectorProof(const Hello &peer)
 {
-    done_ = true;
+    isComplete_ = true;
     const bool holds = peer.nonce == connectorNonce_
-        && proofHolds(peerKey_, LinkRole::Connector, peer, self_.nonce);
+        && isProofValid(peerKey_, LinkRole::Connector, peer, self_.nonce);
     if (!holds)
         return {absl::UnauthenticatedError("the connector holds another peer key"), {}, false};
     return {absl::OkStatus(), {}, true};
@@ -111,17 +111,17 @@
 
 HelloStep HelloExchange::onAcceptorHello(const Hello &peer)
 {
-    done_ = true;
-    if (!proofHolds(peerKey_, LinkRole::Acceptor, peer, self_.nonce))
+    isComplete_ = true;
+    if (!isProofValid(peerKey_, LinkRole::Acceptor, peer, self_.nonce))
         return {absl::UnauthenticatedError("the acceptor holds another peer key"), {}, false};
     if (peer.process.address != dialled_)
-        return {absl::NotFoundError("the process there calls itself " + peer.process.address),
+        return {absl::NotFoundError("the process identifies itself as " + peer.process.address),
                 {},
                 false};
-    return {absl::OkStatus(), provenSelf(peer.nonce), true};
+    return {absl::OkStatus(), helloWithProof(peer.nonce), true};
 }
 
-Hello HelloExchange::provenSelf(const std::string &otherNonce) const
+Hello HelloExchange::helloWithProof(const std::string &otherNonce) const
 {
     Hello hello = self_;
     hello.proof = helloProof(peerKey_, role_, hello, otherNonce);
--- a/tests/inner/handshake_test.cpp
+++ b/tests/inner/handshake_test.cpp
@@ -24,22 +24,22 @@
 
 } // namespace
 
-TEST_CASE("Both ends prove the key to each other")
+TEST_CASE("Both ends authenticate each other")
 {
     Ends ends;
     const HelloStep answer = ends.acceptor.onHello(ends.connector.first());
     REQUIRE(answer.status.ok());
-    CHECK_FALSE(answer.proven);
+    CHECK_FALSE(answer.isAuthenticated);
     const HelloStep proof = ends.connector.onHello(*answer.reply);
     REQUIRE(proof.status.ok());
-    CHECK(proof.proven);
+    CHECK(proof.isAuthenticated);
     const HelloStep last = ends.acceptor.onHello(*proof.reply);
     CHECK(last.status.ok());
-    CHECK(last.proven);
+    CHECK(last.isAuthenticated);
     CHECK(ends.acceptor.onHello(*proof.reply).status.code() == absl::StatusCode::kInvalidArgument);
 }
 
-TEST_CASE("A proof can't be replayed on another link or sent back")
+TEST_CASE("A proof can't be replayed on another link or reflected")
 {
     Ends first;
     const Hello answer = *first.acceptor.onHello(first.connector.first()).reply;
@@ -48,10 +48,10 @@
     Ends second;
     // An acceptor's proof for an older connector's nonce.
     CHECK(second.connector.onHello(answer).status.code() == absl::StatusCode::kUnauthenticated);
-    // A connector's whole exchange, replayed to the acceptor.
+    // A connector's complete exchange, replayed to the acceptor.
     REQUIRE(second.acceptor.onHello(first.connector.first()).status.ok());
     CHECK(second.acceptor.onHello(proof).status.code() == absl::StatusCode::kUnauthenticated);
-    // The acceptor's own proof, sent back to it by an end that uses its nonce.
+    // The acceptor's own proof, reflected to it.
     HelloExchange acceptor(LinkRole::Acceptor, "key", helloOf("a"));
     Hello mirror = helloOf("a");
     mirror.nonce = makeNonce();
@@ -60,21 +60,21 @@
     CHECK(acceptor.onHello(mirror).status.code() == absl::StatusCode::kUnauthenticated);
 }
 
-TEST_CASE("Every field of a Hello is under the proof")
+TEST_CASE("The proof covers every field of a Hello")
 {
     const std::string other = makeNonce();
     Hello hello = helloOf("a");
     hello.nonce = makeNonce();
     hello.proof = helloProof("key", LinkRole::Acceptor, hello, other);
-    REQUIRE(proofHolds("key", LinkRole::Acceptor, hello, other));
+    REQUIRE(isProofValid("key", LinkRole::Acceptor, hello, other));
 
-    CHECK_FALSE(proofHolds("kez", LinkRole::Acceptor, hello, other));
-    CHECK_FALSE(proofHolds("key", LinkRole::Connector, hello, other));
-    CHECK_FALSE(proofHolds("key", LinkRole::Acceptor, hello, makeNonce()));
+    CHECK_FALSE(isProofValid("kez", LinkRole::Acceptor, hello, other));
+    CHECK_FALSE(isProofValid("key", LinkRole::Connector, hello, other));
+    CHECK_FALSE(isProofValid("key", LinkRole::Acceptor, hello, makeNonce()));
     const auto altered = [&](auto change) {
         Hello copy = hello;
         change(copy);
-        return !proofHolds("key", LinkRole::Acceptor, copy, other);
+        return !isProofValid("key", LinkRole::Acceptor, copy, other);
     };
     CHECK(altered([](Hello &h) { ++h.newestVersion; }));
     CHECK(altered([](Hello &h) { --h.oldestVersion; }));
@@ -85,11 +85,11 @@
     CHECK(altered([](Hello &h) { ++h.configVersion; }));
     CHECK(altered([](Hello &h) { h.nonce = makeNonce(); }));
     CHECK(altered([](Hello &h) { h.proof.clear(); }));
-    // The border between two fields counts.
+    // The boundary between two fields is covered too.
     CHECK(altered([](Hello &h) { h.host = "hos", h.zone = "tzone"; }));
 }
 
-TEST_CASE("Adjacent versions talk and others don't")
+TEST_CASE("Only overlapping version ranges are compatible")
 {
     Hello older;
     older.newestVersion = 2;
--- a/tests/inner/linkfixtures.h
+++ b/tests/inner/linkfixtures.h
@@ -12,10 +12,10 @@
 #include <mutex>
 #include <thread>
 
-// Helpers for tests on real sockets. Waits are generous, as the machine may be loaded.
+// Helpers for tests with real sockets. Timeouts are long, as the machine may be loaded.
 namespace kelptally::inner {
 
-constexpr auto patience = std::chrono::seconds(30);
+constexpr auto waitTimeout = std::chrono::seconds(30);
 
 inline std::string freeAddress()
 {
@@ -25,11 +25,11 @@
     return "127.0.0.1:" + std::to_string(tcp::acceptor(context, any).local_endpoint().port());
 }
 
-// Keeps all events of one process's links.
+// Records all events of a process's links.
 class RecordedEvents : public PeerEvents
 {
 public:
-    struct Up
+    struct LinkUp
     {
         LinkId link;
         Hello peer;
@@ -39,11 +39,11 @@
         LinkId link;
         Message message;
     };
-    struct Down
+    struct LinkDown
     {
         LinkId link;
         std::string address;
-        absl::Status why;
+        absl::Status reason;
     };
 
     void onPeerUp(LinkId link, const Hello &peer) override
@@ -54,9 +54,9 @@
     {
         record([&] { messages.push_back({link, std::move(message)}); });
     }
-    void onPeerDown(LinkId link, const std::string &address, const absl::Status &why) override
+    void onPeerDown(LinkId link, const std::string &address, const absl::Status &reason) override
     {
-        record([&] { downs.push_back({link, address, why}); });
+        record([&] { downs.push_back({link, address, reason}); });
     }
 
     bool waitForUps(std::size_t count)
@@ -72,10 +72,10 @@
         return wait([&] { return downs.size() >= count; });
     }
 
-    // Read after a wait, when nothing more is expected.
-    std::vector<Up> ups;
+    // Read only after a wait, when no more events are expected.
+    std::vector<LinkUp> ups;
     std::vector<Received> messages;
-    std::vector<Down> downs;
+    std::vector<LinkDown> downs;
 
 private:
     template <typename Change>
@@ -89,14 +89,14 @@
     bool wait(Condition condition)
     {
         std::unique_lock<std::mutex> lock(mutex_);
-        return changed_.wait_for(lock, patience, condition);
+        return changed_.wait_for(lock, waitTimeout, condition);
     }
 
     std::mutex mutex_;
     std::condition_variable changed_;
 };
 
-// One process: its links and what they reported.
+// A process: its links and their events.
 struct Process
 {
     explicit Process(PeerLinkOptions theOptions) : options(std::move(theOptions))
@@ -123,11 +123,11 @@
     return options;
 }
 
-// Whether the condition comes true in time; for what only shows as a counter.
+// Polls until the condition holds; returns false on a timeout.
 template <typename Condition>
 bool becomesTrue(Condition condition)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto end = std::chrono::steady_clock::now() + waitTimeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() > end)
             return false;
--- a/tests/inner/peerlinks_test.cpp
+++ b/tests/inner/peerlinks_test.cpp
@@ -59,7 +59,7 @@
             answer += byte;
     }
 
-    // Everything until the other end closes.
+    // Reads until the other end closes.
     std::string readAll()
     {
         std::string all;
@@ -77,7 +77,7 @@
     tcp::socket socket_;
 };
 
-// The head of a masked binary frame (mask zero; RFC 6455, section 5.2).
+// Returns the head of a binary frame with a zero mask (RFC 6455, section 5.2).
 std::string frameHead(std::uint64_t length)
 {
     const int width = length < 126 ? 0 : length < 65536 ? 2 : 8;
@@ -88,7 +88,7 @@
     return head + std::string(4, '\0');
 }
 
-// Passes bytes on between two processes until it is told to lose them, which neither end notices.
+// Forwards bytes between two processes, or drops them without closing the connection.
 class Relay
 {
 public:
@@ -104,9 +104,9 @@
         thread_.join();
     }
 
-    void lose(bool losing) { losing_ = losing; }
-    // Connections that are open now lose everything; new ones work.
-    void loseOpen() { ++generation_; }
+    void setDropping(bool isDropping) { isDropping_ = isDropping; }
+    // Drops all bytes of the open connections; new ones work.
+    void dropOpenConnections() { ++generation_; }
 
 private:
     struct Pipe
@@ -136,36 +136,37 @@
         });
     }
 
-    void pump(const PipePtr &pipe, tcp::socket &from, tcp::socket &to, std::array<char, 4096> &room)
+    void pump(const PipePtr &pipe, tcp::socket &from, tcp::socket &to,
+              std::array<char, 4096> &chunk)
     {
         from.async_read_some(
-            boost::asio::buffer(room),
+            boost::asio::buffer(chunk),
             [&, this, pipe](const boost::system::error_code &error, std::size_t count) {
                 boost::system::error_code ignored;
-                const bool losing = losing_ || pipe->generation != generation_;
+                const bool isDropping = isDropping_ || pipe->generation != generation_;
                 if (error) {
-                    // While bytes are lost, so is the end of the connection.
-                    if (!losing)
+                    // The end of the connection is dropped too.
+                    if (!isDropping)
                         to.shutdown(tcp::socket::shutdown_both, ignored);
                     return;
                 }
-                if (!losing)
-                    boost::asio::write(to, boost::asio::buffer(room, count), ignored);
-                pump(pipe, from, to, room);
+                if (!isDropping)
+                    boost::asio::write(to, boost::asio::buffer(chunk, count), ignored);
+                pump(pipe, from, to, chunk);
             });
     }
 
     const tcp::endpoint target_;
     boost::asio::io_context context_;
     tcp::acceptor acceptor_;
-    std::atomic<bool> losing_ {false};
+    std::atomic<bool> isDropping_ {false};
     std::atomic<int> generation_ {0};
     std::thread thread_;
 };
 
 } // namespace
 
-TEST_CASE("Messages go both ways in order")
+TEST_CASE("Messages arrive in order in both directions")
 {
     Process a(linkOptions(freeAddress(), 11));
     Process b(linkOptions(freeAddress(), 22));
@@ -197,7 +198,7 @@
     CHECK(a.events.messages[0].link == a.events.ups[0].link);
 }
 
-TEST_CASE("A process may link to itself")
+TEST_CASE("A process can link to itself")
 {
     Process self(linkOptions(freeAddress()));
     REQUIRE(self.links);
@@ -208,7 +209,7 @@
     CHECK(std::get<ConfigNotice>(self.events.messages[0].message).version == 3);
 }
 
-TEST_CASE("A link comes back after the peer was replaced")
+TEST_CASE("A link is reopened after the peer was replaced")
 {
     Process a(linkOptions(freeAddress()));
     const std::string address = freeAddress();
@@ -219,7 +220,7 @@
     b.reset();
     REQUIRE(a.events.waitForDowns(1));
     CHECK(a.events.downs[0].address == address);
-    CHECK_FALSE(a.events.downs[0].why.ok());
+    CHECK_FALSE(a.events.downs[0].reason.ok());
     CHECK(a.links->sendTo(address, Locate()).code() == absl::StatusCode::kUnavailable);
     CHECK(a.links->sendOn(a.events.ups[0].link, Locate()).code() == absl::StatusCode::kUnavailable);
 
@@ -234,7 +235,7 @@
     CHECK(a.links->sendTo(address, Locate()).code() == absl::StatusCode::kUnavailable);
 }
 
-TEST_CASE("A silent link is found by both ends, and an idle one stays")
+TEST_CASE("Both ends close a silent link and keep an idle one")
 {
     PeerLinkOptions options = linkOptions(freeAddress());
     options.silenceTimeout = std::chrono::milliseconds(2000);
@@ -248,28 +249,28 @@
     a.links->connect(relayed);
     REQUIRE(a.events.waitForUps(1));
     REQUIRE(b.events.waitForUps(1));
-    // Nobody sends for longer than the timeout; the pings keep the link.
+    // No messages for longer than the timeout: pings keep the link open.
     std::this_thread::sleep_for(std::chrono::milliseconds(2500));
     REQUIRE(a.links->sendTo(relayed, ConfigNotice {1}).ok());
     REQUIRE(b.events.waitForMessages(1));
 
-    relay.lose(true);
+    relay.setDropping(true);
     REQUIRE(a.events.waitForDowns(1));
     REQUIRE(b.events.waitForDowns(1));
-    CHECK(a.events.downs[0].why.code() == absl::StatusCode::kDeadlineExceeded);
-    CHECK(b.events.downs[0].why.code() == absl::StatusCode::kDeadlineExceeded);
-    relay.lose(false);
+    CHECK(a.events.downs[0].reason.code() == absl::StatusCode::kDeadlineExceeded);
+    CHECK(b.events.downs[0].reason.code() == absl::StatusCode::kDeadlineExceeded);
+    relay.setDropping(false);
     CHECK(a.events.waitForUps(2));
 }
 
-TEST_CASE("Silence is no lasting reason to give a link up, as a wrong key is")
+TEST_CASE("A timeout is not a persistent cause, unlike a wrong key")
 {
-    CHECK(lasts(absl::PermissionDeniedError("another key")));
-    CHECK_FALSE(lasts(absl::DeadlineExceededError("nothing heard in time")));
-    CHECK_FALSE(lasts(absl::OkStatus()));
+    CHECK(isPersistent(absl::PermissionDeniedError("another key")));
+    CHECK_FALSE(isPersistent(absl::DeadlineExceededError("nothing received in time")));
+    CHECK_FALSE(isPersistent(absl::OkStatus()));
 }
 
-TEST_CASE("A silent link is replaced by one that is dialled beside it, without a moment of none")
+TEST_CASE("A silent link is replaced by a new one without a gap")
 {
     Process a(linkOptions(freeAddress()));
     const std::string relayed = freeAddress();
@@ -280,9 +281,9 @@
     a.links->connect(relayed);
     REQUIRE(a.events.waitForUps(1));
     REQUIRE(b.events.waitForUps(1));
-    relay.loseOpen();
+    relay.dropOpenConnections();
     REQUIRE(a.links->sendTo(relayed, ConfigNotice {1}).ok());
-    // Twice makes no second one.
+    // The second call has no effect.
     a.links->renew(relayed);
     a.links->renew(relayed);
     REQUIRE(a.events.waitForUps(2));
@@ -298,8 +299,7 @@
 
 namespace {
 
-// How long a link takes whose first attempt reaches a peer that says nothing, as one that has no
-// power yet, for its first 300 ms.
+// Returns the time until a link opens whose peer drops everything for the first 300 ms.
 std::chrono::steady_clock::duration timeToOpen(bool renewed)
 {
     Process a(linkOptions(freeAddress()));
@@ -308,11 +308,11 @@
     options.self.address = relayed;
     Process b(options);
     Relay relay(relayed, options.listenAddress);
-    relay.lose(true);
+    relay.setDropping(true);
     const auto dialledAt = std::chrono::steady_clock::now();
     a.links->connect(relayed);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    relay.lose(false);
+    relay.setDropping(false);
     if (renewed)
         a.links->renew(relayed);
     REQUIRE(a.events.waitForUps(1));
@@ -321,14 +321,14 @@
 
 } // namespace
 
-TEST_CASE("A link that hangs since it was dialled is opened by a renewal, long before it times out")
+TEST_CASE("Renewing a link that hangs while it opens is faster than its timeout")
 {
     const auto byItself = timeToOpen(false);
     const auto byRenewal = timeToOpen(true);
     CHECK(2 * byRenewal < byItself);
 }
 
-TEST_CASE("A renewal that nobody answers changes nothing")
+TEST_CASE("A renewal without an answer has no effect")
 {
     Process a(linkOptions(freeAddress()));
     {
@@ -342,7 +342,7 @@
     CHECK(a.events.ups.size() == 1);
 }
 
-TEST_CASE("A link that two parts want stays until both have dropped it")
+TEST_CASE("A link with two users stays open until both have dropped it")
 {
     Process a(linkOptions(freeAddress()));
     Process b(linkOptions(freeAddress()));
@@ -359,7 +359,7 @@
     CHECK(a.events.ups.size() == 1);
 }
 
-TEST_CASE("What was sent before a planned stop arrives")
+TEST_CASE("Messages sent before a shutdown arrive")
 {
     Process b(linkOptions(freeAddress()));
     constexpr std::size_t count = 500;
@@ -374,7 +374,7 @@
     CHECK(b.events.waitForDowns(1));
 }
 
-TEST_CASE("Another key, version or process is refused and counted")
+TEST_CASE("A wrong key, version or process is refused and counted")
 {
     Metrics metrics;
     PeerLinkOptions acceptor = linkOptions(freeAddress());
@@ -415,7 +415,7 @@
     }
 }
 
-TEST_CASE("An unproven end can neither speak, nor send much, nor stay")
+TEST_CASE("An unauthenticated end can't send messages or large frames, or stay connected")
 {
     Metrics metrics;
     PeerLinkOptions options = linkOptions(freeAddress());
@@ -433,7 +433,7 @@
         CHECK(client.readAll().find("a message before Hello") != std::string::npos);
         CHECK(refused(metrics, "malformed"));
     }
-    SECTION("a proof of nothing")
+    SECTION("an invalid proof")
     {
         client.upgrade();
         Hello hello;
@@ -468,7 +468,7 @@
     CHECK(process.events.messages.empty());
 }
 
-TEST_CASE("A message over the bound is refused by its sender, and nothing is lost")
+TEST_CASE("A message over the limit is refused by its sender, and the link stays open")
 {
     Process a(linkOptions(freeAddress()));
     Process b(linkOptions(freeAddress()));
@@ -482,7 +482,7 @@
     CHECK(std::get<ConfigAnswer>(b.events.messages[0].message).document == large.document);
 }
 
-TEST_CASE("A full send buffer refuses and goes on afterwards")
+TEST_CASE("A full send buffer refuses messages until it has drained")
 {
     PeerLinkOptions small = linkOptions(freeAddress());
     small.sendBufferBytes = 100;
@@ -499,7 +499,7 @@
     CHECK(b.events.waitForMessages(1));
 }
 
-TEST_CASE("Links need a key and an address of their own")
+TEST_CASE("Links need a key and a free address")
 {
     RecordedEvents events;
     PeerLinkOptions options = linkOptions(freeAddress());
--- a/tests/inner/samplemessages.h
+++ b/tests/inner/samplemessages.h
@@ -2,7 +2,7 @@
 
 #include "inner/messages.h"
 
-// Messages with every field set to something other than its default.
+// Sample messages in which every field has a non-default value.
 namespace kelptally::inner {
 
 inline Execute sampleExecute()
@@ -90,7 +90,7 @@
     message.owner = {"127.0.0.2:7000", 8};
     message.logPosition = Position {3, 14};
     message.logAge = std::chrono::milliseconds(6);
-    message.lentConnections = 2;
+    message.grantedConnections = 2;
     return message;
 }
 
@@ -134,7 +134,7 @@
                      {{"offers", "{}", 18, false}, {"deposits", "", 20, true}},
                      true},
         QuotaRequest {"town-water", 4500},
-        QuotaGift {"town-water", 1250},
+        QuotaGrant {"town-water", 1250},
     };
 }
 
--- a/tests/services/storegate_test.cpp
+++ b/tests/services/storecircuitbreaker_test.cpp
@@ -1,5 +1,5 @@
 #include "core/manualtimerservice.h"
-#include "services/storegate.h"
+#include "services/storecircuitbreaker.h"
 #include "services/tablefollower.h"
 
 #include <catch2/catch.hpp>
@@ -12,12 +12,12 @@
 
 namespace {
 
-// A service that answers, hangs, refuses or resets, and counts what reaches it.
+// A service that answers, hangs, refuses or resets calls, and counts them.
 struct FakeStore : public TableService, public TableFeed
 {
     enum class Mode {
         Answers,
-        // What is asked now is never answered, also later.
+        // Calls made in this mode are never answered, unless by lateAnswers.
         Silent,
         Refuses,
         Resets,
@@ -26,14 +26,15 @@
     explicit FakeStore(TimerService &theTimers) : timers(theTimers) { }
 
     template <typename Result>
-    void answer(Result result, Duration hold, std::function<void(absl::StatusOr<Result>)> callback)
+    void answer(Result result, Duration longPollTime,
+                std::function<void(absl::StatusOr<Result>)> callback)
     {
         ++calls;
-        const int id = ++lastOpen;
+        const int id = ++lastCallId;
         open[id] = [callback] { callback(absl::DeadlineExceededError("no answer")); };
-        timers.subscribeAfter(hold + 2s, [this, id] { end(id); });
+        timers.subscribeAfter(longPollTime + 2s, [this, id] { end(id); });
         if (mode == Mode::Silent) {
-            late.push_back([this, callback, result, id] {
+            lateAnswers.push_back([this, callback, result, id] {
                 if (open.erase(id) != 0)
                     callback(result);
             });
@@ -42,9 +43,9 @@
         const absl::Status status = mode == Mode::Refuses ? absl::UnavailableError("503")
             : mode == Mode::Resets                        ? absl::UnknownError("reset")
                                                           : absl::OkStatus();
-        timers.subscribeAfter(status.ok() ? took + hold : took,
+        timers.subscribeAfter(status.ok() ? latency + longPollTime : latency,
                               [this, callback, status, result, id] {
-                                  // A held question is cut off with the service.
+                                  // An outage also ends a long poll without an answer.
                                   if (mode == Mode::Silent || open.erase(id) == 0)
                                       return;
                                   if (status.ok())
@@ -62,9 +63,9 @@
         open.erase(found);
         callback();
     }
-    void giveUp()
+    void abortOpenCalls()
     {
-        ++givenUp;
+        ++abortCount;
         while (!open.empty())
             end(open.begin()->first);
     }
@@ -96,16 +97,16 @@
 
     TimerService &timers;
     Mode mode = Mode::Answers;
-    // Connections open also while it is silent.
-    bool accepts = false;
-    Duration took {4ms};
+    // Whether connections can be opened also while it is silent.
+    bool acceptsConnections = false;
+    Duration latency {4ms};
     int calls = 0;
     int writes = 0;
-    int givenUp = 0;
+    int abortCount = 0;
     std::map<int, std::function<void()>> open;
-    // Answers what was asked in silence, unless that has been given up.
-    std::vector<std::function<void()>> late;
-    int lastOpen = 0;
+    // Answer the calls made in Silent mode, unless these were aborted.
+    std::vector<std::function<void()>> lateAnswers;
+    int lastCallId = 0;
 };
 
 struct Fixture
@@ -119,36 +120,36 @@
     Metrics metrics;
     FakeStore store {timers};
     int probes = 0;
-    StoreGate gate {{timers, store, store, log, metrics, 2s,
-                     [this](std::function<void(bool)> callback) {
-                         ++probes;
-                         const bool reached =
-                             store.accepts || store.mode != FakeStore::Mode::Silent;
-                         timers.subscribeAfter(reached ? 2ms : 150ms,
-                                               [callback, reached] { callback(reached); });
-                     },
-                     [this] { store.giveUp(); }, [] { return 0.5; }}};
-
-    // Calls back with the status of the answer; -1 while there is none.
+    StoreCircuitBreaker breaker {
+        {timers, store, store, log, metrics, 2s,
+         [this](std::function<void(bool)> callback) {
+             ++probes;
+             const bool reached = store.acceptsConnections || store.mode != FakeStore::Mode::Silent;
+             timers.subscribeAfter(reached ? 2ms : 150ms,
+                                   [callback, reached] { callback(reached); });
+         },
+         [this] { store.abortOpenCalls(); }, [] { return 0.5; }}};
+
+    // Returns the status code of the answer; -1 while there is none.
     std::shared_ptr<int> read()
     {
         const auto outcome = std::make_shared<int>(-1);
-        gate.read("t", "k", [outcome](auto row) { *outcome = int(row.status().code()); });
+        breaker.read("t", "k", [outcome](auto row) { *outcome = int(row.status().code()); });
         return outcome;
     }
     std::shared_ptr<int> write()
     {
         const auto outcome = std::make_shared<int>(-1);
-        gate.write({{"t", "k", "v", "1"}},
-                   [outcome](auto tags) { *outcome = int(tags.status().code()); });
+        breaker.write({{"t", "k", "v", "1"}},
+                      [outcome](auto tags) { *outcome = int(tags.status().code()); });
         return outcome;
     }
-    void lose(FakeStore::Mode mode)
+    void loseService(FakeStore::Mode mode)
     {
         store.mode = mode;
         read();
         timers.advance(1s);
-        REQUIRE(!gate.answers());
+        REQUIRE(!breaker.isAnswering());
     }
 };
 
@@ -156,7 +157,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(Fixture, "While the service answers, calls pass and nothing else is sent")
+TEST_CASE_METHOD(Fixture, "Calls pass through while the service answers")
 {
     const auto outcome = read();
     timers.advance(10ms);
@@ -165,83 +166,81 @@
     CHECK(probes == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "A silent service is noticed by one call, and nothing is sent meanwhile")
+TEST_CASE_METHOD(Fixture, "One timeout opens the breaker, and no calls are sent while it is open")
 {
-    lose(FakeStore::Mode::Silent);
+    loseService(FakeStore::Mode::Silent);
     const int before = store.calls;
     const auto first = read();
     const auto second = write();
     timers.advance(1s);
     CHECK(store.calls == before);
     CHECK(probes > 4);
-    // What waits for longer than its time fails, as not sent.
+    // Calls queued past their deadline fail as not sent.
     timers.advance(2s);
     CHECK(*first == int(absl::StatusCode::kUnavailable));
     CHECK(*second == int(absl::StatusCode::kUnavailable));
     CHECK(store.writes == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "When the service is back all that waits is sent within 300 ms")
+TEST_CASE_METHOD(Fixture, "Queued calls are sent within 300 ms of the recovery")
 {
-    lose(FakeStore::Mode::Silent);
+    loseService(FakeStore::Mode::Silent);
     const auto first = read();
     const auto second = write();
     timers.advance(500ms);
     store.mode = FakeStore::Mode::Answers;
     timers.advance(300ms);
-    CHECK(gate.answers());
+    CHECK(breaker.isAnswering());
     CHECK(*first == ok);
     CHECK(*second == ok);
     CHECK(store.writes == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "Questions for changes that hang since before the loss are asked again")
+TEST_CASE_METHOD(Fixture, "Requests for changes that hang since before the outage are sent again")
 {
     std::vector<std::unique_ptr<TableFollower>> followers;
     for (const Duration wait : {2s, 5s, 9s}) {
         followers.push_back(std::make_unique<TableFollower>(
-            TableFollower::Parts {timers, gate, log}, "t", wait,
+            TableFollower::Parts {timers, breaker, log}, "t", wait,
             TableFollower::Handlers {[](const TableRow &) {}, [](const std::string &) {}, [] {}}));
         followers.back()->start();
     }
     timers.advance(1s);
     store.mode = FakeStore::Mode::Silent;
     timers.advance(3500ms);
-    REQUIRE(!gate.answers());
+    REQUIRE(!breaker.isAnswering());
     const int before = store.calls;
     store.mode = FakeStore::Mode::Answers;
     timers.advance(500ms);
-    // Each of them, the one that would have waited for four seconds more among them.
+    // All three, including the one whose long poll had four more seconds.
     CHECK(store.calls >= before + 3);
     CHECK(store.calls <= before + 4);
     timers.advance(20s);
-    CHECK(gate.answers());
+    CHECK(breaker.isAnswering());
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "A trial that hangs while a late answer tells of the return counts as no loss")
+TEST_CASE_METHOD(Fixture, "A trial that hangs during a recovery by a late answer is not a new loss")
 {
-    lose(FakeStore::Mode::Silent);
-    store.accepts = true;
+    loseService(FakeStore::Mode::Silent);
+    store.acceptsConnections = true;
     const auto first = read();
     const auto second = read();
-    const std::size_t before = store.late.size();
+    const std::size_t before = store.lateAnswers.size();
     timers.advance(1500ms);
-    // One trial after the other, on connections that say nothing.
-    REQUIRE(store.late.size() >= before + 2);
+    // At least two trials, on silent connections.
+    REQUIRE(store.lateAnswers.size() >= before + 2);
     store.mode = FakeStore::Mode::Answers;
-    store.late[store.late.size() - 2]();
-    CHECK(gate.answers());
+    store.lateAnswers[store.lateAnswers.size() - 2]();
+    CHECK(breaker.isAnswering());
     timers.advance(3s);
-    CHECK(gate.answers());
+    CHECK(breaker.isAnswering());
     CHECK(*first == ok);
     CHECK(*second == ok);
     CHECK(metrics.toText().find("kelptally_store_losses_total{state=\"silent\"} 1\n")
           != std::string::npos);
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "A write that is open at the return ends as unknown and is not sent twice")
+TEST_CASE_METHOD(Fixture, "A write in flight at the recovery ends as unknown and is not retried")
 {
     store.mode = FakeStore::Mode::Silent;
     const auto open = write();
@@ -251,12 +250,12 @@
     timers.advance(300ms);
     CHECK(*open == int(absl::StatusCode::kDeadlineExceeded));
     CHECK(store.writes == 1);
-    CHECK(gate.answers());
+    CHECK(breaker.isAnswering());
 }
 
-TEST_CASE_METHOD(Fixture, "A host that is turned away asks rarely, one call at a time")
+TEST_CASE_METHOD(Fixture, "A refused host sends trial calls rarely, one at a time")
 {
-    TableFollower follower({timers, gate, log}, "t", 5s,
+    TableFollower follower({timers, breaker, log}, "t", 5s,
                            {[](const TableRow &) {}, [](const std::string &) {}, [] {}});
     follower.start();
     for (const auto mode : {FakeStore::Mode::Refuses, FakeStore::Mode::Resets}) {
@@ -268,14 +267,14 @@
         const int before = store.calls;
         timers.advance(1900ms);
         CHECK(store.calls - before <= 5);
-        // Writes are refused at once, so that another host is asked.
+        // Writes fail at once, so that another host can take over.
         const auto refused = write();
         timers.advance(10ms);
         CHECK(*refused != -1);
         store.mode = FakeStore::Mode::Answers;
         timers.advance(1s);
-        CHECK(gate.answers());
-        // Whatever waits too long has failed, as before.
+        CHECK(breaker.isAnswering());
+        // Calls queued for too long have failed.
         for (const auto &outcome : waiting)
             CHECK(*outcome != -1);
         const auto after = read();
@@ -285,16 +284,16 @@
 }
 
 TEST_CASE_METHOD(Fixture,
-                 "A service that turns slow is taken for silent only until its first answer")
+                 "A service that becomes slow counts as silent only until its first answer")
 {
-    TableFollower follower({timers, gate, log}, "t", 5s,
+    TableFollower follower({timers, breaker, log}, "t", 5s,
                            {[](const TableRow &) {}, [](const std::string &) {}, [] {}});
     follower.start();
     timers.advance(1s);
-    store.took = 1500ms;
+    store.latency = 1500ms;
     read();
     timers.advance(4s);
-    CHECK(gate.answers());
+    CHECK(breaker.isAnswering());
     const int before = probes;
     for (int i = 0; i < 5; ++i) {
         const auto again = read();
@@ -304,68 +303,61 @@
     CHECK(probes == before);
 }
 
-TEST_CASE_METHOD(Fixture,
-                 "A service that accepts calls while it is silent is heard 500 ms after its return")
+TEST_CASE_METHOD(
+    Fixture, "A service that accepts connections while silent is available 500 ms after recovery")
 {
-    // Opening a connection works all the time, and calls made meanwhile are never answered.
-    store.accepts = true;
-    TableFollower follower({timers, gate, log}, "t", 5s,
+    // Connections can always be opened, but calls made during the outage are never answered.
+    store.acceptsConnections = true;
+    TableFollower follower({timers, breaker, log}, "t", 5s,
                            {[](const TableRow &) {}, [](const std::string &) {}, [] {}});
     follower.start();
-    TableFollower other({timers, gate, log}, "u", 9s,
+    TableFollower other({timers, breaker, log}, "u", 9s,
                         {[](const TableRow &) {}, [](const std::string &) {}, [] {}});
     other.start();
     for (int i = 0; i < 10; ++i) {
         timers.advance(100ms);
-        lose(FakeStore::Mode::Silent);
+        loseService(FakeStore::Mode::Silent);
         const int before = store.calls;
         timers.advance(2s + i * 37ms);
         CHECK(store.calls - before <= 9);
         store.mode = FakeStore::Mode::Answers;
         timers.advance(500ms);
-        CHECK(gate.answers());
-        // What was sent meanwhile runs into its timeout now, and is no news.
+        CHECK(breaker.isAnswering());
+        // The timeouts of calls sent during the outage don't open the breaker again.
         for (int j = 0; j < 40; ++j) {
             timers.advance(50ms);
-            CHECK(gate.answers());
+            CHECK(breaker.isAnswering());
         }
     }
 }
 
-TEST_CASE_METHOD(Fixture, "More calls than may wait are refused at once")
+TEST_CASE_METHOD(Fixture, "Calls beyond the limit of the queue fail at once")
 {
-    lose(FakeStore::Mode::Silent);
+    loseService(FakeStore::Mode::Silent);
     for (int i = 0; i < 1023; ++i)
         read();
     const auto last = read();
     CHECK(*last == int(absl::StatusCode::kUnavailable));
 }
 
-// A read waits in the gate while the service turns this host away, and is sent from time to time.
-// The attempt that was under way when the read's time ran out was refused, and its caller was told
-// twice: once that the time is over, once of the refusal. Whoever reads again after a refusal then
-// had two readers in place of one, and so on: the reading back of a write whose outcome is unknown
-// is repeated up to 20 times, and one host made 18,000 such reads a second.
-//
-// From a day of 300 hosts and 150 groups whose store was asked for more than it allows: 4.29
-// million calls launched in 18 s, 4.24 million of them refused, a third of them by 12 hosts; reads
-// that callers asked for: 106,188.
-TEST_CASE_METHOD(Fixture, "A read that is refused after its time is told once")
+// A read whose attempt was refused after its deadline called back twice. Each retrying caller then
+// sent two reads in place of one, and so on.
+TEST_CASE_METHOD(Fixture, "A read that is refused after its deadline calls back once")
 {
-    store.took = 150ms;
-    lose(FakeStore::Mode::Refuses);
-    std::vector<int> told(40, 0);
-    for (int &count : told) {
+    store.latency = 150ms;
+    loseService(FakeStore::Mode::Refuses);
+    std::vector<int> callbackCounts(40, 0);
+    for (int &count : callbackCounts) {
         timers.advance(37ms);
-        gate.read("t", "k", [&count](const auto &) { ++count; });
+        breaker.read("t", "k", [&count](const auto &) { ++count; });
     }
     timers.advance(10s);
-    CHECK(told == std::vector<int>(told.size(), 1));
+    CHECK(callbackCounts == std::vector<int>(callbackCounts.size(), 1));
 }
 
 namespace {
 
-// Tables of six pages; each takes longer the more are under way at once.
+// A service whose tables have six pages.
 struct PagedStore : public FakeStore
 {
     using FakeStore::FakeStore;
@@ -373,35 +365,36 @@
     void page(const std::string &table, const std::string &from, PageCallback callback) override
     {
         const int number = from.empty() ? 0 : std::stoi(from);
-        asked.push_back(table + std::to_string(number));
-        if (std::exchange(loseNext, false))
+        requestedPages.push_back(table + std::to_string(number));
+        if (std::exchange(dropNextAnswer, false))
             mode = Mode::Silent;
         TablePage page;
         page.version = std::uint64_t(100 + number);
         page.isLast = number == 5;
-        // Keys count up, so that the next page begins with the number of this one's row.
+        // The row's key is the number of the next page.
         page.rows.push_back({std::to_string(number + 1), "v", "1"});
         answer<TablePage>(page, Duration(0), std::move(callback));
         mode = Mode::Answers;
     }
 
-    std::vector<std::string> asked;
-    bool loseNext = false;
+    std::vector<std::string> requestedPages;
+    bool dropNextAnswer = false;
 };
 
 struct PagedFixture : public Fixture
 {
     PagedStore paged {timers};
-    StoreGate pagedGate {{timers, paged, paged, log, metrics, 2s,
-                          [this](std::function<void(bool)> callback) {
-                              timers.subscribeAfter(2ms, [callback] { callback(true); });
-                          },
-                          [this] { paged.giveUp(); }, [] { return 0.5; }}};
+    StoreCircuitBreaker pagedBreaker {{timers, paged, paged, log, metrics, 2s,
+                                       [this](std::function<void(bool)> callback) {
+                                           timers.subscribeAfter(2ms,
+                                                                 [callback] { callback(true); });
+                                       },
+                                       [this] { paged.abortOpenCalls(); }, [] { return 0.5; }}};
 
     std::shared_ptr<std::optional<TableSnapshot>> snapshot(const std::string &table)
     {
         const auto result = std::make_shared<std::optional<TableSnapshot>>();
-        pagedGate.snapshot(table, [result](auto snapshot) {
+        pagedBreaker.snapshot(table, [result](auto snapshot) {
             REQUIRE(snapshot.ok());
             *result = *std::move(snapshot);
         });
@@ -411,43 +404,39 @@
 
 } // namespace
 
-// 986 hosts read three tables of six, two and one pages at once, 1.9 MB each. A page took 0.3 s by
-// then, and what was to be answered within 0.8 s were all pages of a table together: each host took
-// the store for silent, gave up what it had and began again, and nobody was served for sixteen
-// seconds.
-TEST_CASE_METHOD(PagedFixture,
-                 "A table whose pages come slowly one after the other is no silent service")
+// With one timeout for a whole table, hosts that started together took a busy service for silent
+// and read their tables again from the start.
+TEST_CASE_METHOD(PagedFixture, "A table with slow pages does not open the breaker")
 {
-    paged.took = 300ms;
+    paged.latency = 300ms;
     const auto read = snapshot("t");
     timers.advance(2s);
     REQUIRE(*read);
     CHECK((*read)->rows.size() == 6);
     CHECK((*read)->next == 100);
-    CHECK(paged.asked.size() == 6);
-    CHECK(paged.givenUp == 0);
+    CHECK(paged.requestedPages.size() == 6);
+    CHECK(paged.abortCount == 0);
 }
 
-TEST_CASE_METHOD(PagedFixture, "A page without an answer is asked for again, and no other")
+TEST_CASE_METHOD(PagedFixture, "Only the page without an answer is requested again")
 {
     const auto read = snapshot("t");
     timers.advance(10ms);
-    paged.loseNext = true;
+    paged.dropNextAnswer = true;
     timers.advance(5s);
     REQUIRE(*read);
     CHECK((*read)->rows.size() == 6);
-    CHECK(paged.asked.size() == 7);
+    CHECK(paged.requestedPages.size() == 7);
 }
 
-TEST_CASE_METHOD(PagedFixture,
-                 "Tables are read one after the other, in the order in which they are wanted")
+TEST_CASE_METHOD(PagedFixture, "Tables are read one after the other, in the order of the requests")
 {
     const auto first = snapshot("a");
     const auto second = snapshot("b");
     timers.advance(1s);
     REQUIRE(*first);
     REQUIRE(*second);
-    REQUIRE(paged.asked.size() == 12);
+    REQUIRE(paged.requestedPages.size() == 12);
     for (std::size_t i = 0; i < 12; ++i)
-        CHECK(paged.asked[i][0] == (i < 6 ? 'a' : 'b'));
+        CHECK(paged.requestedPages[i][0] == (i < 6 ? 'a' : 'b'));
 }
--- a/tests/services/storelimit_test.cpp
+++ b/tests/services/storelimit_test.cpp
@@ -1,5 +1,5 @@
 #include "core/manualtimerservice.h"
-#include "services/storegate.h"
+#include "services/storecircuitbreaker.h"
 
 #include <catch2/catch.hpp>
 
@@ -11,12 +11,12 @@
 
 namespace {
 
-// A service that answers so many calls a second, from all hosts together, and refuses the rest.
+// A service with a rate limit for all hosts together, which refuses calls above it.
 struct LimitedStore : public TableService, public TableFeed
 {
     explicit LimitedStore(TimerService &timers) : timers(timers), filledAt(timers.now()) { }
 
-    bool take()
+    bool takeToken()
     {
         const Instant now = timers.now();
         const double since = toMilliseconds(now - filledAt) / 1000;
@@ -30,10 +30,10 @@
 
     void read(const std::string &, const std::string &key, RowCallback callback) override
     {
-        const bool isTaken = take();
-        ++(isTaken ? answered : refused);
-        timers.subscribeAfter(took, [key, callback, isTaken] {
-            if (isTaken)
+        const bool isAdmitted = takeToken();
+        ++(isAdmitted ? answered : refused);
+        timers.subscribeAfter(latency, [key, callback, isAdmitted] {
+            if (isAdmitted)
                 callback(TableRow {key, "v", "1"});
             else
                 callback(absl::UnavailableError("429"));
@@ -46,36 +46,37 @@
 
     TimerService &timers;
     const int limit = 2000;
-    const Duration took {5ms};
+    const Duration latency {5ms};
     double tokens = 0;
     Instant filledAt;
     int answered = 0;
     int refused = 0;
 };
 
-// Hosts that each want some rows, and ask again after a pause where a read fails.
+// Hosts that each read some rows, and retry failed reads after a delay.
 struct Hosts
 {
     Hosts(int count, int rows)
     {
         missing = count * rows;
         for (int host = 0; host < count; ++host) {
-            gates.push_back(std::make_unique<StoreGate>(
-                StoreGate::Parts {timers, store, store, log, metrics, 2s,
-                                  [](const std::function<void(bool)> &callback) { callback(true); },
-                                  [] {}, [this] { return draw(random); }}));
+            breakers.push_back(std::make_unique<StoreCircuitBreaker>(StoreCircuitBreaker::Parts {
+                timers, store, store, log, metrics, 2s,
+                [](const std::function<void(bool)> &callback) { callback(true); }, [] {},
+                [this] { return draw(random); }}));
             for (int row = 0; row < rows; ++row)
-                want(*gates.back(), std::to_string(row));
+                readUntilFound(*breakers.back(), std::to_string(row));
         }
     }
 
-    void want(StoreGate &gate, const std::string &key)
+    void readUntilFound(StoreCircuitBreaker &breaker, const std::string &key)
     {
-        gate.read("t", key, [this, &gate, key](const auto &row) {
+        breaker.read("t", key, [this, &breaker, key](const auto &row) {
             if (row.ok())
                 --missing;
             else
-                timers.subscribeAfter(250ms, [this, &gate, key] { want(gate, key); });
+                timers.subscribeAfter(250ms,
+                                      [this, &breaker, key] { readUntilFound(breaker, key); });
         });
     }
 
@@ -89,28 +90,22 @@
     }()};
     Metrics metrics;
     LimitedStore store {timers};
-    std::vector<std::unique_ptr<StoreGate>> gates;
+    std::vector<std::unique_ptr<StoreCircuitBreaker>> breakers;
     int missing = 0;
 };
 
 } // namespace
 
-// The load: 300 hosts begin at once before 150 groups, and each looks for the owners of the 50 that
-// are near. The service answers 2,000 calls a second and refuses the rest. A host that was refused
-// waits, tries one call, and with its answer sent all that waited; most of those were refused, and
-// it began again 100 ms later, for as long as anything waited.
-//
-// From such a day, 12 s of it: 334,547 calls, where 24,000 would have been answered; store_lost
-// reason=turned_away 4,649 times and store_back 4,418 times, claim_unread 6,523 times. Leases could
-// not be read (lease_unread 2,820 times), and owners gave their groups away.
-TEST_CASE("Hosts that the service's limit turns away share it without pressing")
+// Hosts that start together exceed the service's rate limit. A host that sent its whole queue after
+// one successful trial was refused again, which kept the service overloaded.
+TEST_CASE("Hosts refused by the rate limit share it without overloading the service")
 {
     constexpr int hosts = 300;
     constexpr int rows = 50;
     Hosts all(hosts, rows);
-    const Duration least = 1s * (hosts * rows / all.store.limit);
-    all.timers.advance(2 * least);
-    // Half of what the service can do is used at least, and no more is refused than answered.
+    const Duration minTime = 1s * (hosts * rows / all.store.limit);
+    all.timers.advance(2 * minTime);
+    // At least half of the limit is used, and no more calls are refused than answered.
     CHECK(all.missing == 0);
     CHECK(all.store.refused <= all.store.answered);
 }
