--- a/src/bench/kelptally.cpp
+++ b/src/bench/kelptally.cpp
@@ -200,7 +200,8 @@
         const ModelServer *primary = model_.primaryOf(group);
         const ZoneName zone = primary != nullptr ? primary->what().zone : ZoneName();
         const auto wanted = process.membership.preferredOwner(group, zone);
-        ownership->setSuccessorCandidates(process.membership.successorChoice(group, process.id()));
+        ownership->setSuccessorCandidates(
+            process.membership.successorCandidates(group, process.id()));
         ownership->setPreferredOwner(!process.stopping && wanted == process.id());
     }
 }
--- a/src/bench/slopes.cpp
+++ b/src/bench/slopes.cpp
@@ -243,7 +243,7 @@
         const Duration wanted =
             timeOfCall(200, [&] { (void)membership.preferredOwner(groupOf(++group), "zone-1"); });
         const Duration choice = timeOfCall(
-            200, [&] { (void)membership.successorChoice(groupOf(++group), processOf(0)); });
+            200, [&] { (void)membership.successorCandidates(groupOf(++group), processOf(0)); });
         absl::PrintF("  %5d nodes: %7d bytes, wanted owner of a group %7.1f us, "
                      "its successors %7.1f us\n",
                      nodes, bytes, microseconds(wanted), microseconds(choice));
--- a/src/decision/logholders.cpp
+++ b/src/decision/logholders.cpp
@@ -70,7 +70,7 @@
     requiredPosition_.reset();
 }
 
-void LogHolders::onPrimary()
+void LogHolders::onPrimaryChanged()
 {
     requiredPosition_.reset();
 }
--- a/src/decision/logholders.h
+++ b/src/decision/logholders.h
@@ -39,7 +39,7 @@
     // A listed replica of the same term holds all records up to the position.
     void onReplicaPosition(Position position);
     // The primary changed: resets the position that a replica has to reach.
-    void onPrimary();
+    void onPrimaryChanged();
 
     // Returns the holders that are not on the list of servers.
     const std::vector<LogHolder> &unlisted() const { return unlisted_; }
--- a/src/decision/membership.cpp
+++ b/src/decision/membership.cpp
@@ -174,8 +174,8 @@
     return order.front()->member.process;
 }
 
-std::vector<ProcessId> Membership::successorChoice(const GroupName &group,
-                                                   const ProcessId &owner) const
+std::vector<ProcessId> Membership::successorCandidates(const GroupName &group,
+                                                       const ProcessId &owner) const
 {
     ZoneName ownerZone;
     for (const HostRecord &record : records_) {
--- a/src/decision/membership.h
+++ b/src/decision/membership.h
@@ -53,7 +53,8 @@
     // Returns the eligible successors, best first: one process from each zone other than the
     // owner's, then the remaining processes of those zones, then those of the owner's zone. Each
     // part is ordered by hash.
-    std::vector<ProcessId> successorChoice(const GroupName &group, const ProcessId &owner) const;
+    std::vector<ProcessId> successorCandidates(const GroupName &group,
+                                               const ProcessId &owner) const;
 
     // Returns the addresses of the first processes for a group by the same hash, reachable or not.
     // These processes keep links to each other for the group. Leaving hosts are excluded.
--- a/src/group/failovercontroller.cpp
+++ b/src/group/failovercontroller.cpp
@@ -286,7 +286,7 @@
         if (id != primary_)
             unreconciledServers_.insert(id);
     reconciledAt_ = Instant();
-    holders_.onPrimary();
+    holders_.onPrimaryChanged();
     const OwnershipRecord *record = parts_.ownership.record(group_);
     primaryUnrecorded_ = record != nullptr && (record->term != term || record->primary != primary_);
     if (!isTermStart && record != nullptr && record->term == term) {
--- a/src/owner/groupdirectory.cpp
+++ b/src/owner/groupdirectory.cpp
@@ -162,7 +162,8 @@
     if (!known)
         return;
     known->ownership().setPreferredOwner(wanted);
-    known->ownership().setSuccessorCandidates(membership_.successorChoice(group.name, ports_.self));
+    known->ownership().setSuccessorCandidates(
+        membership_.successorCandidates(group.name, ports_.self));
 }
 
 GroupRuntime *GroupDirectory::findRuntime(const GroupName &group)
@@ -183,7 +184,7 @@
         std::make_unique<GroupRuntime>(*settings, configuration_, ports_, heartbeats_, responder_);
     GroupRuntime *result = made.get();
     runtimes_.emplace(group, std::move(made));
-    result->ownership().setSuccessorCandidates(membership_.successorChoice(group, ports_.self));
+    result->ownership().setSuccessorCandidates(membership_.successorCandidates(group, ports_.self));
     result->refreshOwner();
     return result;
 }
--- a/tests/decision/checker_main.cpp
+++ b/tests/decision/checker_main.cpp
@@ -1,4 +1,4 @@
-#include "checkerworld.h"
+#include "checkersimulation.h"
 #include "detectionstudy.h"
 
 #include <tclap/CmdLine.h>
@@ -20,21 +20,21 @@
 Schedule shrink(Schedule schedule, const CheckerOptions &options)
 {
     for (std::size_t i = 0; i < schedule.faults.size();) {
-        Schedule less = schedule;
-        less.faults.erase(less.faults.begin() + static_cast<std::ptrdiff_t>(i));
-        if (runSchedule(less, options).violation.empty())
+        Schedule reduced = schedule;
+        reduced.faults.erase(reduced.faults.begin() + static_cast<std::ptrdiff_t>(i));
+        if (runSchedule(reduced, options).violation.empty())
             ++i;
         else
-            schedule = std::move(less);
+            schedule = std::move(reduced);
     }
     return schedule;
 }
 
 void printFailure(const Schedule &schedule, const CheckerOptions &options)
 {
-    const Schedule small = shrink(schedule, options);
-    std::cout << "violation: " << runSchedule(small, options).violation << '\n'
-              << toText(small) << std::flush;
+    const Schedule minimal = shrink(schedule, options);
+    std::cout << "violation: " << runSchedule(minimal, options).violation << '\n'
+              << toText(minimal) << std::flush;
 }
 
 struct Totals
@@ -45,7 +45,7 @@
     std::size_t notRun = 0;
     std::size_t claims = 0;
     std::size_t promotions = 0;
-    Duration slowest {0};
+    Duration slowestResume {0};
 };
 
 void runRange(std::uint64_t first, std::uint64_t count, std::atomic<std::uint64_t> &next,
@@ -59,7 +59,7 @@
         totals.notRun += result.notRun;
         totals.claims += result.claims;
         totals.promotions += result.promotions;
-        totals.slowest = std::max(totals.slowest, result.resumedAfter);
+        totals.slowestResume = std::max(totals.slowestResume, result.resumedAfter);
         if (!result.violation.empty() && totals.failed++ < 3)
             printFailure(schedule, options);
     }
@@ -110,7 +110,7 @@
     if (file.isSet())
         return replay(file.getValue(), options);
 
-    const auto begun = std::chrono::steady_clock::now();
+    const auto startedAt = std::chrono::steady_clock::now();
     Totals totals;
     std::atomic<std::uint64_t> next {0};
     std::vector<std::thread> workers;
@@ -119,11 +119,11 @@
             [&] { runRange(seed.getValue(), count.getValue(), next, options, totals); });
     for (std::thread &worker : workers)
         worker.join();
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
+    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - startedAt;
     std::cout << "schedules=" << count.getValue() << " failed=" << totals.failed
               << " acknowledged=" << totals.acknowledged << " not_run=" << totals.notRun
               << " claims=" << totals.claims << " primaries=" << totals.promotions
-              << " slowest_resume_ms=" << toMilliseconds(totals.slowest)
+              << " slowest_resume_ms=" << toMilliseconds(totals.slowestResume)
               << " seconds=" << took.count() << '\n';
     return totals.failed == 0 ? 0 : 1;
 }
--- a/tests/decision/checker_test.cpp
+++ b/tests/decision/checker_test.cpp
@@ -1,4 +1,4 @@
-#include "checkerworld.h"
+#include "checkersimulation.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
@@ -9,7 +9,7 @@
 namespace {
 
 // Schedules of the short run; decision_checker runs any number from any seed.
-constexpr std::uint64_t shortRun = 1500;
+constexpr std::uint64_t scheduleCount = 1500;
 // How far a switched-off check is searched for before the checker counts as blind to it.
 constexpr std::uint64_t searchLimit = 3000;
 
@@ -19,10 +19,10 @@
 }
 
 // A seed whose schedule breaks a promise; the one that did when it was recorded is tried first.
-std::optional<std::uint64_t> findViolation(std::uint64_t recorded, const CheckerOptions &options)
+std::optional<std::uint64_t> findViolation(std::uint64_t knownSeed, const CheckerOptions &options)
 {
-    if (isViolated(recorded, options))
-        return recorded;
+    if (isViolated(knownSeed, options))
+        return knownSeed;
     for (std::uint64_t seed = 1; seed <= searchLimit; ++seed) {
         if (isViolated(seed, options))
             return seed;
@@ -45,7 +45,7 @@
 
 TEST_CASE("No schedule of faults breaks a promise", "[checker]")
 {
-    for (std::uint64_t seed = 1; seed <= shortRun; ++seed) {
+    for (std::uint64_t seed = 1; seed <= scheduleCount; ++seed) {
         const Schedule schedule = randomSchedule(seed);
         const CheckerResult result = runSchedule(schedule);
         INFO(toText(schedule));
--- a/tests/decision/checkerfaults.cpp
+++ b/tests/decision/checkerfaults.cpp
@@ -1,16 +1,16 @@
-#include "checkerworld.h"
+#include "checkersimulation.h"
 
 #include <utility>
 
 // What the faults of a schedule do to the checker's world.
 namespace kelptally::decision {
 
-int CheckerWorld::ownerSlot() const
+int CheckerSimulation::ownerSlot() const
 {
     return row_ ? slotOf(row_->row.owner.address) : 0;
 }
 
-int CheckerWorld::primaryServer() const
+int CheckerSimulation::primaryServer() const
 {
     int best = 0;
     for (int i = 0; i < serverCount; ++i) {
@@ -22,15 +22,18 @@
     return best;
 }
 
-void CheckerWorld::strike(const Fault &fault)
+void CheckerSimulation::injectFault(const Fault &fault)
 {
     const int processes = schedule_.processes;
-    const int process = fault.a == Fault::chosenOne ? ownerSlot() : fault.a % processes;
-    const int otherProcess =
-        fault.b == Fault::chosenOne ? (process + 1) % processes : fault.b % processes;
+    const int process =
+        fault.target == Fault::ownerOrPrimary ? ownerSlot() : fault.target % processes;
+    const int otherProcess = fault.otherTarget == Fault::ownerOrPrimary
+        ? (process + 1) % processes
+        : fault.otherTarget % processes;
     const int primary = primaryServer();
-    const int server = fault.a == Fault::chosenOne ? primary : fault.a % serverCount;
-    const int otherServer = fault.b == Fault::chosenOne ? primary : fault.b % serverCount;
+    const int server = fault.target == Fault::ownerOrPrimary ? primary : fault.target % serverCount;
+    const int otherServer =
+        fault.otherTarget == Fault::ownerOrPrimary ? primary : fault.otherTarget % serverCount;
     const Duration length = fault.length;
     const Instant until = now() + length;
     ServerSlot &slot = servers_[static_cast<std::size_t>(server)];
@@ -58,12 +61,13 @@
         storeSlowUntil_ = until;
         return;
     case FaultKind::StoreLosesAnswers:
-        storeLosesUntil_ = until;
+        storeLosesAnswersUntil_ = until;
         return;
     case FaultKind::KillServer:
-        slot.up = false;
+        slot.running = false;
         slot.inbox.clear();
-        after(length, [this, server] { servers_[static_cast<std::size_t>(server)].up = true; });
+        after(length,
+              [this, server] { servers_[static_cast<std::size_t>(server)].running = true; });
         return;
     case FaultKind::PauseServer:
         slot.pausedUntil = until;
@@ -82,11 +86,11 @@
     case FaultKind::PromoteServer:
         break;
     }
-    for (Slot &place : slots_) {
-        if (!place.process)
+    for (ProcessSlot &processSlot : slots_) {
+        if (!processSlot.process)
             continue;
         const ServerName name = "s" + std::to_string(server);
-        atProcess(place.process->self(), [=](ModelProcess &p) {
+        atProcess(processSlot.process->self(), [=](ModelProcess &p) {
             if (fault.kind == FaultKind::ServerLeaving)
                 p.setLeaving({name});
             else if (fault.kind == FaultKind::HandOver)
@@ -97,15 +101,15 @@
     }
 }
 
-void CheckerWorld::heal()
+void CheckerSimulation::heal()
 {
     healed_ = true;
     healedAt_ = now();
     cutUntil_ = {};
     slowUntil_ = {};
-    storeDownUntil_ = storeSlowUntil_ = storeLosesUntil_ = Instant {};
+    storeDownUntil_ = storeSlowUntil_ = storeLosesAnswersUntil_ = Instant {};
     for (ServerSlot &server : servers_)
-        server.up = true;
+        server.running = true;
     for (std::size_t i = 0; i < slots_.size(); ++i) {
         if (!slots_[i].process)
             startProcess(static_cast<int>(i));
--- a/tests/decision/checkerworld.h
+++ b/tests/decision/checkersimulation.h
@@ -31,10 +31,10 @@
 CheckerResult runSchedule(const Schedule &schedule, const CheckerOptions &options = {});
 
 // Processes, servers, a store and a client on a manual clock, with the network between them.
-class CheckerWorld : public ProcessWorld
+class CheckerSimulation : public ProcessEnvironment
 {
 public:
-    CheckerWorld(const Schedule &schedule, const CheckerOptions &options);
+    CheckerSimulation(const Schedule &schedule, const CheckerOptions &options);
     CheckerResult run();
 
     Instant localNow(const ProcessId &process) const override;
@@ -44,7 +44,7 @@
     void sendHandOver(const ProcessId &from, const SendHandOver &handOver) override;
     void atServer(const ProcessId &process, const ServerName &server, ServerWork work,
                   ServerFailed failed) override;
-    void note(const ProcessId &process, const std::string &what) override;
+    void traceEvent(const ProcessId &process, const std::string &what) override;
     void onPrimaryReady(const ProcessId &process, const PrimaryReady &ready) override;
     void onAcknowledged(const ProcessId &process, Term term) override;
 
@@ -57,7 +57,7 @@
     static constexpr int nodeCount = store + 1;
 
     // A place where a process runs, with its host's clock.
-    struct Slot
+    struct ProcessSlot
     {
         std::string address;
         std::unique_ptr<ModelProcess> process;
@@ -71,15 +71,15 @@
     struct ServerSlot
     {
         ModelServer model;
-        bool up = true;
+        bool running = true;
         Instant pausedUntil;
         std::deque<std::function<void()>> inbox;
     };
 
-    struct Key
+    struct Operation
     {
         std::uint64_t key = 0;
-        Instant begun;
+        Instant startedAt;
         bool open = true;
         int attempts = 0;
         // Answers still awaited; a later one is ignored.
@@ -91,8 +91,8 @@
 
     Instant now() const { return timers_.now(); }
     void after(Duration delay, Call call) { timers_.subscribeAfter(delay, std::move(call)); }
-    std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
-    Duration wayDelay();
+    std::uint64_t randomBelow(std::uint64_t bound) { return random_() % bound; }
+    Duration networkDelay();
     bool isCut(int a, int b) const;
     void cut(int a, int b, Duration length);
     void isolate(int node, Duration length);
@@ -109,37 +109,37 @@
     void crash(int slot, Duration length);
     void pause(int slot, Duration length);
     void tick(int slot, Incarnation incarnation, bool failover);
-    void hello(int slot, Incarnation incarnation);
+    void sendHellos(int slot, Incarnation incarnation);
     void replicate(int server);
-    void keepReplicating(int server);
+    void replicatePeriodically(int server);
 
-    void strike(const Fault &fault);
+    void injectFault(const Fault &fault);
     int ownerSlot() const;
     int primaryServer() const;
     void heal();
 
-    void landWrite(const ProcessId &process, const WriteRow &write, bool answered);
+    void applyWrite(const ProcessId &process, const WriteRow &write, bool answered);
     void answerWrite(const ProcessId &process, const std::string &changeId, WriteOutcome outcome,
                      const std::string &etag);
 
-    void beginKey();
-    void tryKey(std::size_t index, bool lookUp);
+    void beginOperation();
+    void sendRequest(std::size_t index, bool lookUp);
     void onAnswer(std::size_t index, std::uint64_t round, const ClientRequest &request,
                   ClientAnswer answer);
-    void retryKey(std::size_t index, bool lookUp);
+    void scheduleRetry(std::size_t index, bool lookUp);
 
-    void violate(const std::string &what);
+    void reportViolation(const std::string &what);
     void checkLeases();
     void checkHistory(const ModelServer &server, const std::string &when);
-    void checkEnd();
+    void checkFinalState();
 
     const Schedule &schedule_;
     CheckerOptions options_;
     ManualTimerService timers_;
     std::mt19937_64 random_;
-    Instant begun_;
+    Instant startedAt_;
     std::vector<settings::Host> hosts_;
-    std::vector<Slot> slots_;
+    std::vector<ProcessSlot> slots_;
     std::vector<ServerSlot> servers_;
     std::array<std::array<Instant, nodeCount>, nodeCount> cutUntil_ {};
     std::array<std::array<Instant, nodeCount>, nodeCount> slowUntil_ {};
@@ -149,11 +149,11 @@
     std::uint64_t lastEtag_ = 0;
     Instant storeDownUntil_;
     Instant storeSlowUntil_;
-    Instant storeLosesUntil_;
+    Instant storeLosesAnswersUntil_;
 
-    std::vector<Key> keys_;
+    std::vector<Operation> operations_;
     std::uint64_t lastAttempt_ = 0;
-    int target_ = 0;
+    int targetProcess_ = 0;
     std::map<std::uint64_t, Position> acknowledged_;
     std::set<std::uint64_t> notRun_;
     std::set<std::uint64_t> refusedAttempts_;
--- a/tests/decision/detectionstudy.cpp
+++ b/tests/decision/detectionstudy.cpp
@@ -19,20 +19,20 @@
 constexpr int faultCount = 500;
 
 // Three servers that answer probes, but for those that are lost; the first is the primary.
-class Study
+class DetectionSimulation
 {
 public:
-    Study(double loss, std::uint64_t seed) : loss_(loss), random_(seed) { }
+    DetectionSimulation(double loss, std::uint64_t seed) : loss_(loss), random_(seed) { }
 
     // False alarms in this much time without any fault.
-    int falseAlarms(Duration time)
+    int countFalseAlarms(Duration time)
     {
         int alarms = 0;
         const Instant end = timers_.now() + time;
         restart();
         while (timers_.now() < end) {
             timers_.advanceToNext();
-            if (!gone_)
+            if (!primaryGone_)
                 continue;
             ++alarms;
             restart();
@@ -41,21 +41,21 @@
     }
 
     // Time from a fault of the primary to its being given up.
-    Duration detection(bool refuses)
+    Duration detectionTime(bool refuses)
     {
         restart();
         const auto phase = std::chrono::microseconds(1000000 + random_() % 500000);
         const Instant begin = timers_.now() + phase;
-        while (timers_.now() < begin && !gone_)
+        while (timers_.now() < begin && !primaryGone_)
             timers_.advanceToNext();
         if (!failover_->primary())
-            return detection(refuses);
+            return detectionTime(refuses);
         const Instant fault = timers_.now();
-        refuses_ = refuses;
-        hangs_ = !refuses;
+        primaryRefuses_ = refuses;
+        primaryHangs_ = !refuses;
         if (refuses)
             carryOut(failover_->onConnectionLost(timers_.now(), "s0"));
-        while (!gone_)
+        while (!primaryGone_)
             timers_.advanceToNext();
         return timers_.now() - fault;
     }
@@ -64,7 +64,7 @@
     void restart()
     {
         ++run_;
-        gone_ = refuses_ = hangs_ = false;
+        primaryGone_ = primaryRefuses_ = primaryHangs_ = false;
         failover_ =
             std::make_unique<Failover>("offers", 1, std::vector<ServerName> {"s0", "s1", "s2"});
         carryOut(failover_->start(timers_.now(), 0, ""));
@@ -90,7 +90,7 @@
             else if (const auto *history = std::get_if<SendReadHistory>(&action))
                 carryOut(failover_->onHistory(timers_.now(), history->server, {{1, 1}}));
             else if (std::get_if<PrimaryGone>(&action))
-                gone_ = true;
+                primaryGone_ = true;
         }
     }
 
@@ -98,9 +98,9 @@
     {
         const bool primary = probe.server == "s0";
         const bool lost = std::uniform_real_distribution<>(0, 1)(random_) < loss_;
-        if (lost || (primary && hangs_))
+        if (lost || (primary && primaryHangs_))
             return;
-        const bool refused = primary && refuses_;
+        const bool refused = primary && primaryRefuses_;
         timers_.subscribeAfter(roundTrip, [this, probe, primary, refused, run = run_] {
             if (run != run_)
                 return;
@@ -119,16 +119,16 @@
     ManualTimerService timers_;
     std::unique_ptr<Failover> failover_;
     int run_ = 0;
-    bool gone_ = false;
-    bool refuses_ = false;
-    bool hangs_ = false;
+    bool primaryGone_ = false;
+    bool primaryRefuses_ = false;
+    bool primaryHangs_ = false;
 };
 
-void printTimes(std::ostream &out, Study &study, bool refuses)
+void printTimes(std::ostream &out, DetectionSimulation &simulation, bool refuses)
 {
     std::vector<Duration> times;
     for (int i = 0; i < faultCount; ++i)
-        times.push_back(study.detection(refuses));
+        times.push_back(simulation.detectionTime(refuses));
     std::sort(times.begin(), times.end());
     out << std::setw(12) << toMilliseconds(times[times.size() / 2]) << std::setw(12)
         << toMilliseconds(times[times.size() * 99 / 100]);
@@ -143,11 +143,11 @@
     for (const double loss : {0.0, 0.001, 0.01, 0.03, 0.05, 0.1, 0.2}) {
         // Rare alarms want a longer look.
         const int hours = loss <= 0.03 ? 96 : 8;
-        Study study(loss, seed);
-        const int alarms = study.falseAlarms(std::chrono::hours(hours));
+        DetectionSimulation simulation(loss, seed);
+        const int alarms = simulation.countFalseAlarms(std::chrono::hours(hours));
         out << std::setw(4) << loss * 100 << '%' << std::setw(12) << alarms * 24.0 / hours;
-        printTimes(out, study, true);
-        printTimes(out, study, false);
+        printTimes(out, simulation, true);
+        printTimes(out, simulation, false);
         out << std::endl;
     }
 }
--- a/tests/decision/logholders_test.cpp
+++ b/tests/decision/logholders_test.cpp
@@ -56,7 +56,7 @@
     }
     SECTION("the primary changes")
     {
-        holders.onPrimary();
+        holders.onPrimaryChanged();
     }
     holders.onReplicaPosition({1, 120});
     CHECK_FALSE(holders.unlisted().empty());
--- a/tests/decision/membership_test.cpp
+++ b/tests/decision/membership_test.cpp
@@ -62,8 +62,8 @@
     for (int group = 0; group < 50; ++group) {
         const GroupName name = "group" + std::to_string(group);
         CHECK(forwards.preferredOwner(name, "zone1") == backwards.preferredOwner(name, "zone1"));
-        CHECK(forwards.successorChoice(name, processOf(3))
-              == backwards.successorChoice(name, processOf(3)));
+        CHECK(forwards.successorCandidates(name, processOf(3))
+              == backwards.successorCandidates(name, processOf(3)));
     }
 }
 
@@ -92,7 +92,8 @@
 {
     Membership membership = makeMembership(9, 3);
     for (int group = 0; group < 30; ++group) {
-        const auto choice = membership.successorChoice("g" + std::to_string(group), processOf(0));
+        const auto choice =
+            membership.successorCandidates("g" + std::to_string(group), processOf(0));
         REQUIRE(choice.size() == 8);
         const auto zoneOf = [](const ProcessId &process) { return (process.address[7] - '0') % 3; };
         CHECK(zoneOf(choice[0]) != 0);
@@ -131,7 +132,7 @@
     membership.onPeerDown(start, processOf(2));
     for (int group = 0; group < 20; ++group)
         CHECK(membership.preferredOwner("g" + std::to_string(group), "") == processOf(0));
-    CHECK(membership.successorChoice("g", processOf(0)).empty());
+    CHECK(membership.successorCandidates("g", processOf(0)).empty());
 }
 
 TEST_CASE("Candidates do not depend on reachability and are limited by the count", "[membership]")
--- a/tests/decision/modelprocess.cpp
+++ b/tests/decision/modelprocess.cpp
@@ -7,13 +7,14 @@
 namespace {
 
 const GroupName group = "offers";
-constexpr Duration helloLimit = std::chrono::milliseconds(700);
+constexpr Duration helloTimeout = std::chrono::milliseconds(700);
 
 } // namespace
 
-ModelProcess::ModelProcess(ProcessWorld &world, ProcessId self, std::vector<settings::Host> hosts,
-                           std::uint64_t seed, const CheckerOptions &options)
-    : world_(world), self_(self), options_(options),
+ModelProcess::ModelProcess(ProcessEnvironment &environment, ProcessId self,
+                           std::vector<settings::Host> hosts, std::uint64_t seed,
+                           const CheckerOptions &options)
+    : environment_(environment), self_(self), options_(options),
       ownership_(group, self, seed, options.ownership), servers_ {"s0", "s1", "s2"},
       confirmation_(options.requireMajority)
 {
@@ -31,33 +32,33 @@
 void ModelProcess::carryOut(const OwnershipActions &actions)
 {
     for (const OwnershipAction &action : actions)
-        std::visit([this](const auto &known) { perform(known); }, action);
+        std::visit([this](const auto &alternative) { perform(alternative); }, action);
 }
 
 void ModelProcess::perform(const ReadRow &)
 {
-    world_.readRow(self_);
+    environment_.readRow(self_);
 }
 
 void ModelProcess::perform(const WriteRow &action)
 {
-    world_.writeRow(self_, action);
+    environment_.writeRow(self_, action);
 }
 
 void ModelProcess::perform(const SendLeaseRequest &action)
 {
-    world_.sendLeaseRequest(self_, action);
+    environment_.sendLeaseRequest(self_, action);
 }
 
 void ModelProcess::perform(const SendHandOver &action)
 {
-    world_.sendHandOver(self_, action);
+    environment_.sendHandOver(self_, action);
 }
 
 void ModelProcess::perform(const StartServing &action)
 {
-    world_.note(self_, "starts to serve epoch " + std::to_string(action.epoch));
-    ++service_;
+    environment_.traceEvent(self_, "starts to serve epoch " + std::to_string(action.epoch));
+    ++failoverRun_;
     failover_.emplace(group, action.epoch, servers_, options_.failover);
     confirmation_ = Confirmation(options_.requireMajority);
     carryOut(failover_->start(now(), action.termHint, action.primaryHint));
@@ -66,8 +67,8 @@
 
 void ModelProcess::perform(const StopServing &action)
 {
-    world_.note(self_, "stops: " + action.reason);
-    ++service_;
+    environment_.traceEvent(self_, "stops: " + action.reason);
+    ++failoverRun_;
     failover_.reset();
     abandonAll();
 }
@@ -75,13 +76,13 @@
 void ModelProcess::onOwnershipTick()
 {
     for (const Member &member : membership_.members()) {
-        const auto heard = lastHello_.find(member.process.address);
-        const bool lost = heard == lastHello_.end() || now() - heard->second > helloLimit;
+        const auto lastHello = lastHello_.find(member.process.address);
+        const bool lost = lastHello == lastHello_.end() || now() - lastHello->second > helloTimeout;
         if (member.reachable && lost && member.process != self_)
             membership_.onPeerDown(now(), member.process);
     }
     ownership_.setPreferredOwner(membership_.preferredOwner(group, "") == self_);
-    ownership_.setSuccessorCandidates(membership_.successorChoice(group, self_));
+    ownership_.setSuccessorCandidates(membership_.successorCandidates(group, self_));
     carryOut(ownership_.onTick(now()));
 }
 
@@ -108,7 +109,7 @@
 {
     for (const FailoverAction &action : actions) {
         if (failover_)
-            std::visit([this](const auto &known) { perform(known); }, action);
+            std::visit([this](const auto &alternative) { perform(alternative); }, action);
     }
 }
 
@@ -117,7 +118,7 @@
     if (failover_)
         carryOut(failover_->onTick(now()));
     if (failover_ && confirmation_.waiting())
-        sampleReplicas();
+        probeReplicas();
 }
 
 void ModelProcess::setLeaving(const std::vector<ServerName> &leaving)
@@ -135,17 +136,17 @@
 
 void ModelProcess::perform(const SendProbe &action)
 {
-    const std::uint64_t service = service_;
-    world_.atServer(
+    const std::uint64_t failoverRun = failoverRun_;
+    environment_.atServer(
         self_, action.server,
         [=](ModelServer &server) {
             return [=, report = server.report()] {
-                if (service == service_)
+                if (failoverRun == failoverRun_)
                     carryOut(failover_->onReport(now(), action.server, action.sequence, report));
             };
         },
         [=](bool refused) {
-            if (service == service_)
+            if (failoverRun == failoverRun_)
                 carryOut(failover_->onProbeFailed(now(), action.server, action.sequence, refused));
         });
 }
@@ -154,18 +155,18 @@
 void ModelProcess::command(const ServerName &name, std::function<bool(ModelServer &)> work,
                            std::function<void(const ModelServer &)> done)
 {
-    const std::uint64_t service = service_;
+    const std::uint64_t failoverRun = failoverRun_;
     const auto failed = [=](CommandFailure failure) {
-        if (service == service_)
+        if (failoverRun == failoverRun_)
             carryOut(failover_->onCommandFailed(now(), name, failure));
     };
-    world_.atServer(
+    environment_.atServer(
         self_, name,
         [=](ModelServer &server) -> std::function<void()> {
             if (!work(server))
                 return [=] { failed(CommandFailure::Refused); };
             return [=, after = server] {
-                if (service == service_)
+                if (failoverRun == failoverRun_)
                     done(after);
             };
         },
@@ -174,7 +175,8 @@
 
 void ModelProcess::perform(const SendPrepare &action)
 {
-    world_.note(self_, "prepares " + action.server + " for " + std::to_string(action.term));
+    environment_.traceEvent(self_,
+                            "prepares " + action.server + " for " + std::to_string(action.term));
     command(
         action.server, [=](ModelServer &server) { return server.prepare(action.term); },
         [=](const ModelServer &server) {
@@ -184,7 +186,7 @@
 
 void ModelProcess::perform(const SendPromote &action)
 {
-    world_.note(self_, "promotes " + action.server);
+    environment_.traceEvent(self_, "promotes " + action.server);
     command(
         action.server, [=](ModelServer &server) { return server.promote(action.term); },
         [=](const ModelServer &) {
@@ -222,22 +224,23 @@
 
 void ModelProcess::perform(const PrimaryGone &action)
 {
-    world_.note(self_, "gives up " + action.server + ": " + action.cause);
+    environment_.traceEvent(self_, "gives up " + action.server + ": " + action.cause);
     abandonAll();
 }
 
 void ModelProcess::perform(const PrimaryReady &action)
 {
-    world_.note(self_, action.server + " is primary of term " + std::to_string(action.term));
+    environment_.traceEvent(self_,
+                            action.server + " is primary of term " + std::to_string(action.term));
     confirmation_.onTerm(action.term, servers_.size());
-    world_.onPrimaryReady(self_, action);
+    environment_.onPrimaryReady(self_, action);
 }
 
 // ---- The writer ----
 
 void ModelProcess::onRequest(const ClientRequest &request, AnswerCallback answer)
 {
-    if (!holdsLease() || !serves()) {
+    if (!holdsLease() || !hasPrimary()) {
         answer({request.lookUp ? Outcome::Unknown : Outcome::Refused, {}});
         return;
     }
@@ -251,12 +254,12 @@
     const ClientRequest request = pending_[id].request;
     const OwnerEpoch epoch = ownership_.epoch();
     const ServerName primary = *failover_->primary();
-    world_.atServer(
+    environment_.atServer(
         self_, primary,
         [=](ModelServer &server) {
             const WriteAnswer answer =
                 server.write(epoch, request.key, request.attempt, request.lookUp);
-            return [=] { onWritten(id, answer); };
+            return [=] { onWriteAnswer(id, answer); };
         },
         [=](bool refused) {
             finish(id, refused && !request.lookUp ? Outcome::Refused : Outcome::Unknown);
@@ -265,7 +268,7 @@
         });
 }
 
-void ModelProcess::onWritten(std::uint64_t id, const WriteAnswer &answer)
+void ModelProcess::onWriteAnswer(std::uint64_t id, const WriteAnswer &answer)
 {
     const auto found = pending_.find(id);
     if (found == pending_.end())
@@ -278,7 +281,7 @@
         return;
     }
     const bool isVoid =
-        answer.result == WriteResult::FoundVoid || (answer.result == WriteResult::Done && lookUp);
+        answer.result == WriteResult::AlreadyVoid || (answer.result == WriteResult::Done && lookUp);
     pending.outcome = isVoid ? Outcome::NotRun : Outcome::Done;
     pending.position = answer.position;
     // All that came before the current term is held by a majority already.
@@ -287,21 +290,21 @@
         return;
     }
     confirmation_.add(id, answer.position);
-    sampleReplicas();
+    probeReplicas();
 }
 
 // One probe of each replica for all writes that wait.
-void ModelProcess::sampleReplicas()
+void ModelProcess::probeReplicas()
 {
-    const std::uint64_t service = service_;
+    const std::uint64_t failoverRun = failoverRun_;
     for (const ServerName &name : servers_) {
         if (name == failover_->primary())
             continue;
-        world_.atServer(
+        environment_.atServer(
             self_, name,
             [=](ModelServer &server) {
                 return [=, report = server.report()] {
-                    if (service != service_)
+                    if (failoverRun != failoverRun_)
                         return;
                     for (const WriteId id : confirmation_.onReport(name, report))
                         acknowledge(id);
@@ -315,11 +318,11 @@
 {
     if (pending_.count(id) == 0)
         return;
-    if (!holdsLease() || !serves()) {
+    if (!holdsLease() || !hasPrimary()) {
         finish(id, Outcome::Unknown);
         return;
     }
-    world_.onAcknowledged(self_, failover_->term());
+    environment_.onAcknowledged(self_, failover_->term());
     finish(id, pending_[id].outcome);
 }
 
--- a/tests/decision/modelprocess.h
+++ b/tests/decision/modelprocess.h
@@ -51,10 +51,10 @@
 
 // What a model process needs of the world around it. Answers come back to this run of the process
 // only, and not while it is paused.
-class ProcessWorld
+class ProcessEnvironment
 {
 public:
-    virtual ~ProcessWorld() = default;
+    virtual ~ProcessEnvironment() = default;
 
     // Time as this process's own clock shows it.
     virtual Instant localNow(const ProcessId &process) const = 0;
@@ -69,7 +69,7 @@
     virtual void atServer(const ProcessId &process, const ServerName &server, ServerWork work,
                           ServerFailed failed) = 0;
 
-    virtual void note(const ProcessId &process, const std::string &what) = 0;
+    virtual void traceEvent(const ProcessId &process, const std::string &what) = 0;
     virtual void onPrimaryReady(const ProcessId &process, const PrimaryReady &ready) = 0;
     virtual void onAcknowledged(const ProcessId &process, Term term) = 0;
 };
@@ -78,7 +78,7 @@
 class ModelProcess
 {
 public:
-    ModelProcess(ProcessWorld &world, ProcessId self, std::vector<settings::Host> hosts,
+    ModelProcess(ProcessEnvironment &environment, ProcessId self, std::vector<settings::Host> hosts,
                  std::uint64_t seed, const CheckerOptions &options);
 
     const ProcessId &self() const { return self_; }
@@ -96,7 +96,7 @@
     void promote(const ServerName &server);
 
     bool holdsLease() const;
-    bool serves() const { return failover_ && failover_->primary(); }
+    bool hasPrimary() const { return failover_ && failover_->primary(); }
 
 private:
     struct Pending
@@ -126,14 +126,14 @@
     void command(const ServerName &server, std::function<bool(ModelServer &)> work,
                  std::function<void(const ModelServer &)> done);
     void write(std::uint64_t id);
-    void onWritten(std::uint64_t id, const WriteAnswer &answer);
-    void sampleReplicas();
+    void onWriteAnswer(std::uint64_t id, const WriteAnswer &answer);
+    void probeReplicas();
     void acknowledge(std::uint64_t id);
     void finish(std::uint64_t id, Outcome outcome);
     void abandonAll();
-    Instant now() const { return world_.localNow(self_); }
+    Instant now() const { return environment_.localNow(self_); }
 
-    ProcessWorld &world_;
+    ProcessEnvironment &environment_;
     ProcessId self_;
     CheckerOptions options_;
     Ownership ownership_;
@@ -143,7 +143,7 @@
     std::vector<ServerName> leaving_;
     std::optional<Failover> failover_;
     // Counts runs of failover_, so that answers to an earlier one are dropped.
-    std::uint64_t service_ = 0;
+    std::uint64_t failoverRun_ = 0;
     Confirmation confirmation_;
     std::map<std::uint64_t, Pending> pending_;
     std::uint64_t lastId_ = 0;
--- a/tests/decision/modelserver.cpp
+++ b/tests/decision/modelserver.cpp
@@ -14,7 +14,7 @@
     if (term < prepared_ || (term <= term_ && term != prepared_))
         return false;
     if (term > prepared_)
-        followed_.clear();
+        followedPrimary_.clear();
     prepared_ = term;
     return true;
 }
@@ -23,7 +23,7 @@
 {
     if (takesWrites() && term_ == term)
         return true;
-    if (term != prepared_ || term <= term_ || !followed_.empty())
+    if (term != prepared_ || term <= term_ || !followedPrimary_.empty())
         return false;
     term_ = term;
     primary_ = true;
@@ -34,12 +34,12 @@
 
 bool ModelServer::follow(const ServerName &primary, Term term)
 {
-    const bool leadsIt = primary_ && term == term_;
-    if (term < prepared_ || leadsIt || primary == name_)
+    const bool leadsTerm = primary_ && term == term_;
+    if (term < prepared_ || leadsTerm || primary == name_)
         return false;
     prepared_ = term;
     primary_ = false;
-    followed_ = primary;
+    followedPrimary_ = primary;
     return true;
 }
 
@@ -59,7 +59,7 @@
         return {};
     for (std::size_t i = 0; i < log_.size(); ++i) {
         if (log_[i].key == key)
-            return {log_[i].isVoid ? WriteResult::FoundVoid : WriteResult::Found,
+            return {log_[i].isVoid ? WriteResult::AlreadyVoid : WriteResult::AlreadyExecuted,
                     {log_[i].term, i + 1}};
     }
     append({term_, key, attempt, epoch, fence(), isVoid});
@@ -68,7 +68,7 @@
 
 void ModelServer::onReplication(const Replication &message)
 {
-    if (message.primary != followed_ || message.term != prepared_)
+    if (message.primary != followedPrimary_ || message.term != prepared_)
         return;
     // Equal terms at an offset mean equal records up to it.
     std::size_t common = std::min(log_.size(), message.log.size());
--- a/tests/decision/modelserver.h
+++ b/tests/decision/modelserver.h
@@ -8,7 +8,8 @@
 
 namespace kelptally::decision {
 
-// A record of a model server's log. Key 0: the record that begins a term, or raises the fence.
+// A record of a model server's log. Operation 0: the record that begins a term, or raises the
+// fence.
 struct Record
 {
     Term term = 0;
@@ -36,8 +37,8 @@
 enum class WriteResult {
     Done,
     // The key had run, or had been recorded as void, earlier.
-    Found,
-    FoundVoid,
+    AlreadyExecuted,
+    AlreadyVoid,
     Refused,
 };
 
@@ -80,7 +81,7 @@
     // Of the log it leads or follows, and the newest that it promised to.
     Term term_ = 1;
     Term prepared_ = 1;
-    ServerName followed_;
+    ServerName followedPrimary_;
     Log log_;
     std::vector<TermStart> history_;
 };
--- a/tests/decision/schedule.cpp
+++ b/tests/decision/schedule.cpp
@@ -18,17 +18,17 @@
     "hand-over",     "promote-server",
 };
 
-constexpr int shortestFault = 20;
-constexpr int longestFault = 3000;
+constexpr int minFaultLength = 20;
+constexpr int maxFaultLength = 3000;
 constexpr int maxFaults = 8;
 // Faults that come close together begin in a window of this length, within the fault period.
-constexpr std::uint32_t closeSpread = 2500;
-constexpr std::uint32_t closeFrom = 4500;
+constexpr std::uint32_t clusterWindow = 2500;
+constexpr std::uint32_t maxClusterStart = 4500;
 
 // Half of all faults hit the owner or the primary.
 int makeTarget(std::uint32_t number)
 {
-    return number % 2 == 0 ? Fault::chosenOne : static_cast<int>(number / 2 % 4);
+    return number % 2 == 0 ? Fault::ownerOrPrimary : static_cast<int>(number / 2 % 4);
 }
 
 } // namespace
@@ -38,9 +38,9 @@
     Fault fault;
     fault.kind = static_cast<FaultKind>(kind % faultKindCount);
     fault.at = milliseconds(at % faultPeriod.count());
-    fault.a = makeTarget(targets % 97);
-    fault.b = makeTarget(targets / 97 % 97);
-    fault.length = milliseconds(shortestFault + length % (longestFault - shortestFault));
+    fault.target = makeTarget(targets % 97);
+    fault.otherTarget = makeTarget(targets / 97 % 97);
+    fault.length = milliseconds(minFaultLength + length % (maxFaultLength - minFaultLength));
     return fault;
 }
 
@@ -53,11 +53,11 @@
     schedule.processes = 3 + static_cast<int>(random() % 2);
     const std::size_t count = 1 + random() % maxFaults;
     // In half of the schedules the faults come close together.
-    const bool close = random() % 2 == 0;
-    const std::uint32_t center = draw() % closeFrom;
+    const bool clustered = random() % 2 == 0;
+    const std::uint32_t clusterStart = draw() % maxClusterStart;
     for (std::size_t i = 0; i < count; ++i) {
         const std::uint32_t kind = draw();
-        const std::uint32_t at = close ? center + draw() % closeSpread : draw();
+        const std::uint32_t at = clustered ? clusterStart + draw() % clusterWindow : draw();
         const std::uint32_t targets = draw();
         schedule.faults.push_back(makeFault(kind, at, targets, draw()));
     }
@@ -70,7 +70,7 @@
     text << "seed " << schedule.seed << "\nprocesses " << schedule.processes << '\n';
     for (const Fault &fault : schedule.faults) {
         text << "at " << fault.at.count() << ' ' << kindNames[static_cast<int>(fault.kind)] << ' '
-             << fault.a << ' ' << fault.b << ' ' << fault.length.count() << '\n';
+             << fault.target << ' ' << fault.otherTarget << ' ' << fault.length.count() << '\n';
     }
     return text.str();
 }
@@ -90,7 +90,7 @@
             std::int64_t at = 0;
             std::int64_t length = 0;
             Fault fault;
-            input >> at >> name >> fault.a >> fault.b >> length;
+            input >> at >> name >> fault.target >> fault.otherTarget >> length;
             const auto kind = std::find(kindNames.begin(), kindNames.end(), name);
             if (kind == kindNames.end())
                 return std::nullopt;
@@ -104,8 +104,8 @@
         if (!input)
             return std::nullopt;
     }
-    const bool sound = schedule.processes >= 1 && schedule.processes <= 4;
-    return sound ? std::optional<Schedule>(schedule) : std::nullopt;
+    const bool isValid = schedule.processes >= 1 && schedule.processes <= 4;
+    return isValid ? std::optional<Schedule>(schedule) : std::nullopt;
 }
 
 } // namespace kelptally::decision
--- a/tests/decision/schedule.h
+++ b/tests/decision/schedule.h
@@ -34,12 +34,12 @@
 struct Fault
 {
     // A target that is looked up when the fault strikes: the group's owner or its primary.
-    static constexpr int chosenOne = 9;
+    static constexpr int ownerOrPrimary = 9;
 
     FaultKind kind = FaultKind::CrashProcess;
     std::chrono::milliseconds at {0};
-    int a = 0;
-    int b = 0;
+    int target = 0;
+    int otherTarget = 0;
     std::chrono::milliseconds length {0};
 };
 
