--- a/tests/decision/checker_main.cpp
+++ b/tests/decision/checker_main.cpp
@@ -85,28 +85,32 @@
 
 int main(int argc, char **argv)
 {
-    TCLAP::CmdLine line(
+    TCLAP::CmdLine commandLine(
         "Checks ownership, failover and confirmation by random schedules of faults.");
-    TCLAP::ValueArg<std::uint64_t> count("n", "schedules", "How many", false, 1000, "count", line);
-    TCLAP::ValueArg<std::uint64_t> seed("s", "seed", "First seed", false, 1, "seed", line);
-    TCLAP::ValueArg<unsigned> threads("t", "threads", "Threads, 1 to 4", false, 4, "count", line);
-    TCLAP::ValueArg<std::string> file("r", "replay", "Schedule to run", false, "", "file", line);
-    TCLAP::ValueArg<std::string> without("w", "without",
-                                         "Check to switch off: lease, incarnation,"
-                                         " fence or majority",
-                                         false, "", "check", line);
-    TCLAP::SwitchArg detection("d", "detection", "Measures false alarms and detection times", line);
-    line.parse(argc, argv);
+    TCLAP::ValueArg<std::uint64_t> count("n", "schedules", "How many", false, 1000, "count",
+                                         commandLine);
+    TCLAP::ValueArg<std::uint64_t> seed("s", "seed", "First seed", false, 1, "seed", commandLine);
+    TCLAP::ValueArg<unsigned> threads("t", "threads", "Threads, 1 to 4", false, 4, "count",
+                                      commandLine);
+    TCLAP::ValueArg<std::string> file("r", "replay", "Schedule to run", false, "", "file",
+                                      commandLine);
+    TCLAP::ValueArg<std::string> disabledCheck("w", "without",
+                                               "Check to switch off: lease, incarnation,"
+                                               " fence or majority",
+                                               false, "", "check", commandLine);
+    TCLAP::SwitchArg detection("d", "detection", "Measures false alarms and detection times",
+                               commandLine);
+    commandLine.parse(argc, argv);
     if (detection.getValue()) {
         printDetectionStudy(std::cout, seed.getValue());
         return 0;
     }
 
     CheckerOptions options;
-    options.ownership.lease = without.getValue() != "lease";
-    options.ownership.incarnation = without.getValue() != "incarnation";
-    options.failover.fence = without.getValue() != "fence";
-    options.requireMajority = without.getValue() != "majority";
+    options.ownership.lease = disabledCheck.getValue() != "lease";
+    options.ownership.incarnation = disabledCheck.getValue() != "incarnation";
+    options.failover.fence = disabledCheck.getValue() != "fence";
+    options.requireMajority = disabledCheck.getValue() != "majority";
     if (file.isSet())
         return replay(file.getValue(), options);
 
@@ -119,11 +123,11 @@
             [&] { runRange(seed.getValue(), count.getValue(), next, options, totals); });
     for (std::thread &worker : workers)
         worker.join();
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - startedAt;
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - startedAt;
     std::cout << "schedules=" << count.getValue() << " failed=" << totals.failed
               << " acknowledged=" << totals.acknowledged << " not_run=" << totals.notRun
               << " claims=" << totals.claims << " primaries=" << totals.promotions
               << " slowest_resume_ms=" << toMilliseconds(totals.slowestResume)
-              << " seconds=" << took.count() << '\n';
+              << " seconds=" << elapsed.count() << '\n';
     return totals.failed == 0 ? 0 : 1;
 }
--- a/tests/decision/checkerclient.cpp
+++ b/tests/decision/checkerclient.cpp
@@ -28,30 +28,31 @@
     Operation &operation = operations_[index];
     if (!operation.open)
         return;
-    const std::uint64_t round = ++operation.round;
+    const std::uint64_t requestNumber = ++operation.requestNumber;
     const ClientRequest request {operation.key, ++lastAttempt_, lookUp};
     const auto reply = [=](ClientAnswer answer) {
-        after(clientLatency, [=] { onAnswer(index, round, request, answer); });
+        after(clientLatency, [=] { onAnswer(index, requestNumber, request, answer); });
     };
     const int target = targetProcess_;
     after(clientLatency, [=] {
         ProcessSlot &slot = slots_[static_cast<std::size_t>(target)];
         if (slot.process)
-            atProcess(slot.process->self(), [=](ModelProcess &p) { p.onRequest(request, reply); });
+            runAtProcess(slot.process->self(),
+                         [=](ModelProcess &p) { p.onRequest(request, reply); });
         else
             reply({lookUp ? Outcome::Unknown : Outcome::Refused, {}});
     });
-    after(clientTimeout, [=] { onAnswer(index, round, request, {Outcome::Unknown, {}}); });
+    after(clientTimeout, [=] { onAnswer(index, requestNumber, request, {Outcome::Unknown, {}}); });
 }
 
-void CheckerSimulation::onAnswer(std::size_t index, std::uint64_t round,
+void CheckerSimulation::onAnswer(std::size_t index, std::uint64_t requestNumber,
                                  const ClientRequest &request, ClientAnswer answer)
 {
     // A refusal is a promise whenever it comes.
     if (answer.outcome == Outcome::Refused)
         refusedAttempts_.insert(request.attempt);
     Operation &operation = operations_[index];
-    if (!operation.open || operation.round != round)
+    if (!operation.open || operation.requestNumber != requestNumber)
         return;
     switch (answer.outcome) {
     case Outcome::Done:
@@ -75,18 +76,18 @@
 
 void CheckerSimulation::scheduleRetry(std::size_t index, bool lookUp)
 {
-    ++operations_[index].round;
+    ++operations_[index].requestNumber;
     after(clientRetryDelay, [this, index, lookUp] { sendRequest(index, lookUp); });
 }
 
 // ---- The promises ----
 
-void CheckerSimulation::reportViolation(const std::string &what)
+void CheckerSimulation::reportViolation(const std::string &description)
 {
     if (!result_.violation.empty())
         return;
     const auto at = std::chrono::duration_cast<milliseconds>(now() - startedAt_);
-    result_.violation = "at " + std::to_string(at.count()) + " ms: " + what;
+    result_.violation = "at " + std::to_string(at.count()) + " ms: " + description;
 }
 
 void CheckerSimulation::checkLeases()
@@ -104,7 +105,7 @@
 void CheckerSimulation::onPrimaryReady(const ProcessId &process, const PrimaryReady &ready)
 {
     ++result_.promotions;
-    if (!slots_[static_cast<std::size_t>(slotOf(process.address))].process->holdsLease())
+    if (!slots_[static_cast<std::size_t>(slotIndex(process.address))].process->holdsLease())
         return;
     readyTerm_ = std::max(readyTerm_, ready.term);
     const std::size_t server = static_cast<std::size_t>(ready.server[1] - '0');
--- a/tests/decision/checkerfaults.cpp
+++ b/tests/decision/checkerfaults.cpp
@@ -7,7 +7,7 @@
 
 int CheckerSimulation::ownerSlot() const
 {
-    return row_ ? slotOf(row_->row.owner.address) : 0;
+    return row_ ? slotIndex(row_->row.owner.address) : 0;
 }
 
 int CheckerSimulation::primaryServer() const
@@ -65,7 +65,7 @@
         return;
     case FaultKind::KillServer:
         slot.running = false;
-        slot.inbox.clear();
+        slot.deferredCalls.clear();
         after(length,
               [this, server] { servers_[static_cast<std::size_t>(server)].running = true; });
         return;
@@ -73,7 +73,7 @@
         slot.pausedUntil = until;
         after(length, [this, server] {
             ServerSlot &paused = servers_[static_cast<std::size_t>(server)];
-            for (const Call &call : std::exchange(paused.inbox, {}))
+            for (const Call &call : std::exchange(paused.deferredCalls, {}))
                 call();
         });
         return;
@@ -90,7 +90,7 @@
         if (!processSlot.process)
             continue;
         const ServerName name = "s" + std::to_string(server);
-        atProcess(processSlot.process->self(), [=](ModelProcess &p) {
+        runAtProcess(processSlot.process->self(), [=](ModelProcess &p) {
             if (fault.kind == FaultKind::ServerLeaving)
                 p.setLeaving({name});
             else if (fault.kind == FaultKind::HandOver)
--- a/tests/decision/checkersimulation.cpp
+++ b/tests/decision/checkersimulation.cpp
@@ -76,33 +76,33 @@
     return result_;
 }
 
-void CheckerSimulation::traceEvent(const ProcessId &process, const std::string &what)
+void CheckerSimulation::traceEvent(const ProcessId &process, const std::string &event)
 {
     if (!options_.trace)
         return;
     const auto at = std::chrono::duration_cast<milliseconds>(now() - startedAt_);
     *options_.trace << at.count() << " ms " << process.address << '#' << process.incarnation << ' '
-                    << what << '\n';
+                    << event << '\n';
 }
 
 // ---- Network and time ----
 
 Instant CheckerSimulation::localNow(const ProcessId &process) const
 {
-    const ProcessSlot &slot = slots_[static_cast<std::size_t>(slotOf(process.address))];
+    const ProcessSlot &slot = slots_[static_cast<std::size_t>(slotIndex(process.address))];
     const double elapsed = static_cast<double>((now() - startedAt_).count());
     return startedAt_ + slot.clockOffset
         + Duration(static_cast<Duration::rep>(elapsed * slot.clockRate));
 }
 
-int CheckerSimulation::slotOf(const std::string &address) const
+int CheckerSimulation::slotIndex(const std::string &address) const
 {
     return address[1] - '0';
 }
 
 bool CheckerSimulation::isAlive(const ProcessId &process) const
 {
-    const ProcessSlot &slot = slots_[static_cast<std::size_t>(slotOf(process.address))];
+    const ProcessSlot &slot = slots_[static_cast<std::size_t>(slotIndex(process.address))];
     return slot.process && slot.incarnation == process.incarnation;
 }
 
@@ -131,13 +131,13 @@
         cut(node, other, length);
 }
 
-void CheckerSimulation::atProcess(const ProcessId &id, ProcessCall call)
+void CheckerSimulation::runAtProcess(const ProcessId &id, ProcessCall call)
 {
     if (!isAlive(id))
         return;
-    ProcessSlot &slot = slots_[static_cast<std::size_t>(slotOf(id.address))];
+    ProcessSlot &slot = slots_[static_cast<std::size_t>(slotIndex(id.address))];
     if (now() < slot.pausedUntil) {
-        slot.inbox.push_back([this, id, call] { atProcess(id, call); });
+        slot.deferredCalls.push_back([this, id, call] { runAtProcess(id, call); });
         return;
     }
     call(*slot.process);
@@ -145,35 +145,35 @@
 
 void CheckerSimulation::sendToProcess(int from, const std::string &address, ProcessCall call)
 {
-    const int to = slotOf(address);
+    const int to = slotIndex(address);
     if (isCut(from, to))
         return;
     after(networkDelay(), [this, to, call] {
         const ProcessSlot &slot = slots_[static_cast<std::size_t>(to)];
         if (slot.process)
-            atProcess(slot.process->self(), call);
+            runAtProcess(slot.process->self(), call);
     });
 }
 
-void CheckerSimulation::atServerSlot(int server, std::function<void(ModelServer &)> call)
+void CheckerSimulation::runAtServer(int server, std::function<void(ModelServer &)> call)
 {
     ServerSlot &slot = servers_[static_cast<std::size_t>(server)];
     if (now() < slot.pausedUntil) {
-        slot.inbox.push_back([this, server, call] { atServerSlot(server, call); });
+        slot.deferredCalls.push_back([this, server, call] { runAtServer(server, call); });
         return;
     }
     call(slot.model);
 }
 
-void CheckerSimulation::atServer(const ProcessId &process, const ServerName &name, ServerWork work,
-                                 ServerFailed failed)
+void CheckerSimulation::callServer(const ProcessId &process, const ServerName &name,
+                                   ServerWork work, ServerFailed failed)
 {
-    const int from = slotOf(process.address);
+    const int from = slotIndex(process.address);
     const int server = name[1] - '0';
     const int to = firstServer + server;
     const auto answered = std::make_shared<bool>(false);
     const auto answer = [this, process, answered](Call call) {
-        atProcess(process, [answered, call](ModelProcess &) {
+        runAtProcess(process, [answered, call](ModelProcess &) {
             if (!std::exchange(*answered, true))
                 call();
         });
@@ -189,7 +189,7 @@
             after(networkDelay(), [=] { answer([failed] { failed(true); }); });
             return;
         }
-        atServerSlot(server, [=](ModelServer &model) {
+        runAtServer(server, [=](ModelServer &model) {
             const Call onReply = work(model);
             replicate(server);
             if (!isCut(from, to))
@@ -204,7 +204,7 @@
 {
     ProcessSlot &slot = slots_[static_cast<std::size_t>(index)];
     slot.incarnation = ++lastIncarnation_;
-    slot.inbox.clear();
+    slot.deferredCalls.clear();
     slot.pausedUntil = Instant {};
     const ProcessId self {slot.address, slot.incarnation};
     slot.process = std::make_unique<ModelProcess>(*this, self, hosts_, random_(), options_);
@@ -256,8 +256,8 @@
     after(hostListLag, [=] {
         for (const ProcessSlot &other : slots_) {
             if (other.process && other.address != dead.address)
-                atProcess(other.process->self(),
-                          [dead](ModelProcess &p) { p.onProcessGone(dead); });
+                runAtProcess(other.process->self(),
+                             [dead](ModelProcess &p) { p.onProcessGone(dead); });
         }
     });
 }
@@ -276,14 +276,14 @@
     ProcessSlot &slot = slots_[static_cast<std::size_t>(index)];
     if (now() < slot.pausedUntil)
         return;
-    const auto waiting = std::exchange(slot.inbox, {});
+    const auto waiting = std::exchange(slot.deferredCalls, {});
     for (const Call &call : waiting)
         call();
 }
 
 void CheckerSimulation::sendLeaseRequest(const ProcessId &from, const SendLeaseRequest &send)
 {
-    const int index = slotOf(from.address);
+    const int index = slotIndex(from.address);
     const LeaseRequest request = send.request;
     sendToProcess(index, send.to.address, [this, index, from, request](ModelProcess &to) {
         OwnershipActions actions;
@@ -291,16 +291,17 @@
         to.carryOut(actions);
         if (!answer)
             return;
-        sendToProcess(slotOf(to.self().address), from.address, [this, answer](ModelProcess &owner) {
-            owner.carryOut(owner.ownership().onLeaseAnswer(localNow(owner.self()), *answer));
-        });
+        sendToProcess(
+            slotIndex(to.self().address), from.address, [this, answer](ModelProcess &owner) {
+                owner.carryOut(owner.ownership().onLeaseAnswer(localNow(owner.self()), *answer));
+            });
     });
 }
 
 void CheckerSimulation::sendHandOver(const ProcessId &from, const SendHandOver &handOver)
 {
     const OwnerEpoch epoch = handOver.epoch;
-    sendToProcess(slotOf(from.address), handOver.to.address, [this, epoch](ModelProcess &to) {
+    sendToProcess(slotIndex(from.address), handOver.to.address, [this, epoch](ModelProcess &to) {
         to.carryOut(to.ownership().onHandOver(localNow(to.self()), epoch));
     });
 }
@@ -319,7 +320,7 @@
             continue;
         after(networkDelay(), [this, other, message] {
             if (servers_[static_cast<std::size_t>(other)].running)
-                atServerSlot(other, [message](ModelServer &m) { m.onReplication(*message); });
+                runAtServer(other, [message](ModelServer &m) { m.onReplication(*message); });
         });
     }
 }
@@ -334,7 +335,7 @@
 
 void CheckerSimulation::readRow(const ProcessId &process)
 {
-    const int from = slotOf(process.address);
+    const int from = slotIndex(process.address);
     const bool fails = isCut(from, store) || now() < storeDownUntil_;
     const Duration requestDelay = networkDelay();
     Duration replyDelay = networkDelay();
@@ -345,7 +346,7 @@
         const std::optional<TaggedRow> row = row_;
         const bool lost = fails || late;
         after(lost ? Duration {0} : replyDelay, [=] {
-            atProcess(process, [=](ModelProcess &p) {
+            runAtProcess(process, [=](ModelProcess &p) {
                 const Instant local = localNow(process);
                 p.carryOut(lost ? p.ownership().onRowReadFailed(local)
                                 : p.ownership().onRow(local, row));
@@ -356,7 +357,7 @@
 
 void CheckerSimulation::writeRow(const ProcessId &process, const WriteRow &write)
 {
-    const int from = slotOf(process.address);
+    const int from = slotIndex(process.address);
     if (isCut(from, store) || now() < storeDownUntil_) {
         // Refused at once, or lost on the way, or kept somewhere and landing late.
         const std::uint64_t lossCase = randomBelow(3);
@@ -404,7 +405,7 @@
 void CheckerSimulation::answerWrite(const ProcessId &process, const std::string &changeId,
                                     WriteOutcome outcome, const std::string &etag)
 {
-    atProcess(process, [=](ModelProcess &p) {
+    runAtProcess(process, [=](ModelProcess &p) {
         p.carryOut(p.ownership().onWriteOutcome(localNow(process), changeId, outcome, etag));
     });
 }
--- a/tests/decision/checkersimulation.h
+++ b/tests/decision/checkersimulation.h
@@ -42,9 +42,9 @@
     void writeRow(const ProcessId &process, const WriteRow &write) override;
     void sendLeaseRequest(const ProcessId &from, const SendLeaseRequest &request) override;
     void sendHandOver(const ProcessId &from, const SendHandOver &handOver) override;
-    void atServer(const ProcessId &process, const ServerName &server, ServerWork work,
-                  ServerFailed failed) override;
-    void traceEvent(const ProcessId &process, const std::string &what) override;
+    void callServer(const ProcessId &process, const ServerName &server, ServerWork work,
+                    ServerFailed failed) override;
+    void traceEvent(const ProcessId &process, const std::string &event) override;
     void onPrimaryReady(const ProcessId &process, const PrimaryReady &ready) override;
     void onAcknowledged(const ProcessId &process, Term term) override;
 
@@ -63,7 +63,7 @@
         std::unique_ptr<ModelProcess> process;
         Incarnation incarnation = 0;
         Instant pausedUntil;
-        std::deque<std::function<void()>> inbox;
+        std::deque<std::function<void()>> deferredCalls;
         Duration clockOffset {0};
         double clockRate = 1;
     };
@@ -73,7 +73,7 @@
         ModelServer model;
         bool running = true;
         Instant pausedUntil;
-        std::deque<std::function<void()>> inbox;
+        std::deque<std::function<void()>> deferredCalls;
     };
 
     struct Operation
@@ -83,7 +83,7 @@
         bool open = true;
         int attempts = 0;
         // Answers still awaited; a later one is ignored.
-        std::uint64_t round = 0;
+        std::uint64_t requestNumber = 0;
     };
 
     using Call = std::function<void()>;
@@ -96,13 +96,13 @@
     bool isCut(int a, int b) const;
     void cut(int a, int b, Duration length);
     void isolate(int node, Duration length);
-    int slotOf(const std::string &address) const;
+    int slotIndex(const std::string &address) const;
     bool isAlive(const ProcessId &process) const;
 
     // Runs a call at this run of a process, after its pause if it is paused.
-    void atProcess(const ProcessId &process, ProcessCall call);
+    void runAtProcess(const ProcessId &process, ProcessCall call);
     void sendToProcess(int from, const std::string &address, ProcessCall call);
-    void atServerSlot(int server, std::function<void(ModelServer &)> call);
+    void runAtServer(int server, std::function<void(ModelServer &)> call);
     void resume(int slot);
 
     void startProcess(int slot);
@@ -124,11 +124,11 @@
 
     void beginOperation();
     void sendRequest(std::size_t index, bool lookUp);
-    void onAnswer(std::size_t index, std::uint64_t round, const ClientRequest &request,
+    void onAnswer(std::size_t index, std::uint64_t requestNumber, const ClientRequest &request,
                   ClientAnswer answer);
     void scheduleRetry(std::size_t index, bool lookUp);
 
-    void reportViolation(const std::string &what);
+    void reportViolation(const std::string &description);
     void checkLeases();
     void checkHistory(const ModelServer &server, const std::string &when);
     void checkFinalState();
--- a/tests/decision/modelprocess.cpp
+++ b/tests/decision/modelprocess.cpp
@@ -137,7 +137,7 @@
 void ModelProcess::perform(const SendProbe &action)
 {
     const std::uint64_t failoverRun = failoverRun_;
-    environment_.atServer(
+    environment_.callServer(
         self_, action.server,
         [=](ModelServer &server) {
             return [=, report = server.report()] {
@@ -160,7 +160,7 @@
         if (failoverRun == failoverRun_)
             carryOut(failover_->onCommandFailed(now(), name, failure));
     };
-    environment_.atServer(
+    environment_.callServer(
         self_, name,
         [=](ModelServer &server) -> std::function<void()> {
             if (!work(server))
@@ -254,7 +254,7 @@
     const ClientRequest request = pending_[id].request;
     const OwnerEpoch epoch = ownership_.epoch();
     const ServerName primary = *failover_->primary();
-    environment_.atServer(
+    environment_.callServer(
         self_, primary,
         [=](ModelServer &server) {
             const WriteAnswer answer =
@@ -300,7 +300,7 @@
     for (const ServerName &name : servers_) {
         if (name == failover_->primary())
             continue;
-        environment_.atServer(
+        environment_.callServer(
             self_, name,
             [=](ModelServer &server) {
                 return [=, report = server.report()] {
--- a/tests/decision/modelprocess.h
+++ b/tests/decision/modelprocess.h
@@ -66,10 +66,10 @@
     // Work at a server returns what is to be done with its answer at the process.
     using ServerWork = std::function<std::function<void()>(ModelServer &)>;
     using ServerFailed = std::function<void(bool refused)>;
-    virtual void atServer(const ProcessId &process, const ServerName &server, ServerWork work,
-                          ServerFailed failed) = 0;
+    virtual void callServer(const ProcessId &process, const ServerName &server, ServerWork work,
+                            ServerFailed failed) = 0;
 
-    virtual void traceEvent(const ProcessId &process, const std::string &what) = 0;
+    virtual void traceEvent(const ProcessId &process, const std::string &event) = 0;
     virtual void onPrimaryReady(const ProcessId &process, const PrimaryReady &ready) = 0;
     virtual void onAcknowledged(const ProcessId &process, Term term) = 0;
 };
