--- a/tests/decision/checker_main.cpp
+++ b/tests/decision/checker_main.cpp
@@ -10,13 +10,13 @@
 #include <sstream>
 #include <thread>
 
-// Runs many random schedules against the decisions, or one from a file.
+// Model checker: runs random fault schedules, or replays one from a file.
 using namespace kelptally;
 using namespace kelptally::decision;
 
 namespace {
 
-// Leaves out faults for as long as the schedule still fails.
+// Removes all faults that are not needed to reproduce the violation.
 Schedule shrink(Schedule schedule, const CheckerOptions &options)
 {
     for (std::size_t i = 0; i < schedule.faults.size();) {
@@ -86,19 +86,19 @@
 int main(int argc, char **argv)
 {
     TCLAP::CmdLine commandLine(
-        "Checks ownership, failover and confirmation by random schedules of faults.");
-    TCLAP::ValueArg<std::uint64_t> count("n", "schedules", "How many", false, 1000, "count",
-                                         commandLine);
+        "Checks ownership, failover and confirmation with random fault schedules.");
+    TCLAP::ValueArg<std::uint64_t> count("n", "schedules", "Number of schedules", false, 1000,
+                                         "count", commandLine);
     TCLAP::ValueArg<std::uint64_t> seed("s", "seed", "First seed", false, 1, "seed", commandLine);
-    TCLAP::ValueArg<unsigned> threads("t", "threads", "Threads, 1 to 4", false, 4, "count",
-                                      commandLine);
-    TCLAP::ValueArg<std::string> file("r", "replay", "Schedule to run", false, "", "file",
-                                      commandLine);
+    TCLAP::ValueArg<unsigned> threads("t", "threads", "Number of threads, 1 to 4", false, 4,
+                                      "count", commandLine);
+    TCLAP::ValueArg<std::string> file("r", "replay", "File with the schedule to replay", false, "",
+                                      "file", commandLine);
     TCLAP::ValueArg<std::string> disabledCheck("w", "without",
-                                               "Check to switch off: lease, incarnation,"
+                                               "Check to disable: lease, incarnation,"
                                                " fence or majority",
                                                false, "", "check", commandLine);
-    TCLAP::SwitchArg detection("d", "detection", "Measures false alarms and detection times",
+    TCLAP::SwitchArg detection("d", "detection", "Measure false positives and detection times",
                                commandLine);
     commandLine.parse(argc, argv);
     if (detection.getValue()) {
--- a/tests/decision/checker_test.cpp
+++ b/tests/decision/checker_test.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Schedules of the short run; decision_checker runs any number from any seed.
+// Number of schedules in this test; decision_checker runs any number.
 constexpr std::uint64_t scheduleCount = 1500;
-// How far a switched-off check is searched for before the checker counts as blind to it.
+// Number of schedules in which a violation must be found while a check is disabled.
 constexpr std::uint64_t searchLimit = 3000;
 
 bool isViolated(std::uint64_t seed, const CheckerOptions &options)
@@ -18,7 +18,7 @@
     return !runSchedule(randomSchedule(seed), options).violation.empty();
 }
 
-// A seed whose schedule breaks a promise; the one that did when it was recorded is tried first.
+// Returns a seed whose schedule violates an invariant, if there is one. Tries the known seed first.
 std::optional<std::uint64_t> findViolation(std::uint64_t knownSeed, const CheckerOptions &options)
 {
     if (isViolated(knownSeed, options))
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("No schedule of faults breaks a promise", "[checker]")
+TEST_CASE("No random fault schedule violates an invariant", "[checker]")
 {
     for (std::uint64_t seed = 1; seed <= scheduleCount; ++seed) {
         const Schedule schedule = randomSchedule(seed);
@@ -54,10 +54,11 @@
     }
 }
 
-// The seed comes from RC_PARAMS, which the build sets; a failure is shrunk and printed.
-TEST_CASE("No generated schedule breaks a promise", "[checker]")
+// The seed comes from RC_PARAMS, which CMakeLists.txt sets. RapidCheck shrinks and prints a
+// failure.
+TEST_CASE("No generated fault schedule violates an invariant", "[checker]")
 {
-    const bool passed = rc::check("promises hold", [] {
+    const bool passed = rc::check("invariants hold", [] {
         const Schedule schedule = *anySchedule();
         RC_LOG(toText(schedule));
         RC_ASSERT(runSchedule(schedule).violation == std::string());
@@ -65,7 +66,7 @@
     CHECK(passed);
 }
 
-TEST_CASE("A schedule gives the same run again, also from its text", "[checker]")
+TEST_CASE("A schedule and its text form reproduce the same run", "[checker]")
 {
     const Schedule schedule = randomSchedule(77);
     const auto again = scheduleFromText(toText(schedule));
@@ -80,7 +81,7 @@
     CHECK_FALSE(scheduleFromText("seed 4\nat 5 store-down\n"));
 }
 
-// Each check is there for a reason: without it some schedule breaks a promise.
+// Mutation tests: with any of these checks disabled, the checker must find a violation.
 
 TEST_CASE("Without the lease check two processes own a group", "[checker]")
 {
@@ -89,7 +90,7 @@
     CHECK(findViolation(18, options));
 }
 
-TEST_CASE("Without the incarnation check a restarted process breaks a promise", "[checker]")
+TEST_CASE("Without the incarnation check a restarted process violates an invariant", "[checker]")
 {
     CheckerOptions options;
     options.ownership.incarnation = false;
@@ -103,7 +104,7 @@
     CHECK(findViolation(2038, options));
 }
 
-TEST_CASE("Without the majority an acknowledged write is lost", "[checker]")
+TEST_CASE("Without the majority rule an acknowledged write is lost", "[checker]")
 {
     CheckerOptions options;
     options.requireMajority = false;
--- a/tests/decision/checkerclient.cpp
+++ b/tests/decision/checkerclient.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-// The client of the checker's world, and what it holds the processes to.
+// Client and invariant checks of the checker's simulation.
 namespace kelptally::decision {
 
 using std::chrono::milliseconds;
@@ -48,7 +48,7 @@
 void CheckerSimulation::onAnswer(std::size_t index, std::uint64_t requestNumber,
                                  const ClientRequest &request, ClientAnswer answer)
 {
-    // A refusal is a promise whenever it comes.
+    // A refusal is binding even if it arrives late.
     if (answer.outcome == Outcome::Refused)
         refusedAttempts_.insert(request.attempt);
     Operation &operation = operations_[index];
@@ -80,7 +80,7 @@
     after(clientRetryDelay, [this, index, lookUp] { sendRequest(index, lookUp); });
 }
 
-// ---- The promises ----
+// ---- Invariants ----
 
 void CheckerSimulation::reportViolation(const std::string &description)
 {
--- a/tests/decision/checkerfaults.cpp
+++ b/tests/decision/checkerfaults.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-// What the faults of a schedule do to the checker's world.
+// Fault injection of the checker's simulation.
 namespace kelptally::decision {
 
 int CheckerSimulation::ownerSlot() const
--- a/tests/decision/checkersimulation.cpp
+++ b/tests/decision/checkersimulation.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-// Writes that begin after all faults are healed are acknowledged within this time: a lease period,
-// claims and late store writes of the last fault, and the client's own timeout.
+// Maximum time from the end of all faults to the acknowledgement of a later write. Covers a lease
+// period, claims and delayed store writes of the last fault, and the client's timeout.
 constexpr Duration resumeLimit = milliseconds(6000);
 constexpr Duration callTimeout = milliseconds(500);
 constexpr Duration storeTimeout = milliseconds(800);
 constexpr Duration helloPeriod = milliseconds(200);
 constexpr Duration replicationPeriod = milliseconds(100);
-// The platform's list tells of a dead host after this time; shortened from 30 s.
+// Delay until the platform's list shows that a host is gone. Shorter than in production, to fit
+// into a run.
 constexpr Duration hostListLag = milliseconds(2500);
 
 } // namespace
@@ -308,7 +309,7 @@
 
 // ---- Servers ----
 
-// Sends a primary's log to the others.
+// Sends the log of a primary to the other servers.
 void CheckerSimulation::replicate(int server)
 {
     const ServerSlot &slot = servers_[static_cast<std::size_t>(server)];
@@ -331,7 +332,7 @@
     after(replicationPeriod, [this, server] { replicatePeriodically(server); });
 }
 
-// ---- The store ----
+// ---- Table service ----
 
 void CheckerSimulation::readRow(const ProcessId &process)
 {
@@ -359,7 +360,7 @@
 {
     const int from = slotIndex(process.address);
     if (isCut(from, store) || now() < storeDownUntil_) {
-        // Refused at once, or lost on the way, or kept somewhere and landing late.
+        // The write is refused at once, lost, or delayed and applied later.
         const std::uint64_t lossCase = randomBelow(3);
         const WriteOutcome outcome = lossCase == 0 ? WriteOutcome::NotSent : WriteOutcome::Unknown;
         if (lossCase == 2)
--- a/tests/decision/checkersimulation.h
+++ b/tests/decision/checkersimulation.h
@@ -15,22 +15,24 @@
 
 namespace kelptally::decision {
 
-// What a run of a schedule showed.
+// Result of running a schedule.
 struct CheckerResult
 {
-    // Empty: no promise was broken.
+    // First violated invariant; empty if there is none.
     std::string violation;
     std::size_t acknowledged = 0;
     std::size_t notRun = 0;
     std::size_t claims = 0;
     std::size_t promotions = 0;
-    // From the end of all faults to the first acknowledgement of a write begun after it.
+    // Time from the end of all faults to the first acknowledgement of a write begun after it.
     Duration resumedAfter {0};
 };
 
+// Runs the schedule in a new simulation.
 CheckerResult runSchedule(const Schedule &schedule, const CheckerOptions &options = {});
 
-// Processes, servers, a store and a client on a manual clock, with the network between them.
+// Deterministic simulation of owner processes, database servers, the table service and a client on
+// a manual clock. Injects the faults of a schedule and checks the safety invariants as it runs.
 class CheckerSimulation : public ProcessEnvironment
 {
 public:
@@ -56,7 +58,7 @@
     static constexpr int store = firstServer + serverCount;
     static constexpr int nodeCount = store + 1;
 
-    // A place where a process runs, with its host's clock.
+    // An address at which one process at a time runs, with the clock of its host.
     struct ProcessSlot
     {
         std::string address;
@@ -68,6 +70,7 @@
         double clockRate = 1;
     };
 
+    // A server and whether it currently answers.
     struct ServerSlot
     {
         ModelServer model;
@@ -76,13 +79,14 @@
         std::deque<std::function<void()>> deferredCalls;
     };
 
+    // A write of one key, repeated by the client until its outcome is known.
     struct Operation
     {
         std::uint64_t key = 0;
         Instant startedAt;
         bool open = true;
         int attempts = 0;
-        // Answers still awaited; a later one is ignored.
+        // Number of the latest request. Answers to earlier ones are ignored.
         std::uint64_t requestNumber = 0;
     };
 
@@ -99,7 +103,8 @@
     int slotIndex(const std::string &address) const;
     bool isAlive(const ProcessId &process) const;
 
-    // Runs a call at this run of a process, after its pause if it is paused.
+    // Runs a call at the process, at the end of its pause if it is paused. Drops the call if this
+    // incarnation has ended.
     void runAtProcess(const ProcessId &process, ProcessCall call);
     void sendToProcess(int from, const std::string &address, ProcessCall call);
     void runAtServer(int server, std::function<void(ModelServer &)> call);
--- a/tests/decision/detectionstudy.cpp
+++ b/tests/decision/detectionstudy.cpp
@@ -18,13 +18,13 @@
 constexpr Duration roundTrip = milliseconds(3);
 constexpr int faultCount = 500;
 
-// Three servers that answer probes, but for those that are lost; the first is the primary.
+// Simulates three servers that answer all probes that are not lost. The first is the primary.
 class DetectionSimulation
 {
 public:
     DetectionSimulation(double loss, std::uint64_t seed) : loss_(loss), random_(seed) { }
 
-    // False alarms in this much time without any fault.
+    // Returns the number of false positives within the time.
     int countFalseAlarms(Duration time)
     {
         int alarms = 0;
@@ -40,7 +40,7 @@
         return alarms;
     }
 
-    // Time from a fault of the primary to its being given up.
+    // Returns the time from a fault of the primary to its detection.
     Duration detectionTime(bool refuses)
     {
         restart();
@@ -141,7 +141,7 @@
     out << std::fixed << std::setprecision(1)
         << "lost  alarms/day  refused p50  p99  hung p50  p99 (ms)\n";
     for (const double loss : {0.0, 0.001, 0.01, 0.03, 0.05, 0.1, 0.2}) {
-        // Rare alarms want a longer look.
+        // False positives are rare at low loss, so these runs are longer.
         const int hours = loss <= 0.03 ? 96 : 8;
         DetectionSimulation simulation(loss, seed);
         const int alarms = simulation.countFalseAlarms(std::chrono::hours(hours));
--- a/tests/decision/detectionstudy.h
+++ b/tests/decision/detectionstudy.h
@@ -5,8 +5,9 @@
 
 namespace kelptally::decision {
 
-// Measures how often a healthy primary is given up when probes are lost at random, and how long it
-// takes to give up one that refuses connections or hangs. No ordinary traffic, which would help.
+// Measures the false positives of failure detection when probes are lost at random, and the time to
+// detect a primary that refuses connections or hangs. Without ordinary traffic, which would give
+// further evidence that a server is alive.
 void printDetectionStudy(std::ostream &out, std::uint64_t seed);
 
 } // namespace kelptally::decision
--- a/tests/decision/modelprocess.cpp
+++ b/tests/decision/modelprocess.cpp
@@ -57,7 +57,7 @@
 
 void ModelProcess::perform(const StartServing &action)
 {
-    environment_.traceEvent(self_, "starts to serve epoch " + std::to_string(action.epoch));
+    environment_.traceEvent(self_, "starts serving epoch " + std::to_string(action.epoch));
     ++failoverRun_;
     failover_.emplace(group, action.epoch, servers_, options_.failover);
     confirmation_ = Confirmation(options_.requireMajority);
@@ -67,7 +67,7 @@
 
 void ModelProcess::perform(const StopServing &action)
 {
-    environment_.traceEvent(self_, "stops: " + action.reason);
+    environment_.traceEvent(self_, "stops serving: " + action.reason);
     ++failoverRun_;
     failover_.reset();
     abandonAll();
@@ -151,7 +151,8 @@
         });
 }
 
-// Runs a command; the answer goes to done with a copy of the server as it was right after it.
+// Runs a command at the server. If it succeeds, done receives the state of the server right after
+// it.
 void ModelProcess::command(const ServerName &name, std::function<bool(ModelServer &)> work,
                            std::function<void(const ModelServer &)> done)
 {
@@ -224,7 +225,7 @@
 
 void ModelProcess::perform(const PrimaryGone &action)
 {
-    environment_.traceEvent(self_, "gives up " + action.server + ": " + action.cause);
+    environment_.traceEvent(self_, "primary lost: " + action.server + ": " + action.cause);
     abandonAll();
 }
 
@@ -236,7 +237,7 @@
     environment_.onPrimaryReady(self_, action);
 }
 
-// ---- The writer ----
+// ---- Writes ----
 
 void ModelProcess::onRequest(const ClientRequest &request, AnswerCallback answer)
 {
@@ -284,7 +285,7 @@
         answer.result == WriteResult::AlreadyVoid || (answer.result == WriteResult::Done && lookUp);
     pending.outcome = isVoid ? Outcome::NotRun : Outcome::Done;
     pending.position = answer.position;
-    // All that came before the current term is held by a majority already.
+    // A majority already holds all records of earlier terms.
     if (answer.position.term != failover_->term()) {
         acknowledge(id);
         return;
@@ -293,7 +294,7 @@
     probeReplicas();
 }
 
-// One probe of each replica for all writes that wait.
+// Probes each replica once for all pending writes.
 void ModelProcess::probeReplicas()
 {
     const std::uint64_t failoverRun = failoverRun_;
--- a/tests/decision/modelprocess.h
+++ b/tests/decision/modelprocess.h
@@ -13,22 +13,23 @@
 
 namespace kelptally::decision {
 
-// Which checks the run has in force; one is switched off to show that the checker notices.
+// Safety checks that are enabled in a run. Tests disable one to verify that the checker finds the
+// violation.
 struct CheckerOptions
 {
     OwnershipChecks ownership;
     FailoverChecks failover;
     bool requireMajority = true;
-    // Where to tell what happens, for a replay; nothing: nowhere.
+    // Receives the events of the run if not null.
     std::ostream *trace = nullptr;
 };
 
 enum class Outcome {
-    // In the log for ever.
+    // The key was executed, and its record is in the log permanently.
     Done,
-    // The key has not run and never will.
+    // The key was not executed and never will be.
     NotRun,
-    // This attempt has not run and never will.
+    // This attempt was not executed and never will be.
     Refused,
     Unknown,
 };
@@ -37,7 +38,8 @@
 {
     std::uint64_t key = 0;
     std::uint64_t attempt = 0;
-    // Asks whether the key has run; if not, a void record keeps it from running.
+    // Queries whether the key was executed. If not, writes a void record that prevents it from
+    // being executed later.
     bool lookUp = false;
 };
 
@@ -49,21 +51,21 @@
 
 using AnswerCallback = std::function<void(ClientAnswer)>;
 
-// What a model process needs of the world around it. Answers come back to this run of the process
-// only, and not while it is paused.
+// Network, clock and storage of a model process. Answers are delivered only to the incarnation that
+// sent the request, and not while it is paused.
 class ProcessEnvironment
 {
 public:
     virtual ~ProcessEnvironment() = default;
 
-    // Time as this process's own clock shows it.
+    // Returns the time of the process's own clock.
     virtual Instant localNow(const ProcessId &process) const = 0;
     virtual void readRow(const ProcessId &process) = 0;
     virtual void writeRow(const ProcessId &process, const WriteRow &write) = 0;
     virtual void sendLeaseRequest(const ProcessId &from, const SendLeaseRequest &request) = 0;
     virtual void sendHandOver(const ProcessId &from, const SendHandOver &handOver) = 0;
 
-    // Work at a server returns what is to be done with its answer at the process.
+    // Runs at the server. Returns the continuation that handles the answer at the process.
     using ServerWork = std::function<std::function<void()>(ModelServer &)>;
     using ServerFailed = std::function<void(bool refused)>;
     virtual void callServer(const ProcessId &process, const ServerName &server, ServerWork work,
@@ -74,7 +76,7 @@
     virtual void onAcknowledged(const ProcessId &process, Term term) = 0;
 };
 
-// An owner process: the decisions, and a small writer in place of the owner program.
+// An owner process: the production state machines and a minimal executor of writes.
 class ModelProcess
 {
 public:
@@ -85,7 +87,7 @@
     Ownership &ownership() { return ownership_; }
     void carryOut(const OwnershipActions &actions);
 
-    // Ticks as in the program, each at its own period.
+    // Called at the tick periods of Ownership and Failover.
     void onOwnershipTick();
     void onFailoverTick();
     void onHello(const ProcessId &peer);
@@ -142,7 +144,8 @@
     std::vector<ServerName> servers_;
     std::vector<ServerName> leaving_;
     std::optional<Failover> failover_;
-    // Counts runs of failover_, so that answers to an earlier one are dropped.
+    // Incremented with each start and stop of failover_, so that answers to an earlier run are
+    // dropped.
     std::uint64_t failoverRun_ = 0;
     Confirmation confirmation_;
     std::map<std::uint64_t, Pending> pending_;
--- a/tests/decision/modelserver.cpp
+++ b/tests/decision/modelserver.cpp
@@ -70,7 +70,7 @@
 {
     if (message.primary != followedPrimary_ || message.term != prepared_)
         return;
-    // Equal terms at an offset mean equal records up to it.
+    // If two logs have the same term at an offset, they are equal up to that offset.
     std::size_t common = std::min(log_.size(), message.log.size());
     while (common > 0 && log_[common - 1].term != message.log[common - 1].term)
         --common;
--- a/tests/decision/modelserver.h
+++ b/tests/decision/modelserver.h
@@ -8,24 +8,24 @@
 
 namespace kelptally::decision {
 
-// A record of a model server's log. Operation 0: the record that begins a term, or raises the
-// fence.
+// A record in the log of a model server. Key 0 marks the start of a term or a raise of the fence.
 struct Record
 {
     Term term = 0;
     std::uint64_t key = 0;
     std::uint64_t attempt = 0;
-    // Of the owner that sent it.
+    // Epoch of the owner that sent the record.
     OwnerEpoch epoch = 0;
-    // Newest epoch that the fence was raised to.
+    // Highest epoch that the fence was raised to.
     OwnerEpoch fence = 0;
-    // Says that the key has not run, and keeps it from running.
+    // The key was not executed, and this record prevents it from being executed later.
     bool isVoid = false;
 };
 
 using Log = std::vector<Record>;
 
-// What a primary sends to those that follow it: its whole log, which is short in these tests.
+// Replication message of a primary to its replicas. Contains the whole log, which is short in
+// tests.
 struct Replication
 {
     ServerName primary;
@@ -36,7 +36,7 @@
 
 enum class WriteResult {
     Done,
-    // The key had run, or had been recorded as void, earlier.
+    // The key had already been executed, or recorded as void.
     AlreadyExecuted,
     AlreadyVoid,
     Refused,
@@ -48,8 +48,8 @@
     Position position;
 };
 
-// One server of a database group, reduced to what the decisions can see of it. Without I/O and
-// time: the tests carry its messages.
+// Model of one server of a database group: its log, term and fence. It has no I/O and no clock: the
+// tests deliver its messages.
 class ModelServer
 {
 public:
@@ -59,7 +59,7 @@
     bool promote(Term term);
     bool follow(const ServerName &primary, Term term);
     bool raiseFence(OwnerEpoch epoch);
-    // Records the key, or that it is void, unless it is there already.
+    // Appends a record of the key, void if isVoid is set, unless the log already has one.
     WriteAnswer write(OwnerEpoch epoch, std::uint64_t key, std::uint64_t attempt, bool isVoid);
 
     bool takesWrites() const { return primary_ && prepared_ <= term_; }
@@ -70,6 +70,7 @@
     const ServerName &name() const { return name_; }
     const Log &log() const { return log_; }
     const std::vector<TermStart> &history() const { return history_; }
+    // Returns the position of the newest record.
     Position end() const;
     OwnerEpoch fence() const;
 
@@ -78,7 +79,7 @@
 
     ServerName name_;
     bool primary_ = false;
-    // Of the log it leads or follows, and the newest that it promised to.
+    // Term of its log, and the highest term that it was prepared for.
     Term term_ = 1;
     Term prepared_ = 1;
     ServerName followedPrimary_;
--- a/tests/decision/schedule.cpp
+++ b/tests/decision/schedule.cpp
@@ -21,11 +21,12 @@
 constexpr int minFaultLength = 20;
 constexpr int maxFaultLength = 3000;
 constexpr int maxFaults = 8;
-// Faults that come close together begin in a window of this length, within the fault period.
+// Clustered faults begin in a window of this length, which starts at a random time up to the
+// maximum.
 constexpr std::uint32_t clusterWindow = 2500;
 constexpr std::uint32_t maxClusterStart = 4500;
 
-// Half of all faults hit the owner or the primary.
+// Half of all faults target the owner or the primary.
 int makeTarget(std::uint32_t number)
 {
     return number % 2 == 0 ? Fault::ownerOrPrimary : static_cast<int>(number / 2 % 4);
@@ -52,7 +53,7 @@
     schedule.seed = seed;
     schedule.processes = 3 + static_cast<int>(random() % 2);
     const std::size_t count = 1 + random() % maxFaults;
-    // In half of the schedules the faults come close together.
+    // In half of the schedules the faults are clustered in time.
     const bool clustered = random() % 2 == 0;
     const std::uint32_t clusterStart = draw() % maxClusterStart;
     for (std::size_t i = 0; i < count; ++i) {
--- a/tests/decision/schedule.h
+++ b/tests/decision/schedule.h
@@ -30,10 +30,10 @@
 };
 constexpr int faultKindCount = 17;
 
-// One fault: what, when, to whom, for how long.
+// A fault that is injected at a time and lasts for a length of time.
 struct Fault
 {
-    // A target that is looked up when the fault strikes: the group's owner or its primary.
+    // Target value: the group's owner or primary at the time of the fault.
     static constexpr int ownerOrPrimary = 9;
 
     FaultKind kind = FaultKind::CrashProcess;
@@ -43,23 +43,23 @@
     std::chrono::milliseconds length {0};
 };
 
-// Everything that decides one run of the checker: the same schedule gives the same run.
+// Complete input of one run of the checker; equal schedules give equal runs.
 struct Schedule
 {
-    // Drives delays, losses and the clients' choices.
+    // Determines delays, losses and the choices of the client.
     std::uint64_t seed = 0;
     int processes = 3;
     std::vector<Fault> faults;
 };
 
-// Faults strike within this time; then all is healed.
+// Faults are injected within this time; afterwards all of them are ended.
 constexpr std::chrono::milliseconds faultPeriod {7000};
 
-// Any four numbers make a fault; a library's generator shrinks them.
+// Maps any four numbers to a fault, so that RapidCheck can generate and shrink faults.
 Fault makeFault(std::uint32_t kind, std::uint32_t at, std::uint32_t targets, std::uint32_t length);
 Schedule randomSchedule(std::uint64_t seed);
 
-// One line for each fault; what toText() gives, fromText() takes.
+// Text form with one line for each fault. scheduleFromText() returns nothing for malformed text.
 std::string toText(const Schedule &schedule);
 std::optional<Schedule> scheduleFromText(const std::string &text);
 
