--- a/tests/decision/modelprocess.h
+++ b/tests/decision/modelprocess.h
@@ -13,22 +13,23 @@
 
 namespace kelptally::decision {
 
-// Which checks the run has in force; one is switched off to show that the checker notices.
+// Safety checks that are enabled in a run. Tests disable one to verify that the checker finds the
+// violation.
 struct CheckerOptions
 {
     OwnershipChecks ownership;
     FailoverChecks failover;
     bool requireMajority = true;
-    // Where to tell what happens, for a replay; nothing: nowhere.
+    // Receives the events of the run if not null.
     std::ostream *trace = nullptr;
 };
 
 enum class Outcome {
-    // In the log for ever.
+    // The key was executed, and its record is in the log permanently.
     Done,
-    // The key has not run and never will.
+    // The key was not executed and never will be.
     NotRun,
-    // This attempt has not run and never will.
+    // This attempt was not executed and never will be.
     Refused,
     Unknown,
 };
@@ -37,7 +38,8 @@
 {
     std::uint64_t key = 0;
     std::uint64_t attempt = 0;
-    // Asks whether the key has run; if not, a void record keeps it from running.
+    // Queries whether the key was executed. If not, writes a void record that prevents it from
+    // being executed later.
     bool lookUp = false;
 };
 
@@ -49,43 +51,43 @@
 
 using AnswerCallback = std::function<void(ClientAnswer)>;
 
-// What a model process needs of the world around it. Answers come back to this run of the process
-// only, and not while it is paused.
-class ProcessWorld
+// Network, clock and storage of a model process. Answers are delivered only to the incarnation that
+// sent the request, and not while it is paused.
+class ProcessEnvironment
 {
 public:
-    virtual ~ProcessWorld() = default;
+    virtual ~ProcessEnvironment() = default;
 
-    // Time as this process's own clock shows it.
+    // Returns the time of the process's own clock.
     virtual Instant localNow(const ProcessId &process) const = 0;
     virtual void readRow(const ProcessId &process) = 0;
     virtual void writeRow(const ProcessId &process, const WriteRow &write) = 0;
     virtual void sendLeaseRequest(const ProcessId &from, const SendLeaseRequest &request) = 0;
     virtual void sendHandOver(const ProcessId &from, const SendHandOver &handOver) = 0;
 
-    // Work at a server returns what is to be done with its answer at the process.
+    // Runs at the server. Returns the continuation that handles the answer at the process.
     using ServerWork = std::function<std::function<void()>(ModelServer &)>;
     using ServerFailed = std::function<void(bool refused)>;
-    virtual void atServer(const ProcessId &process, const ServerName &server, ServerWork work,
-                          ServerFailed failed) = 0;
+    virtual void callServer(const ProcessId &process, const ServerName &server, ServerWork work,
+                            ServerFailed failed) = 0;
 
-    virtual void note(const ProcessId &process, const std::string &what) = 0;
+    virtual void traceEvent(const ProcessId &process, const std::string &event) = 0;
     virtual void onPrimaryReady(const ProcessId &process, const PrimaryReady &ready) = 0;
     virtual void onAcknowledged(const ProcessId &process, Term term) = 0;
 };
 
-// An owner process: the decisions, and a small writer in place of the owner program.
+// An owner process: the production state machines and a minimal executor of writes.
 class ModelProcess
 {
 public:
-    ModelProcess(ProcessWorld &world, ProcessId self, std::vector<settings::Host> hosts,
+    ModelProcess(ProcessEnvironment &environment, ProcessId self, std::vector<settings::Host> hosts,
                  std::uint64_t seed, const CheckerOptions &options);
 
     const ProcessId &self() const { return self_; }
     Ownership &ownership() { return ownership_; }
     void carryOut(const OwnershipActions &actions);
 
-    // Ticks as in the program, each at its own period.
+    // Called at the tick periods of Ownership and Failover.
     void onOwnershipTick();
     void onFailoverTick();
     void onHello(const ProcessId &peer);
@@ -96,7 +98,7 @@
     void promote(const ServerName &server);
 
     bool holdsLease() const;
-    bool serves() const { return failover_ && failover_->primary(); }
+    bool hasPrimary() const { return failover_ && failover_->primary(); }
 
 private:
     struct Pending
@@ -126,14 +128,14 @@
     void command(const ServerName &server, std::function<bool(ModelServer &)> work,
                  std::function<void(const ModelServer &)> done);
     void write(std::uint64_t id);
-    void onWritten(std::uint64_t id, const WriteAnswer &answer);
-    void sampleReplicas();
+    void onWriteAnswer(std::uint64_t id, const WriteAnswer &answer);
+    void probeReplicas();
     void acknowledge(std::uint64_t id);
     void finish(std::uint64_t id, Outcome outcome);
     void abandonAll();
-    Instant now() const { return world_.localNow(self_); }
+    Instant now() const { return environment_.localNow(self_); }
 
-    ProcessWorld &world_;
+    ProcessEnvironment &environment_;
     ProcessId self_;
     CheckerOptions options_;
     Ownership ownership_;
@@ -142,8 +144,9 @@
     std::vector<ServerName> servers_;
     std::vector<ServerName> leaving_;
     std::optional<Failover> failover_;
-    // Counts runs of failover_, so that answers to an earlier one are dropped.
-    std::uint64_t service_ = 0;
+    // Incremented with each start and stop of failover_, so that answers to an earlier run are
+    // dropped.
+    std::uint64_t failoverRun_ = 0;
     Confirmation confirmation_;
     std::map<std::uint64_t, Pending> pending_;
     std::uint64_t lastId_ = 0;
