--- a/src/owner/controlconnection.cpp
+++ b/src/owner/controlconnection.cpp
@@ -9,7 +9,7 @@
 // Chosen, not measured: a connection costs about 12 ms, a status query a round trip.
 constexpr Duration connectTimeout = std::chrono::milliseconds(400);
 constexpr Duration commandTimeout = std::chrono::milliseconds(400);
-constexpr std::size_t maxWaiting = 64;
+constexpr std::size_t maxWaitingCommands = 64;
 
 bool isConnectionRefused(const absl::Status &status)
 {
@@ -32,26 +32,26 @@
 
 void ControlConnection::run(backend::Statement statement, CommandCallback callback)
 {
-    if (waiting_.size() >= maxWaiting) {
-        CommandResult full;
-        full.message = "too many commands wait for this server";
-        callback(full);
+    if (waiting_.size() >= maxWaitingCommands) {
+        CommandResult rejected;
+        rejected.message = "too many commands wait for this server";
+        callback(rejected);
         return;
     }
     waiting_.push_back({std::move(statement), std::move(callback)});
-    next();
+    runNext();
 }
 
 void ControlConnection::close()
 {
-    const auto keep = shared_from_this();
+    const auto keepAlive = shared_from_this();
     dropConnection();
-    failWaiting(false, "closed");
+    failAll(false, "closed");
 }
 
-void ControlConnection::next()
+void ControlConnection::runNext()
 {
-    if (running_ || waiting_.empty())
+    if (runningCallback_ || waiting_.empty())
         return;
     if (!connected()) {
         connect();
@@ -59,7 +59,7 @@
     }
     Command command = std::move(waiting_.front());
     waiting_.pop_front();
-    running_ = std::move(command.callback);
+    runningCallback_ = std::move(command.callback);
     sentAt_ = timers_.now();
     const std::uint64_t attempt = ++attempt_;
     std::weak_ptr<ControlConnection> weak = weak_from_this();
@@ -69,10 +69,11 @@
     });
     std::vector<backend::Statement> batch;
     batch.push_back(std::move(command.statement));
-    connection_->run(std::move(batch), [weak, attempt, sentAt = sentAt_](backend::BatchResult r) {
-        if (const auto self = weak.lock())
-            self->onResult(attempt, sentAt, std::move(r));
-    });
+    connection_->run(std::move(batch),
+                     [weak, attempt, sentAt = sentAt_](backend::BatchResult batchResult) {
+                         if (const auto self = weak.lock())
+                             self->onResult(attempt, sentAt, std::move(batchResult));
+                     });
 }
 
 void ControlConnection::connect()
@@ -100,70 +101,70 @@
     }
     connecting_ = false;
     if (!status.ok()) {
-        failWaiting(isConnectionRefused(status), std::string(status.message()));
+        failAll(isConnectionRefused(status), std::string(status.message()));
         return;
     }
     connection_ = std::move(connection);
-    next();
+    runNext();
 }
 
 void ControlConnection::onResult(std::uint64_t attempt, Instant sentAt, backend::BatchResult result)
 {
-    if (attempt != attempt_ || !running_)
+    if (attempt != attempt_ || !runningCallback_)
         return;
     timers_.cancel(timeout_);
-    CommandResult outcome;
-    outcome.sentAt = sentAt;
-    outcome.message = std::move(result.message);
+    CommandResult commandResult;
+    commandResult.sentAt = sentAt;
+    commandResult.message = std::move(result.message);
     switch (result.state) {
     case backend::BatchState::Done:
-        outcome.state = CommandState::Done;
+        commandResult.state = CommandState::Done;
         break;
     case backend::BatchState::Failed:
-        outcome.state = CommandState::Refused;
+        commandResult.state = CommandState::Refused;
         break;
     case backend::BatchState::NotSent:
-        outcome.state = CommandState::NotSent;
+        commandResult.state = CommandState::NotSent;
         break;
     case backend::BatchState::Unknown:
-        outcome.state = CommandState::Unknown;
+        commandResult.state = CommandState::Unknown;
         break;
     }
     if (!result.rows.empty())
-        outcome.rows = std::move(result.rows.front());
+        commandResult.rows = std::move(result.rows.front());
     if (result.connectionLost)
         dropConnection();
-    const CommandCallback callback = std::move(running_);
-    running_ = nullptr;
-    const auto keep = shared_from_this();
-    callback(outcome);
-    next();
+    const CommandCallback callback = std::move(runningCallback_);
+    runningCallback_ = nullptr;
+    const auto keepAlive = shared_from_this();
+    callback(commandResult);
+    runNext();
 }
 
 void ControlConnection::onTimeout(std::uint64_t attempt)
 {
-    if (attempt != attempt_ || !running_)
+    if (attempt != attempt_ || !runningCallback_)
         return;
-    const auto keep = shared_from_this();
+    const auto keepAlive = shared_from_this();
     dropConnection();
-    failWaiting(false, "no answer in time");
+    failAll(false, "no answer in time");
 }
 
 // What runs is unknown, what waits was not sent. Callbacks may add commands; those stay.
-void ControlConnection::failWaiting(bool connectionRefused, const std::string &message)
+void ControlConnection::failAll(bool connectionRefused, const std::string &message)
 {
     timers_.cancel(timeout_);
     std::deque<Command> failed;
     failed.swap(waiting_);
-    const CommandCallback running = std::move(running_);
-    running_ = nullptr;
+    const CommandCallback runningCallback = std::move(runningCallback_);
+    runningCallback_ = nullptr;
     CommandResult result;
     result.connectionRefused = connectionRefused;
     result.message = message;
     result.sentAt = sentAt_;
-    if (running) {
+    if (runningCallback) {
         result.state = CommandState::Unknown;
-        running(result);
+        runningCallback(result);
     }
     result.state = CommandState::NotSent;
     for (const Command &command : failed)
--- a/src/owner/controlconnection.h
+++ b/src/owner/controlconnection.h
@@ -45,7 +45,7 @@
     // Ends what runs and waits; a later run() opens it again.
     void close();
 
-    bool idle() const { return waiting_.empty() && !running_; }
+    bool idle() const { return waiting_.empty() && !runningCallback_; }
     bool connected() const { return connection_ && connection_->open(); }
 
 private:
@@ -55,20 +55,20 @@
         CommandCallback callback;
     };
 
-    void next();
+    void runNext();
     void connect();
     void onConnected(std::uint64_t attempt, const absl::Status &status,
                      std::shared_ptr<backend::Connection> connection);
     void onResult(std::uint64_t attempt, Instant sentAt, backend::BatchResult result);
     void onTimeout(std::uint64_t attempt);
-    void failWaiting(bool connectionRefused, const std::string &message);
+    void failAll(bool connectionRefused, const std::string &message);
     void dropConnection();
 
     TimerService &timers_;
     const std::shared_ptr<backend::BackendServer> server_;
     std::shared_ptr<backend::Connection> connection_;
     std::deque<Command> waiting_;
-    CommandCallback running_;
+    CommandCallback runningCallback_;
     Instant sentAt_;
     bool connecting_ = false;
     // Tells the answers of earlier connections and commands apart.
--- a/src/owner/failoverdriver.cpp
+++ b/src/owner/failoverdriver.cpp
@@ -14,9 +14,9 @@
 
 // Writes that wait for confirmation share the samples of this long; a fraction of the sites' round
 // trips of 1 and 3 ms.
-constexpr Duration samplePause = std::chrono::microseconds(500);
+constexpr Duration minSampleInterval = std::chrono::microseconds(500);
 
-decision::CommandFailure failureOf(CommandState state)
+decision::CommandFailure toCommandFailure(CommandState state)
 {
     switch (state) {
     // An answer, though one that could not be understood.
@@ -55,7 +55,7 @@
     failover_.reset();
     generation_ = std::make_shared<int>(0);
     samplings_.clear();
-    sampleTimer_ = false;
+    sampleTimerActive_ = false;
 }
 
 void FailoverDriver::tick()
@@ -67,14 +67,14 @@
 void FailoverDriver::setServers(const settings::Group &group)
 {
     const settings::Group old = std::exchange(group_, group);
-    std::map<ServerName, std::shared_ptr<ControlConnection>> kept;
+    std::map<ServerName, std::shared_ptr<ControlConnection>> connections;
     std::vector<ServerName> names;
     std::vector<ServerName> leaving;
     for (const auto &server : group.servers) {
         names.push_back(server.name);
         if (server.presence == settings::Presence::Leaving)
             leaving.push_back(server.name);
-        auto &connection = kept[server.name];
+        auto &connection = connections[server.name];
         const auto found = connections_.find(server.name);
         if (found != connections_.end()) {
             connection = found->second;
@@ -85,8 +85,8 @@
         connection =
             std::make_shared<ControlConnection>(ports_.timers, ports_.makeServer(endpoint));
     }
-    connections_.swap(kept);
-    for (const auto &[name, connection] : kept) {
+    connections_.swap(connections);
+    for (const auto &[name, connection] : connections) {
         const auto now = connections_.find(name);
         if (now == connections_.end() || now->second != connection)
             connection->close();
@@ -112,14 +112,14 @@
 {
     Sampling &sampling = samplings_[server];
     if (sampling.running) {
-        sampling.again = true;
+        sampling.repeat = true;
         return;
     }
     sampling = {true, false};
-    askStatus(server, [this, server](const CommandResult &, const auto &) {
-        Sampling &done = samplings_[server];
-        done.running = false;
-        if (done.again)
+    queryStatus(server, [this, server](const CommandResult &, const auto &) {
+        Sampling &finished = samplings_[server];
+        finished.running = false;
+        if (finished.repeat)
             sample(server);
     });
 }
@@ -132,25 +132,25 @@
 
 void FailoverDriver::requestReplicaSamples()
 {
-    if (sampleTimer_)
+    if (sampleTimerActive_)
         return;
     if (now() >= nextSample_) {
         sampleReplicas();
         return;
     }
-    sampleTimer_ = true;
+    sampleTimerActive_ = true;
     std::weak_ptr<int> generation = generation_;
     ports_.timers.subscribeAt(nextSample_, [this, generation] {
         if (generation.expired())
             return;
-        sampleTimer_ = false;
+        sampleTimerActive_ = false;
         sampleReplicas();
     });
 }
 
 void FailoverDriver::sampleReplicas()
 {
-    nextSample_ = now() + samplePause;
+    nextSample_ = now() + minSampleInterval;
     for (const auto &server : group_.servers)
         if (!failover_ || failover_->primary() != server.name)
             sample(server.name);
@@ -179,13 +179,13 @@
     for (const auto &action : actions) {
         if (!failover_)
             return;
-        std::visit([this](const auto &known) { carryOut(known); }, action);
+        std::visit([this](const auto &typedAction) { carryOut(typedAction); }, action);
     }
 }
 
 void FailoverDriver::carryOut(const decision::SendProbe &action)
 {
-    askStatus(action.server, [this, action](const CommandResult &result, const auto &report) {
+    queryStatus(action.server, [this, action](const CommandResult &result, const auto &report) {
         if (!failover_)
             return;
         if (report)
@@ -199,14 +199,15 @@
 void FailoverDriver::carryOut(const decision::SendPrepare &action)
 {
     backend::Statement statement {group_.statements.prepare, {std::to_string(action.term)}};
-    command(action.server, std::move(statement), [this, action](const CommandResult &) {
-        askStatus(action.server, [this, action](const CommandResult &status, const auto &report) {
+    runCommand(action.server, std::move(statement), [this, action](const CommandResult &) {
+        queryStatus(action.server, [this, action](const CommandResult &status, const auto &report) {
             if (!failover_)
                 return;
             if (report)
                 carryOut(failover_->onPrepared(now(), action.server, action.term, *report));
             else
-                carryOut(failover_->onCommandFailed(now(), action.server, failureOf(status.state)));
+                carryOut(failover_->onCommandFailed(now(), action.server,
+                                                    toCommandFailure(status.state)));
         });
     });
 }
@@ -214,7 +215,7 @@
 void FailoverDriver::carryOut(const decision::SendPromote &action)
 {
     backend::Statement statement {group_.statements.promote, {std::to_string(action.term)}};
-    command(action.server, std::move(statement), [this, action](const CommandResult &) {
+    runCommand(action.server, std::move(statement), [this, action](const CommandResult &) {
         carryOut(failover_->onPromoted(now(), action.server, action.term));
     });
 }
@@ -223,7 +224,7 @@
 {
     backend::Statement statement {group_.statements.follow,
                                   {action.primary, std::to_string(action.term)}};
-    command(action.server, std::move(statement), [this, action](const CommandResult &) {
+    runCommand(action.server, std::move(statement), [this, action](const CommandResult &) {
         carryOut(failover_->onFollowing(now(), action.server, action.term));
     });
 }
@@ -231,21 +232,21 @@
 void FailoverDriver::carryOut(const decision::SendRaiseFence &action)
 {
     backend::Statement statement {group_.statements.raiseFence, {std::to_string(action.epoch)}};
-    command(action.server, std::move(statement), [this, action](const CommandResult &) {
+    runCommand(action.server, std::move(statement), [this, action](const CommandResult &) {
         carryOut(failover_->onFenceRaised(now(), action.server, action.epoch));
     });
 }
 
 void FailoverDriver::carryOut(const decision::SendReadHistory &action)
 {
-    command(action.server, {group_.statements.history, {}},
-            [this, action](const CommandResult &result) {
-                if (const auto history = parseHistory(result.rows))
-                    carryOut(failover_->onHistory(now(), action.server, *history));
-                else
-                    carryOut(
-                        failover_->onCommandFailed(now(), action.server, failureOf(result.state)));
-            });
+    runCommand(action.server, {group_.statements.history, {}},
+               [this, action](const CommandResult &result) {
+                   if (const auto history = parseHistory(result.rows))
+                       carryOut(failover_->onHistory(now(), action.server, *history));
+                   else
+                       carryOut(failover_->onCommandFailed(now(), action.server,
+                                                           toCommandFailure(result.state)));
+               });
 }
 
 void FailoverDriver::carryOut(const decision::PrimaryGone &action)
@@ -262,7 +263,7 @@
     listener_.onPrimaryReady(action);
 }
 
-void FailoverDriver::askStatus(const ServerName &server, StatusHandler handler)
+void FailoverDriver::queryStatus(const ServerName &server, StatusHandler handler)
 {
     const auto found = connections_.find(server);
     if (found == connections_.end())
@@ -283,8 +284,8 @@
                        });
 }
 
-void FailoverDriver::command(const ServerName &server, backend::Statement statement,
-                             Handler handler)
+void FailoverDriver::runCommand(const ServerName &server, backend::Statement statement,
+                                CommandHandler handler)
 {
     const auto found = connections_.find(server);
     if (found == connections_.end())
@@ -302,7 +303,7 @@
             if (!result.connectionRefused)
                 LOG(WARNING) << "event=server_command_failed group=" << group_.name
                              << " server=" << server << " cause=" << logValue(result.message);
-            carryOut(failover_->onCommandFailed(now(), server, failureOf(result.state)));
+            carryOut(failover_->onCommandFailed(now(), server, toCommandFailure(result.state)));
         });
 }
 
--- a/src/owner/failoverdriver.h
+++ b/src/owner/failoverdriver.h
@@ -57,7 +57,7 @@
 private:
     using StatusHandler =
         std::function<void(const CommandResult &, const std::optional<decision::ServerReport> &)>;
-    using Handler = std::function<void(const CommandResult &)>;
+    using CommandHandler = std::function<void(const CommandResult &)>;
 
     void carryOut(const decision::FailoverActions &actions);
     void carryOut(const decision::SendProbe &action);
@@ -71,9 +71,9 @@
 
     void sample(const ServerName &server);
     void sampleReplicas();
-    void askStatus(const ServerName &server, StatusHandler handler);
+    void queryStatus(const ServerName &server, StatusHandler handler);
     // Runs one command; a failure is told to the decision, success to the handler.
-    void command(const ServerName &server, backend::Statement statement, Handler handler);
+    void runCommand(const ServerName &server, backend::Statement statement, CommandHandler handler);
     Instant now() const { return ports_.timers.now(); }
 
     OwnerPorts &ports_;
@@ -85,11 +85,11 @@
     struct Sampling
     {
         bool running = false;
-        bool again = false;
+        bool repeat = false;
     };
     std::map<ServerName, Sampling> samplings_;
     Instant nextSample_;
-    bool sampleTimer_ = false;
+    bool sampleTimerActive_ = false;
     // Answers of an earlier time as owner are dropped.
     std::shared_ptr<int> generation_ = std::make_shared<int>(0);
 };
--- a/src/owner/groupdirectory.cpp
+++ b/src/owner/groupdirectory.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // An answer about an owner waits this long for the table service.
-constexpr Duration locateWait = std::chrono::milliseconds(500);
+constexpr Duration locateTimeout = std::chrono::milliseconds(500);
 // First hosts of a group by its hash, which keep links to each other: owner, two successors, and
 // as many to replace them.
 constexpr std::size_t candidateCount = 6;
@@ -60,19 +60,19 @@
     membership_.onPeerUp(ports_.timers.now(), ports_.self);
     for (const auto &[link, process] : peers_)
         membership_.onPeerUp(ports_.timers.now(), process);
-    findOwnGroups();
+    findCandidateGroups();
     connectPeers();
     membershipChanged_ = true;
 }
 
-void GroupDirectory::findOwnGroups()
+void GroupDirectory::findCandidateGroups()
 {
-    ownGroups_.clear();
+    candidateGroups_.clear();
     for (const settings::Group &group : configuration_->inventory.groups) {
         std::vector<std::string> candidates = membership_.candidates(group.name, candidateCount);
         const std::string &self = ports_.self.address;
         if (std::find(candidates.begin(), candidates.end(), self) != candidates.end())
-            ownGroups_.emplace(group.name, std::move(candidates));
+            candidateGroups_.emplace(group.name, std::move(candidates));
     }
 }
 
@@ -80,7 +80,7 @@
 void GroupDirectory::connectPeers()
 {
     std::set<std::string> wanted;
-    for (const auto &[name, candidates] : ownGroups_)
+    for (const auto &[name, candidates] : candidateGroups_)
         wanted.insert(candidates.begin(), candidates.end());
     for (const auto &[name, runtime] : runtimes_) {
         if (runtime->ownership().role() == decision::OwnershipRole::Unlisted)
@@ -89,13 +89,13 @@
             wanted.insert(std::move(address));
     }
     wanted.erase(ports_.self.address);
-    for (const std::string &address : connected_)
+    for (const std::string &address : connectedAddresses_)
         if (wanted.count(address) == 0)
             ports_.links.drop(address);
     for (const std::string &address : wanted)
-        if (connected_.count(address) == 0)
+        if (connectedAddresses_.count(address) == 0)
             ports_.links.connect(address);
-    connected_ = std::move(wanted);
+    connectedAddresses_ = std::move(wanted);
 }
 
 void GroupDirectory::onPeerUp(inner::LinkId link, const inner::Hello &peer)
@@ -144,7 +144,7 @@
         return;
     membershipChanged_ = false;
     std::set<GroupName> names;
-    for (const auto &[name, candidates] : ownGroups_)
+    for (const auto &[name, candidates] : candidateGroups_)
         names.insert(name);
     for (const auto &[name, runtime] : runtimes_)
         names.insert(name);
@@ -156,7 +156,7 @@
 {
     const ZoneName zone = group.servers.empty() ? ZoneName() : group.servers.front().zone;
     const auto owner = membership_.preferredOwner(group.name, zone);
-    const bool candidate = ownGroups_.count(group.name) != 0;
+    const bool candidate = candidateGroups_.count(group.name) != 0;
     const bool wanted = candidate && !draining_ && owner && *owner == ports_.self;
     GroupRuntime *known = wanted ? runtime(group.name) : findRuntime(group.name);
     if (!known)
@@ -179,10 +179,10 @@
         configuration_ ? configuration_->inventory.findGroup(group) : nullptr;
     if (!settings)
         return nullptr;
-    auto made =
+    auto created =
         std::make_unique<GroupRuntime>(*settings, configuration_, ports_, heartbeats_, responder_);
-    GroupRuntime *result = made.get();
-    runtimes_.emplace(group, std::move(made));
+    GroupRuntime *result = created.get();
+    runtimes_.emplace(group, std::move(created));
     result->ownership().setSuccessorCandidates(membership_.successorChoice(group, ports_.self));
     result->refreshOwner();
     return result;
@@ -240,7 +240,7 @@
     request->execute = std::move(execute);
     request->arrived = ports_.timers.now();
     request->deadline = request->arrived + request->execute.deadlineIn;
-    request->number = ++lastNumber_;
+    request->number = ++lastRequestNumber_;
     classify(*request);
     if (requestCount_ >= maxRequests) {
         refuse(*request, Reason::QueueFull);
@@ -323,8 +323,8 @@
     if (group)
         group->refreshOwner();
     if (group && group->ownerAddress().empty())
-        locates_.push_back(
-            {link, locate.requestId, locate.group, ports_.timers.now() + locateWait});
+        waitingLocates_.push_back(
+            {link, locate.requestId, locate.group, ports_.timers.now() + locateTimeout});
     else
         sendLocation(link, locate.requestId, locate.group);
 }
@@ -346,14 +346,14 @@
 void GroupDirectory::answerLocates()
 {
     std::vector<WaitingLocate> waiting;
-    waiting.swap(locates_);
+    waiting.swap(waitingLocates_);
     for (WaitingLocate &locate : waiting) {
         GroupRuntime *group = findRuntime(locate.group);
         const bool known = group && !group->ownerAddress().empty();
-        if (known || ports_.timers.now() >= locate.until)
+        if (known || ports_.timers.now() >= locate.expiresAt)
             sendLocation(locate.link, locate.requestId, locate.group);
         else
-            locates_.push_back(std::move(locate));
+            waitingLocates_.push_back(std::move(locate));
     }
 }
 
--- a/src/owner/groupdirectory.h
+++ b/src/owner/groupdirectory.h
@@ -61,7 +61,7 @@
     void onAnswered(const Request &request);
     void updateMembership();
     void updateGroup(const settings::Group &group);
-    void findOwnGroups();
+    void findCandidateGroups();
     void connectPeers();
     void answerLocates();
     void sendLocation(inner::LinkId link, inner::RequestId requestId, const GroupName &group);
@@ -74,7 +74,7 @@
     std::map<GroupName, std::unique_ptr<GroupRuntime>> runtimes_;
     std::unordered_map<inner::LinkId, std::unordered_map<inner::RequestId, RequestPtr>> requests_;
     std::size_t requestCount_ = 0;
-    std::uint64_t lastNumber_ = 0;
+    std::uint64_t lastRequestNumber_ = 0;
     bool draining_ = false;
     // Members, leaving hosts or groups have changed since the groups were told.
     bool membershipChanged_ = true;
@@ -84,17 +84,17 @@
         inner::LinkId link = 0;
         inner::RequestId requestId = 0;
         GroupName group;
-        Instant until;
+        Instant expiresAt;
     };
-    std::vector<WaitingLocate> locates_;
+    std::vector<WaitingLocate> waitingLocates_;
     // The process at the other end of each link; two processes may share several links.
     std::map<inner::LinkId, ProcessId> peers_;
     // Groups that this process is a candidate for, with all their candidates. The other groups of a
     // large installation cost nothing here.
-    std::map<GroupName, std::vector<std::string>> ownGroups_;
+    std::map<GroupName, std::vector<std::string>> candidateGroups_;
     Instant nextConnect_;
     // Addresses that links are kept to.
-    std::set<std::string> connected_;
+    std::set<std::string> connectedAddresses_;
 };
 
 } // namespace kelptally::owner
--- a/src/owner/groupruntime.cpp
+++ b/src/owner/groupruntime.cpp
@@ -14,14 +14,14 @@
 
 // How long requests are held for a group that this process has just begun to serve, or is about to;
 // a start needs a handful of round trips.
-constexpr Duration longestStart = std::chrono::milliseconds(1500);
+constexpr Duration maxStartHold = std::chrono::milliseconds(1500);
 // Positions are sampled this often while there are requests, and after each commit.
 constexpr Duration samplePeriod = std::chrono::milliseconds(40);
-constexpr Duration sampleAfterRequest = std::chrono::seconds(1);
+constexpr Duration samplingIdleTimeout = std::chrono::seconds(1);
 constexpr Duration metricsPeriod = std::chrono::milliseconds(500);
 constexpr Duration retryAfterRefusal = std::chrono::milliseconds(200);
 // A successor that has heard no heartbeat for this long closes its reserve; longer than a promise.
-constexpr Duration successorSilence = std::chrono::milliseconds(1700);
+constexpr Duration heartbeatTimeout = std::chrono::milliseconds(1700);
 // A new successor opens its reserve this long after its first promise, when the one that it
 // replaces has closed its own.
 constexpr Duration reserveDelay = std::chrono::milliseconds(2500);
@@ -65,7 +65,7 @@
 {
     // 1. Ownership first: everything else depends on the lease.
     ownership_.tick();
-    beginWhenReady();
+    acceptRequestsWhenReady();
     checkLease();
     // 2. The primary.
     failover_.tick();
@@ -74,26 +74,26 @@
     writes_.expire();
     transactions_.expire();
     servers_.forEachLane([](ServerLane &lane) { lane.expire(); });
-    updateHeld();
+    updateHeldRequests();
     // 4. What goes on by itself.
-    updateSuccessor();
-    noteSilentServers();
-    considerCutOff();
+    updateReserve();
+    logSilentServers();
+    checkCutOff();
     handOver_.step(now());
-    noteHandOverWait();
-    if (begun_)
+    logHandOverWait();
+    if (acceptingRequests_)
         purge_.tick();
     sampleWhenNeeded();
     updateMetrics();
 }
 
 // The lease of a new owner may begin with the first answered heartbeat.
-void GroupRuntime::beginWhenReady()
+void GroupRuntime::acceptRequestsWhenReady()
 {
-    if (begun_ || !ready_ || !ownership_.holdsLease())
+    if (acceptingRequests_ || !primaryFound_ || !ownership_.holdsLease())
         return;
-    begun_ = true;
-    updateHeld();
+    acceptingRequests_ = true;
+    updateHeldRequests();
 }
 
 std::optional<inner::GroupHeartbeatAnswer>
@@ -102,7 +102,7 @@
     auto answer = ownership_.onHeartbeat(from, heartbeat);
     if (!answer || !answer->promised)
         return answer;
-    if (now() - lastPromise_ > successorSilence)
+    if (now() - lastPromise_ > heartbeatTimeout)
         promisingSince_ = now();
     lastPromise_ = now();
     return answer;
@@ -110,20 +110,20 @@
 
 // A successor that has been replaced closes its reserve once it hears no more heartbeats; the next
 // one opens its own only after that.
-void GroupRuntime::updateSuccessor()
+void GroupRuntime::updateReserve()
 {
     if (serving_)
         return;
-    const bool heard = now() - lastPromise_ <= successorSilence;
+    const bool ownerAlive = now() - lastPromise_ <= heartbeatTimeout;
     const bool listed = ownership_.role() == decision::OwnershipRole::Successor;
-    if (heard && !listed)
+    if (ownerAlive && !listed)
         refreshOwner();
-    const bool reserve = heard && listed && now() - promisingSince_ >= reserveDelay;
-    if (reserve == reserve_)
+    const bool reserve = ownerAlive && listed && now() - promisingSince_ >= reserveDelay;
+    if (reserve == reserveOpen_)
         return;
-    reserve_ = reserve;
-    updateShare();
-    if (reserve_) {
+    reserveOpen_ = reserve;
+    updateConnectionShare();
+    if (reserveOpen_) {
         failover_.warm();
         servers_.warm();
     }
@@ -138,26 +138,26 @@
                                      const inner::GroupHeartbeatAnswer &answer)
 {
     ownership_.onHeartbeatAnswer(from, answer);
-    beginWhenReady();
+    acceptRequestsWhenReady();
 }
 
 // Once the lease has lapsed a successor may own the group, so nothing waits for it to come back.
 void GroupRuntime::checkLease()
 {
-    const bool lapsed = begun_ && !ownership_.holdsLease();
-    if (lapsed == lapsed_)
+    const bool lapsed = acceptingRequests_ && !ownership_.holdsLease();
+    if (lapsed == leaseLapsed_)
         return;
-    lapsed_ = lapsed;
+    leaseLapsed_ = lapsed;
     if (!lapsed) {
         LOG(INFO) << "event=lease_regained group=" << name();
-        updateShare();
+        updateConnectionShare();
         return;
     }
-    if (handOver_.givenAway())
+    if (handOver_.isTransferring())
         return;
     LOG(WARNING) << "event=lease_lapsed group=" << name() << " epoch=" << ownership_.epoch();
     stopRunners({Reason::LeaseLost, "", Executed::No, retryAfterRefusal, ""});
-    updateShare();
+    updateConnectionShare();
     servers_.forEachLane([](ServerLane &lane) { lane.closeConnections(true); });
 }
 
@@ -165,7 +165,7 @@
 {
     if (!serving_)
         return;
-    const bool active = now() - lastRequest_ < sampleAfterRequest;
+    const bool active = now() - lastRequest_ < samplingIdleTimeout;
     if (confirmations_.waiting())
         failover_.requestReplicaSamples();
     if (!active || now() - lastSample_ < samplePeriod)
@@ -203,58 +203,59 @@
 void GroupRuntime::onStartServing(const decision::StartServing &start)
 {
     serving_ = true;
-    ready_ = false;
-    begun_ = false;
-    lapsed_ = false;
+    primaryFound_ = false;
+    acceptingRequests_ = false;
+    leaseLapsed_ = false;
     servingSince_ = now();
     lastRequest_ = now();
     context_.ports.metrics.countClaim();
-    updateShare();
+    updateConnectionShare();
     transactions_.start(start.epoch);
     failover_.start(start.epoch, start.termHint, start.primaryHint);
 }
 
-void GroupRuntime::onStopServing(const std::string &why)
+void GroupRuntime::onStopServing(const std::string &stopReason)
 {
-    const bool planned = handOver_.givenAway();
+    const bool planned = handOver_.isTransferring();
     if (planned) {
         context_.ports.metrics.countHandOver();
-        context_.ports.metrics.observeHandOver(now() - handOver_.since());
+        context_.ports.metrics.observeHandOver(now() - handOver_.phaseStartedAt());
         LOG(INFO) << "event=handed_over group=" << name() << " to=" << ownerAddress()
-                  << " ms=" << toMilliseconds(now() - handOver_.since());
+                  << " ms=" << toMilliseconds(now() - handOver_.phaseStartedAt());
     } else {
-        LOG(WARNING) << "event=ownership_lost group=" << name() << " cause=" << logValue(why);
+        LOG(WARNING) << "event=ownership_lost group=" << name()
+                     << " cause=" << logValue(stopReason);
     }
     serving_ = false;
-    ready_ = false;
-    begun_ = false;
-    lapsed_ = false;
+    primaryFound_ = false;
+    acceptingRequests_ = false;
+    leaseLapsed_ = false;
     handOver_.end();
     failover_.stop();
-    stopRunners(notOwner());
-    held_.refuseAll(notOwner());
-    updateShare();
+    stopRunners(notOwnerRefusal());
+    held_.refuseAll(notOwnerRefusal());
+    updateConnectionShare();
     servers_.forEachLane([planned](ServerLane &lane) { lane.closeConnections(!planned); });
 }
 
 void GroupRuntime::onRowChanged()
 {
-    updateShare();
-    rowToldAt_ = now();
+    updateConnectionShare();
+    rowConfirmedAt_ = now();
     if (ownership_.row())
         startHandOver();
 }
 
-void GroupRuntime::updateShare()
+void GroupRuntime::updateConnectionShare()
 {
-    using Share = GroupServers::Share;
-    Share share = Share::None;
-    if (serving_ && !handOver_.givenAway() && !lapsed_)
-        share = Share::Owner;
-    else if (serving_ || reserve_)
-        share = Share::Reserve;
-    servers_.setShare(share);
-    if (share == Share::None)
+    using ConnectionShare = GroupServers::ConnectionShare;
+    ConnectionShare share = ConnectionShare::None;
+    if (serving_ && !handOver_.isTransferring() && !leaseLapsed_)
+        share = ConnectionShare::Owner;
+    else if (serving_ || reserveOpen_)
+        share = ConnectionShare::Reserve;
+    servers_.setConnectionShare(share);
+    if (share == ConnectionShare::None)
         failover_.closeConnections();
 }
 
@@ -286,12 +287,12 @@
     failover_.stop();
     stopRunners(gone);
     held_.refuseAll(gone);
-    servers_.setShare(GroupServers::Share::None);
+    servers_.setConnectionShare(GroupServers::ConnectionShare::None);
     servers_.forEachLane([](ServerLane &lane) { lane.closeConnections(true); });
     failover_.closeConnections();
 }
 
-Refusal GroupRuntime::notOwner() const
+Refusal GroupRuntime::notOwnerRefusal() const
 {
     Refusal refusal;
     refusal.reason = Reason::NotOwner;
@@ -343,12 +344,12 @@
         LOG(ERROR) << "event=forced_promotion group=" << name() << " to=" << ready.server
                    << " lost_after_term=" << ready.lostAfter->term
                    << " lost_after_offset=" << ready.lostAfter->offset;
-    ready_ = true;
+    primaryFound_ = true;
     confirmations_.onPrimaryReady(ready.term, group.servers.size());
     writes_.onPrimaryReady();
     failover_.sampleAll();
     servers_.warm();
-    beginWhenReady();
+    acceptRequestsWhenReady();
 }
 
 // ---- Requests ----
@@ -367,8 +368,8 @@
 bool GroupRuntime::mustHold(const RequestPtr &request) const
 {
     if (!serving_)
-        return arrivingSince_ && now() - *arrivingSince_ < longestStart;
-    if (!begun_ && now() - servingSince_ < longestStart)
+        return handOverNotifiedAt_ && now() - *handOverNotifiedAt_ < maxStartHold;
+    if (!acceptingRequests_ && now() - servingSince_ < maxStartHold)
         return true;
     return handOver_.mustHold(request->execute.step);
 }
@@ -377,7 +378,7 @@
 {
     if (!serving_) {
         refreshOwner();
-        context_.responder.refuse(*request, notOwner());
+        context_.responder.refuse(*request, notOwnerRefusal());
         return;
     }
     const std::string problem = findProblem(request->execute);
@@ -392,7 +393,7 @@
         writes_.run(request);
 }
 
-void GroupRuntime::updateHeld()
+void GroupRuntime::updateHeldRequests()
 {
     held_.update(
         now(), [this](const RequestPtr &request) { return mustHold(request); },
@@ -409,21 +410,21 @@
 void GroupRuntime::onHandOver(OwnerEpoch newEpoch)
 {
     if (newEpoch > ownership_.epoch())
-        arrivingSince_ = now();
+        handOverNotifiedAt_ = now();
     ownership_.onHandOver(newEpoch);
 }
 
 void GroupRuntime::beginHandOver()
 {
-    if (!serving_ || handOver_.running() || now() - handOverAsked_ < refreshPeriod)
+    if (!serving_ || handOver_.running() || now() - handOverRequestedAt_ < refreshPeriod)
         return;
-    handOverAsked_ = now();
+    handOverRequestedAt_ = now();
     ownership_.refresh();
 }
 
 // Without it a log can't tell an owner that hears a majority from one that can't give the group
 // away.
-void GroupRuntime::noteSilentServers()
+void GroupRuntime::logSilentServers()
 {
     const decision::Failover *failover = failover_.decision();
     if (!serving_ || !failover)
@@ -439,7 +440,7 @@
               << " cut_off=" << failover->isCutOff(now());
 }
 
-void GroupRuntime::considerCutOff()
+void GroupRuntime::checkCutOff()
 {
     const decision::Failover *failover = failover_.decision();
     if (!serving_ || !failover)
@@ -447,16 +448,16 @@
     decision::CutOffView view;
     view.isCutOff = failover->isCutOff(now());
     view.handOverInProgress = handOver_.running();
-    view.rowIsFresh = now() - rowToldAt_ < refreshPeriod;
+    view.rowIsFresh = now() - rowConfirmedAt_ < refreshPeriod;
     view.successors = ownership_.row() ? ownership_.row()->row.successors.size() : 0;
     const decision::CutOffStep step = cutOff_.next(now(), view);
     if (step != cutOffStep_)
         LOG(WARNING) << "event=cut_off step=" << decision::cutOffStepName(step)
                      << " group=" << name() << " successors=" << view.successors
-                     << " row_age_ms=" << toMilliseconds(now() - rowToldAt_);
+                     << " row_age_ms=" << toMilliseconds(now() - rowConfirmedAt_);
     cutOffStep_ = step;
-    if (step == decision::CutOffStep::ReadRow && now() - rowAskedAt_ >= refreshPeriod) {
-        rowAskedAt_ = now();
+    if (step == decision::CutOffStep::ReadRow && now() - rowRequestedAt_ >= refreshPeriod) {
+        rowRequestedAt_ = now();
         ownership_.refresh();
     }
     if (step == decision::CutOffStep::StartHandOver) {
@@ -467,10 +468,10 @@
 }
 
 // Requests are held meanwhile, so a log has to tell what for.
-void GroupRuntime::noteHandOverWait()
+void GroupRuntime::logHandOverWait()
 {
     const decision::HandOverWait wait =
-        handOver_.givenAway() ? ownership_.handOverWait() : decision::HandOverWait::None;
+        handOver_.isTransferring() ? ownership_.handOverWait() : decision::HandOverWait::None;
     if (wait != handOverWait_ && wait != decision::HandOverWait::None)
         LOG(WARNING) << "event=hand_over_waits reason=" << decision::handOverWaitName(wait)
                      << " group=" << name();
@@ -480,8 +481,8 @@
 // Nothing is held before the store has just answered and there is somebody to take the group.
 void GroupRuntime::startHandOver()
 {
-    const bool asked = now() - handOverAsked_ < refreshPeriod;
-    if (!serving_ || handOver_.running() || !asked)
+    const bool requested = now() - handOverRequestedAt_ < refreshPeriod;
+    if (!serving_ || handOver_.running() || !requested)
         return;
     if (ownership_.row()->row.successors.empty()) {
         LOG(WARNING) << "event=hand_over_waits reason=no_successor group=" << name();
@@ -491,21 +492,23 @@
     handOver_.begin(now());
 }
 
-std::size_t GroupRuntime::inProgress() const
+std::size_t GroupRuntime::requestsInProgress() const
 {
     return reads_.waiting() + writes_.waiting() + transactions_.waiting();
 }
 
 // The next owner opens its whole share at once, so that of this process goes first.
-void GroupRuntime::giveAway()
+void GroupRuntime::transferOwnership()
 {
     stopRunners({Reason::Draining, "", Executed::No, retryAfterRefusal, ""});
-    const Instant begun = handOver_.since();
+    const Instant transferStartedAt = handOver_.phaseStartedAt();
     std::weak_ptr<bool> alive = alive_;
-    servers_.setShare(GroupServers::Share::Reserve, [this, alive, begun] {
-        if (!alive.expired() && handOver_.givenAway() && handOver_.since() == begun)
-            ownership_.beginHandOver();
-    });
+    servers_.setConnectionShare(GroupServers::ConnectionShare::Reserve,
+                                [this, alive, transferStartedAt] {
+                                    if (!alive.expired() && handOver_.isTransferring()
+                                        && handOver_.phaseStartedAt() == transferStartedAt)
+                                        ownership_.beginHandOver();
+                                });
 }
 
 void GroupRuntime::promote(const ServerName &server, bool acceptLoss)
--- a/src/owner/groupruntime.h
+++ b/src/owner/groupruntime.h
@@ -54,7 +54,7 @@
 
 private:
     void onStartServing(const decision::StartServing &start) override;
-    void onStopServing(const std::string &why) override;
+    void onStopServing(const std::string &stopReason) override;
     void onRowChanged() override;
     void onServerReport(const ServerName &server, Instant sentAt,
                         const decision::ServerReport &report) override;
@@ -62,26 +62,26 @@
     void onPrimaryGone(const decision::PrimaryGone &gone) override;
     void onPrimaryReady(const decision::PrimaryReady &ready) override;
     std::size_t openTransactions() const override { return transactions_.openCount(); }
-    std::size_t inProgress() const override;
-    void giveAway() override;
+    std::size_t requestsInProgress() const override;
+    void transferOwnership() override;
 
     void dispatch(const RequestPtr &request);
     bool mustHold(const RequestPtr &request) const;
-    void updateHeld();
-    void beginWhenReady();
+    void updateHeldRequests();
+    void acceptRequestsWhenReady();
     void checkLease();
     void sampleWhenNeeded();
     void stopRunners(const Refusal &refusal);
     void startHandOver();
-    void noteHandOverWait();
+    void logHandOverWait();
     // A line when other servers are heard than before.
-    void noteSilentServers();
+    void logSilentServers();
     // Gives the group to a successor when this process hears too few of the servers.
-    void considerCutOff();
-    void updateShare();
-    void updateSuccessor();
+    void checkCutOff();
+    void updateConnectionShare();
+    void updateReserve();
     void updateMetrics();
-    Refusal notOwner() const;
+    Refusal notOwnerRefusal() const;
     Instant now() const { return context_.ports.timers.now(); }
 
     OwnershipDriver ownership_;
@@ -95,14 +95,14 @@
 
     bool serving_ = false;
     // A primary was found since this process began to serve.
-    bool ready_ = false;
+    bool primaryFound_ = false;
     // Since then the lease was held and requests were let through.
-    bool begun_ = false;
+    bool acceptingRequests_ = false;
     // The lease had lapsed at the last look.
-    bool lapsed_ = false;
+    bool leaseLapsed_ = false;
     Instant servingSince_;
     // This process was told that it becomes owner.
-    std::optional<Instant> arrivingSince_;
+    std::optional<Instant> handOverNotifiedAt_;
     HandOver handOver_ {*this};
     HeldRequests held_;
     RecordPurge purge_;
@@ -110,21 +110,21 @@
     Instant lastSample_;
     Instant lastMetrics_;
     Instant lastRefresh_;
-    Instant handOverAsked_;
+    Instant handOverRequestedAt_;
     decision::CutOffPolicy cutOff_;
     // As of the last line that told it.
     decision::CutOffStep cutOffStep_ = decision::CutOffStep::Serve;
     decision::HandOverWait handOverWait_ = decision::HandOverWait::None;
-    Instant rowAskedAt_;
+    Instant rowRequestedAt_;
     // The table service answered with the row, or with the outcome of a write of it.
-    Instant rowToldAt_;
+    Instant rowConfirmedAt_;
     // As of the last line that told them.
     std::vector<ServerName> silentServers_;
     // As successor: when the owner was heard last, and since when without a break.
     Instant lastPromise_;
     Instant promisingSince_;
     // As successor: connections are kept open ahead of need.
-    bool reserve_ = false;
+    bool reserveOpen_ = false;
     // Notices that arrive after this object is gone are dropped.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/owner/groupservers.cpp
+++ b/src/owner/groupservers.cpp
@@ -14,7 +14,7 @@
 // A successor's reserve is at most this part of a server's connections.
 constexpr int reserveDivisor = 5;
 
-int reserveOf(const settings::Server &server)
+int successorReserve(const settings::Server &server)
 {
     const int wanted = server.slots + controlConnections;
     return std::max(1 + controlConnections, std::min(wanted, server.connections / reserveDivisor));
@@ -31,7 +31,7 @@
 
 void GroupServers::configure(const settings::Group &group, const settings::Inventory &inventory)
 {
-    removeLeft(group);
+    removeStaleServers(group);
     group_ = group;
     for (const auto &server : group.servers) {
         auto &entry = servers_[server.name];
@@ -39,7 +39,7 @@
             entry.lane = std::make_shared<ServerLane>(group, server, inventory.limits, ports_);
         entry.lane->configure(server, inventory.teams);
     }
-    setShare(share_);
+    setConnectionShare(connectionShare_);
     LaneRefusal leaving;
     leaving.reason = Reason::Draining;
     leaving.unreachable = true;
@@ -49,10 +49,10 @@
             server.lane->refuseAll(leaving);
 }
 
-void GroupServers::removeLeft(const settings::Group &group)
+void GroupServers::removeStaleServers(const settings::Group &group)
 {
     for (auto it = servers_.begin(); it != servers_.end();) {
-        if (!isMoved(group_, group, it->first)) {
+        if (!isRemovedOrChanged(group_, group, it->first)) {
             ++it;
             continue;
         }
@@ -216,31 +216,32 @@
 
 // The counts of owner and successors together stay within the server's connections at every
 // moment: the old owner closes down to its reserve before it gives the group away.
-int GroupServers::connectionLimit(const settings::Server &server, Share share)
+int GroupServers::connectionLimit(const settings::Server &server, ConnectionShare share)
 {
-    const int reserve = reserveOf(server);
+    const int reserve = successorReserve(server);
     switch (share) {
-    case Share::None:
+    case ConnectionShare::None:
         return 0;
-    case Share::Reserve:
+    case ConnectionShare::Reserve:
         return reserve - controlConnections;
-    case Share::Owner:
+    case ConnectionShare::Owner:
         return std::max(reserve, server.connections - successorCount * reserve)
             - controlConnections;
     }
     return 0;
 }
 
-void GroupServers::setShare(Share share, std::function<void()> withinShare)
+void GroupServers::setConnectionShare(ConnectionShare share, std::function<void()> onWithinShare)
 {
-    share_ = share;
-    const auto left = std::make_shared<std::size_t>(servers_.size());
-    const auto notice = [left, withinShare] {
-        if (--*left == 0 && withinShare)
-            withinShare();
+    connectionShare_ = share;
+    const auto remaining = std::make_shared<std::size_t>(servers_.size());
+    const auto onLaneWithinLimit = [remaining, onWithinShare] {
+        if (--*remaining == 0 && onWithinShare)
+            onWithinShare();
     };
     for (auto &[name, server] : servers_)
-        server.lane->setConnectionLimit(connectionLimit(server.lane->server(), share), notice);
+        server.lane->setConnectionLimit(connectionLimit(server.lane->server(), share),
+                                        onLaneWithinLimit);
 }
 
 std::size_t GroupServers::transactionLimit() const
@@ -248,18 +249,18 @@
     int limit = 1;
     for (const auto &[name, server] : servers_) {
         const settings::Server &settings = server.lane->server();
-        limit = std::max(limit, connectionLimit(settings, Share::Owner) - settings.slots);
+        limit = std::max(limit, connectionLimit(settings, ConnectionShare::Owner) - settings.slots);
     }
     return static_cast<std::size_t>(limit);
 }
 
 void GroupServers::warm()
 {
-    if (share_ == Share::None)
+    if (connectionShare_ == ConnectionShare::None)
         return;
     for (auto &[name, server] : servers_) {
         const settings::Server &settings = server.lane->server();
-        const int open = std::min(settings.slots, reserveOf(settings) - controlConnections);
+        const int open = std::min(settings.slots, successorReserve(settings) - controlConnections);
         server.lane->warm(settings.presence == settings::Presence::Active ? open : 0);
     }
 }
--- a/src/owner/groupservers.h
+++ b/src/owner/groupservers.h
@@ -57,7 +57,7 @@
     }
 
     // Connections of each server that this process may have open.
-    enum class Share {
+    enum class ConnectionShare {
         None,
         // A successor's reserve.
         Reserve,
@@ -65,7 +65,7 @@
         Owner,
     };
     // The notice comes once the connections of all servers are within the share.
-    void setShare(Share share, std::function<void()> withinShare = {});
+    void setConnectionShare(ConnectionShare share, std::function<void()> onWithinShare = {});
     // Transactions that may be open at one time: the slots' own connections are left free.
     std::size_t transactionLimit() const;
     void warm();
@@ -79,8 +79,8 @@
     };
 
     decision::ServerView viewOf(const ServerName &name, const Server &server, Instant now) const;
-    static int connectionLimit(const settings::Server &server, Share share);
-    void removeLeft(const settings::Group &group);
+    static int connectionLimit(const settings::Server &server, ConnectionShare share);
+    void removeStaleServers(const settings::Group &group);
 
     OwnerPorts &ports_;
     settings::Group group_;
@@ -91,7 +91,7 @@
     // the primary after its start or ours, since an earlier owner may have acknowledged writes.
     std::optional<Position> acknowledged_;
     Instant primarySince_;
-    Share share_ = Share::None;
+    ConnectionShare connectionShare_ = ConnectionShare::None;
     std::vector<decision::ServerView> views_;
 };
 
--- a/src/owner/handover.cpp
+++ b/src/owner/handover.cpp
@@ -6,31 +6,31 @@
 
 // Limits of the steps; chosen: transactions idle for longer are ended by their own limit anyway,
 // and a statement takes milliseconds.
-constexpr Duration longestTransactionWait = std::chrono::seconds(3);
-constexpr Duration longestStatementWait = std::chrono::seconds(1);
+constexpr Duration maxTransactionWait = std::chrono::seconds(3);
+constexpr Duration maxStatementWait = std::chrono::seconds(1);
 
 } // namespace
 
 void HandOver::begin(Instant now)
 {
-    phase_ = Phase::Transactions;
-    since_ = now;
+    phase_ = Phase::DrainTransactions;
+    phaseStartedAt_ = now;
     step(now);
 }
 
 void HandOver::step(Instant now)
 {
-    if (phase_ == Phase::Transactions) {
-        if (group_.openTransactions() > 0 && now - since_ < longestTransactionWait)
+    if (phase_ == Phase::DrainTransactions) {
+        if (group_.openTransactions() > 0 && now - phaseStartedAt_ < maxTransactionWait)
             return;
-        phase_ = Phase::Statements;
-        since_ = now;
+        phase_ = Phase::DrainStatements;
+        phaseStartedAt_ = now;
     }
-    if (phase_ == Phase::Statements) {
-        if (group_.inProgress() > 0 && now - since_ < longestStatementWait)
+    if (phase_ == Phase::DrainStatements) {
+        if (group_.requestsInProgress() > 0 && now - phaseStartedAt_ < maxStatementWait)
             return;
-        phase_ = Phase::Row;
-        group_.giveAway();
+        phase_ = Phase::Transfer;
+        group_.transferOwnership();
     }
 }
 
@@ -39,10 +39,10 @@
     switch (phase_) {
     case Phase::None:
         return false;
-    case Phase::Transactions:
+    case Phase::DrainTransactions:
         return step == inner::StatementStep::Begin;
-    case Phase::Statements:
-    case Phase::Row:
+    case Phase::DrainStatements:
+    case Phase::Transfer:
         return true;
     }
     return false;
--- a/src/owner/handover.h
+++ b/src/owner/handover.h
@@ -15,10 +15,10 @@
 
     virtual std::size_t openTransactions() const = 0;
     // Requests in progress.
-    virtual std::size_t inProgress() const = 0;
+    virtual std::size_t requestsInProgress() const = 0;
     // Ends what is still in progress, closes the connections that the next owner will open, and
     // writes the row.
-    virtual void giveAway() = 0;
+    virtual void transferOwnership() = 0;
 };
 
 // The steps of a planned hand-over of one group. 1. Open transactions end and no new ones begin;
@@ -37,22 +37,22 @@
 
     bool running() const { return phase_ != Phase::None; }
     // The row is being written: nothing of the group is in progress here.
-    bool givenAway() const { return phase_ == Phase::Row; }
+    bool isTransferring() const { return phase_ == Phase::Transfer; }
     bool mustHold(inner::StatementStep step) const;
     // When the first request was held.
-    Instant since() const { return since_; }
+    Instant phaseStartedAt() const { return phaseStartedAt_; }
 
 private:
     enum class Phase {
         None,
-        Transactions,
-        Statements,
-        Row,
+        DrainTransactions,
+        DrainStatements,
+        Transfer,
     };
 
     HandOverGroup &group_;
     Phase phase_ = Phase::None;
-    Instant since_;
+    Instant phaseStartedAt_;
 };
 
 } // namespace kelptally::owner
--- a/src/owner/ownerprocess.cpp
+++ b/src/owner/ownerprocess.cpp
@@ -15,7 +15,7 @@
 // The platform's list lags by seconds; asking more often would tell nothing new.
 constexpr Duration hostListPeriod = std::chrono::seconds(2);
 
-Incarnation drawIncarnation()
+Incarnation makeIncarnation()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<Incarnation>(
@@ -25,8 +25,8 @@
 } // namespace
 
 OwnerProcess::OwnerProcess(settings::ProcessSettings settings, Metrics &metrics)
-    : settings_(std::move(settings)), self_ {settings_.peerAddress(), drawIncarnation()},
-      metrics_(metrics), ownerMetrics_(metrics), inbox_(groups_, inboxCapacity, ownerMetrics_)
+    : settings_(std::move(settings)), self_ {settings_.peerAddress(), makeIncarnation()},
+      metrics_(metrics), ownerMetrics_(metrics), inbox_(groupsThread_, inboxCapacity, ownerMetrics_)
 { }
 
 OwnerProcess::~OwnerProcess()
@@ -50,8 +50,9 @@
     if (!links.ok())
         return links.status();
     links_ = std::move(*links);
-    table_ = services::makeTableService(groups_, settings_.tableService, settings_.storeTimeout);
-    hosts_ = services::makeHostList(groups_, settings_.hostList, settings_.storeTimeout);
+    table_ =
+        services::makeTableService(groupsThread_, settings_.tableService, settings_.storeTimeout);
+    hostList_ = services::makeHostList(groupsThread_, settings_.hostList, settings_.storeTimeout);
     if (adminPeers_)
         adminPeers_->setLinks(links_.get());
     startGroups();
@@ -65,18 +66,18 @@
 {
     const ServerFactory makeServer = [this](const backend::ServerEndpoint &endpoint) {
         return std::shared_ptr<backend::BackendServer>(
-            backend::makePostgresServer(groups_, endpoint));
+            backend::makePostgresServer(groupsThread_, endpoint));
     };
-    ports_ = std::make_unique<OwnerPorts>(OwnerPorts {groups_.timers(), *links_, *table_,
+    ports_ = std::make_unique<OwnerPorts>(OwnerPorts {groupsThread_.timers(), *links_, *table_,
                                                       makeServer, ownerMetrics_, self_,
                                                       settings_.host, settings_.zone});
     directory_ = std::make_unique<GroupDirectory>(*ports_);
-    boost::asio::post(groups_.context(), [this] {
+    boost::asio::post(groupsThread_.context(), [this] {
         inbox_.connect(links_.get(), directory_.get());
-        groups_.timers().subscribeEvery(GroupRuntime::tickPeriod, [this] { tick(); });
-        groups_.timers().subscribeEvery(hostListPeriod, [this] { fetchHosts(); });
+        groupsThread_.timers().subscribeEvery(GroupRuntime::tickPeriod, [this] { tick(); });
+        groupsThread_.timers().subscribeEvery(hostListPeriod, [this] { fetchHosts(); });
     });
-    groups_.start();
+    groupsThread_.start();
 }
 
 void OwnerProcess::stop()
@@ -84,13 +85,13 @@
     if (!started_)
         return;
     started_ = false;
-    groups_.stop();
+    groupsThread_.stop();
     inbox_.connect(nullptr, nullptr);
     if (adminPeers_)
         adminPeers_->setLinks(nullptr);
     directory_.reset();
     links_.reset();
-    hosts_.reset();
+    hostList_.reset();
     table_.reset();
 }
 
@@ -106,7 +107,7 @@
     if (fetchingHosts_)
         return;
     fetchingHosts_ = true;
-    hosts_->fetch([this](absl::StatusOr<std::vector<services::ListedHost>> listed) {
+    hostList_->fetch([this](absl::StatusOr<std::vector<services::ListedHost>> listed) {
         fetchingHosts_ = false;
         if (!listed.ok())
             return;
@@ -121,7 +122,7 @@
 void OwnerProcess::install(settings::ConfigurationPtr configuration)
 {
     configVersion_ = configuration->version;
-    boost::asio::post(groups_.context(), [this, configuration] {
+    boost::asio::post(groupsThread_.context(), [this, configuration] {
         directory_->configure(configuration);
         ready_ = true;
     });
@@ -129,14 +130,14 @@
 
 void OwnerProcess::operate(const inner::OperatorRequest &request, admin::OperatorReply reply)
 {
-    boost::asio::post(groups_.context(), [this, request, reply = std::move(reply)] {
+    boost::asio::post(groupsThread_.context(), [this, request, reply = std::move(reply)] {
         reply(directory_->carryOut(request));
     });
 }
 
 void OwnerProcess::drain()
 {
-    boost::asio::post(groups_.context(), [this] { directory_->drain(); });
+    boost::asio::post(groupsThread_.context(), [this] { directory_->drain(); });
 }
 
 } // namespace kelptally::owner
--- a/src/owner/ownerprocess.h
+++ b/src/owner/ownerprocess.h
@@ -51,12 +51,12 @@
     const ProcessId self_;
     Metrics &metrics_;
     OwnerMetrics ownerMetrics_;
-    DutyThread groups_ {"groups"};
+    DutyThread groupsThread_ {"groups"};
     PeerInbox inbox_;
     std::unique_ptr<inner::PeerLinks> links_;
     // Used and destroyed on the groups thread, or while it does not run.
     std::unique_ptr<services::TableService> table_;
-    std::unique_ptr<services::HostList> hosts_;
+    std::unique_ptr<services::HostList> hostList_;
     std::unique_ptr<OwnerPorts> ports_;
     std::unique_ptr<GroupDirectory> directory_;
     admin::AdminPeers *adminPeers_ = nullptr;
--- a/src/owner/ownershipdriver.cpp
+++ b/src/owner/ownershipdriver.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // How sure a failed write is not to have happened.
-WriteOutcome outcomeOf(const absl::Status &status)
+WriteOutcome toWriteOutcome(const absl::Status &status)
 {
     if (status.ok())
         return WriteOutcome::Done;
@@ -60,9 +60,9 @@
     carryOut(ownership_.onLeaseAnswer(now(), leaseAnswer));
 }
 
-void OwnershipDriver::onIncarnation(const ProcessId &heard)
+void OwnershipDriver::onIncarnation(const ProcessId &liveProcess)
 {
-    carryOut(ownership_.onIncarnation(now(), heard));
+    carryOut(ownership_.onIncarnation(now(), liveProcess));
 }
 
 void OwnershipDriver::onProcessGone(const ProcessId &process)
@@ -70,14 +70,14 @@
     carryOut(ownership_.onProcessGone(now(), process));
 }
 
-void OwnershipDriver::setSuccessorCandidates(std::vector<ProcessId> choice)
+void OwnershipDriver::setSuccessorCandidates(std::vector<ProcessId> candidates)
 {
-    ownership_.setSuccessorCandidates(std::move(choice));
+    ownership_.setSuccessorCandidates(std::move(candidates));
 }
 
-void OwnershipDriver::setPreferredOwner(bool wanted)
+void OwnershipDriver::setPreferredOwner(bool isPreferred)
 {
-    ownership_.setPreferredOwner(wanted);
+    ownership_.setPreferredOwner(isPreferred);
 }
 
 void OwnershipDriver::setPrimary(Term term, const ServerName &primary)
@@ -104,17 +104,17 @@
 
 Duration OwnershipDriver::leaseLeft() const
 {
-    constexpr Duration cap = std::chrono::hours(1);
+    constexpr Duration maxLeaseLeft = std::chrono::hours(1);
     const Instant end = ownership_.leaseEnd();
     if (end <= now())
         return Duration(0);
-    return end > now() + cap ? cap : end - now();
+    return end > now() + maxLeaseLeft ? maxLeaseLeft : end - now();
 }
 
 void OwnershipDriver::carryOut(const decision::OwnershipActions &actions)
 {
     for (const auto &action : actions)
-        std::visit([this](const auto &known) { carryOut(known); }, action);
+        std::visit([this](const auto &typedAction) { carryOut(typedAction); }, action);
 }
 
 void OwnershipDriver::carryOut(const decision::ReadRow &)
@@ -122,7 +122,7 @@
     std::weak_ptr<bool> alive = alive_;
     ports_.table.read(services::ownershipTable, group_, [this, alive](auto read) {
         if (!alive.expired())
-            onRead(read);
+            onRowRead(read);
     });
 }
 
@@ -137,9 +137,9 @@
               << " owner=" << action.row.owner.address
               << " successors=" << action.row.successors.size();
     std::weak_ptr<bool> alive = alive_;
-    ports_.table.write({std::move(write)}, [this, alive, row = action.row](auto tags) {
+    ports_.table.write({std::move(write)}, [this, alive, row = action.row](auto etags) {
         if (!alive.expired())
-            onWritten(row, tags);
+            onRowWritten(row, etags);
     });
 }
 
@@ -170,7 +170,7 @@
     ports_.links.sendTo(action.to.address, inner::HandOver {group_, action.epoch}).IgnoreError();
 }
 
-void OwnershipDriver::onRead(const absl::StatusOr<std::optional<services::TableRow>> &read)
+void OwnershipDriver::onRowRead(const absl::StatusOr<std::optional<services::TableRow>> &read)
 {
     if (!read.ok()) {
         carryOut(ownership_.onRowReadFailed(now()));
@@ -191,15 +191,15 @@
     listener_.onRowChanged();
 }
 
-void OwnershipDriver::onWritten(const decision::OwnershipRow &row,
-                                const absl::StatusOr<std::vector<std::string>> &tags)
+void OwnershipDriver::onRowWritten(const decision::OwnershipRow &row,
+                                   const absl::StatusOr<std::vector<std::string>> &etags)
 {
-    const WriteOutcome outcome = outcomeOf(tags.status());
-    const std::string tag = tags.ok() && !tags->empty() ? tags->front() : std::string();
+    const WriteOutcome outcome = toWriteOutcome(etags.status());
+    const std::string newEtag = etags.ok() && !etags->empty() ? etags->front() : std::string();
     if (outcome != WriteOutcome::Done)
         LOG(WARNING) << "event=ownership_write_failed group=" << group_ << " epoch=" << row.epoch
-                     << " cause=" << logValue(std::string(tags.status().message()));
-    carryOut(ownership_.onWriteOutcome(now(), row.changeId, outcome, tag));
+                     << " cause=" << logValue(std::string(etags.status().message()));
+    carryOut(ownership_.onWriteOutcome(now(), row.changeId, outcome, newEtag));
     listener_.onRowChanged();
 }
 
--- a/src/owner/ownershipdriver.h
+++ b/src/owner/ownershipdriver.h
@@ -33,10 +33,10 @@
     std::optional<inner::GroupHeartbeatAnswer> onHeartbeat(const ProcessId &from,
                                                            const inner::GroupHeartbeat &heartbeat);
     void onHeartbeatAnswer(const ProcessId &from, const inner::GroupHeartbeatAnswer &answer);
-    void onIncarnation(const ProcessId &heard);
+    void onIncarnation(const ProcessId &liveProcess);
     void onProcessGone(const ProcessId &process);
-    void setSuccessorCandidates(std::vector<ProcessId> choice);
-    void setPreferredOwner(bool wanted);
+    void setSuccessorCandidates(std::vector<ProcessId> candidates);
+    void setPreferredOwner(bool isPreferred);
     void setPrimary(Term term, const ServerName &primary);
     void beginHandOver();
     // Why the row of a hand-over that was begun is not written yet.
@@ -58,9 +58,9 @@
     void carryOut(const decision::StartServing &action);
     void carryOut(const decision::StopServing &action);
     void carryOut(const decision::SendHandOver &action);
-    void onRead(const absl::StatusOr<std::optional<services::TableRow>> &read);
-    void onWritten(const decision::OwnershipRow &row,
-                   const absl::StatusOr<std::vector<std::string>> &tags);
+    void onRowRead(const absl::StatusOr<std::optional<services::TableRow>> &read);
+    void onRowWritten(const decision::OwnershipRow &row,
+                      const absl::StatusOr<std::vector<std::string>> &etags);
     Instant now() const { return ports_.timers.now(); }
 
     const GroupName group_;
--- a/src/owner/peerinbox.cpp
+++ b/src/owner/peerinbox.cpp
@@ -4,9 +4,9 @@
 
 namespace kelptally::owner {
 
-PeerInbox::PeerInbox(DutyThread &groups, std::size_t capacity, OwnerMetrics &metrics)
-    : metrics_(metrics), groups_(groups),
-      inbox_(groups, capacity, [this](Event &&event) { handle(std::move(event)); })
+PeerInbox::PeerInbox(DutyThread &groupsThread, std::size_t capacity, OwnerMetrics &metrics)
+    : metrics_(metrics), groupsThread_(groupsThread),
+      inbox_(groupsThread, capacity, [this](Event &&event) { handle(std::move(event)); })
 { }
 
 void PeerInbox::connect(inner::PeerLinks *links, GroupDirectory *directory)
@@ -19,21 +19,21 @@
 {
     if (adminPeers_)
         adminPeers_->onPeerUp(link, peer);
-    boost::asio::post(groups_.context(), [this, link, peer] { handle({link, peer}); });
+    boost::asio::post(groupsThread_.context(), [this, link, peer] { handle({link, peer}); });
 }
 
 void PeerInbox::onPeerMessage(inner::LinkId link, inner::Message message)
 {
     if (adminPeers_ && adminPeers_->onPeerMessage(link, message))
         return;
-    noteVersion(message);
+    reportVersion(message);
     Event event {link, std::move(message)};
     if (inbox_.tryPush(std::move(event)))
         return;
     metrics_.countAnswer(Reason::RingFull);
     // A refused item is left alone. NOLINTNEXTLINE(bugprone-use-after-move)
-    const auto &whole = std::get<inner::Message>(event.what);
-    const auto *execute = std::get_if<inner::Execute>(&whole);
+    const auto &unsent = std::get<inner::Message>(event.payload);
+    const auto *execute = std::get_if<inner::Execute>(&unsent);
     inner::PeerLinks *links = links_;
     if (!execute || !links)
         return;
@@ -45,7 +45,7 @@
 }
 
 // Heartbeats tell each other's configuration version.
-void PeerInbox::noteVersion(const inner::Message &message)
+void PeerInbox::reportVersion(const inner::Message &message)
 {
     if (!adminPeers_)
         return;
@@ -60,7 +60,7 @@
 {
     if (adminPeers_)
         adminPeers_->onPeerDown(link, address);
-    boost::asio::post(groups_.context(), [this, link] { handle({link, Down {}}); });
+    boost::asio::post(groupsThread_.context(), [this, link] { handle({link, PeerDown {}}); });
 }
 
 void PeerInbox::handle(Event &&event)
@@ -68,9 +68,9 @@
     GroupDirectory *directory = directory_;
     if (!directory)
         return;
-    if (const auto *hello = std::get_if<inner::Hello>(&event.what))
+    if (const auto *hello = std::get_if<inner::Hello>(&event.payload))
         directory->onPeerUp(event.link, *hello);
-    else if (auto *message = std::get_if<inner::Message>(&event.what))
+    else if (auto *message = std::get_if<inner::Message>(&event.payload))
         directory->onMessage(event.link, std::move(*message));
     else
         directory->onPeerDown(event.link);
--- a/src/owner/peerinbox.h
+++ b/src/owner/peerinbox.h
@@ -18,7 +18,7 @@
 class PeerInbox : public inner::PeerEvents
 {
 public:
-    PeerInbox(DutyThread &groups, std::size_t capacity, OwnerMetrics &metrics);
+    PeerInbox(DutyThread &groupsThread, std::size_t capacity, OwnerMetrics &metrics);
 
     // Where to send refusals and events; set before any link is made.
     void connect(inner::PeerLinks *links, GroupDirectory *directory);
@@ -29,25 +29,25 @@
     void onPeerUp(inner::LinkId link, const inner::Hello &peer) override;
     void onPeerMessage(inner::LinkId link, inner::Message message) override;
     void onPeerDown(inner::LinkId link, const std::string &address,
-                    const absl::Status &why) override;
+                    const absl::Status &status) override;
 
 private:
-    struct Down
+    struct PeerDown
     { };
     struct Event
     {
         inner::LinkId link = 0;
-        std::variant<inner::Hello, inner::Message, Down> what;
+        std::variant<inner::Hello, inner::Message, PeerDown> payload;
     };
 
     void handle(Event &&event);
-    void noteVersion(const inner::Message &message);
+    void reportVersion(const inner::Message &message);
 
     OwnerMetrics &metrics_;
     std::atomic<inner::PeerLinks *> links_ {nullptr};
     std::atomic<GroupDirectory *> directory_ {nullptr};
     admin::AdminPeers *adminPeers_ = nullptr;
-    DutyThread &groups_;
+    DutyThread &groupsThread_;
     Inbox<Event> inbox_;
 };
 
--- a/src/owner/recordpurge.h
+++ b/src/owner/recordpurge.h
@@ -20,7 +20,7 @@
     void run(ServerLane &lane);
 
     GroupContext &context_;
-    Instant next_;
+    Instant nextPurge_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/owner/serverendpoint.cpp
+++ b/src/owner/serverendpoint.cpp
@@ -17,7 +17,8 @@
     return found == group.servers.end() ? nullptr : &*found;
 }
 
-bool isMoved(const settings::Group &before, const settings::Group &now, const ServerName &name)
+bool isRemovedOrChanged(const settings::Group &before, const settings::Group &now,
+                        const ServerName &name)
 {
     const settings::Server *old = findServer(before, name);
     const settings::Server *current = findServer(now, name);
--- a/src/owner/serverendpoint.h
+++ b/src/owner/serverendpoint.h
@@ -12,6 +12,7 @@
 const settings::Server *findServer(const settings::Group &group, const ServerName &name);
 
 // Whether connections to a server as the group had it are of no use for the group as it is now.
-bool isMoved(const settings::Group &before, const settings::Group &now, const ServerName &name);
+bool isRemovedOrChanged(const settings::Group &before, const settings::Group &now,
+                        const ServerName &name);
 
 } // namespace kelptally::owner
--- a/tests/owner/atmostonce_test.cpp
+++ b/tests/owner/atmostonce_test.cpp
@@ -157,7 +157,7 @@
         case 0:
             cluster.kill(primary);
             std::this_thread::sleep_for(time);
-            cluster.revive(primary);
+            cluster.restartServer(primary);
             break;
         case 1:
             cluster.pauseServer(primary, true);
@@ -165,7 +165,7 @@
             cluster.pauseServer(primary, false);
             break;
         default: {
-            const std::string owner = cluster.serving();
+            const std::string owner = cluster.waitForServingOwner();
             cluster.crash(owner);
             std::this_thread::sleep_for(time);
             cluster.restart(owner);
--- a/tests/owner/connections_test.cpp
+++ b/tests/owner/connections_test.cpp
@@ -43,11 +43,11 @@
 TEST_CASE("Connections to each server stay within the count through hand-overs and crashes")
 {
     // The servers themselves would allow more, so that a breach is seen.
-    standin::ServerLimits limits = OwnerCluster::noCost();
+    standin::ServerLimits limits = OwnerCluster::zeroConnectionCost();
     limits.connections = 200;
     OwnerCluster cluster(3, limits);
     const int allowed = cluster.inventory().groups.front().servers.front().connections;
-    cluster.serving();
+    cluster.waitForServingOwner();
 
     std::atomic<bool> busy {true};
     std::atomic<int> committed {0};
@@ -72,7 +72,7 @@
         const Instant end = BootClock::now() + 20s;
         while (committed < before + allowed && BootClock::now() < end)
             std::this_thread::sleep_for(10ms);
-        const std::string owner = cluster.serving();
+        const std::string owner = cluster.waitForServingOwner();
         if (i % 2 == 0) {
             cluster.owner(owner).drain();
             while (!cluster.owner(owner).drained() && BootClock::now() < end)
--- a/tests/owner/cutoff_test.cpp
+++ b/tests/owner/cutoff_test.cpp
@@ -21,37 +21,37 @@
 TEST_CASE("Without a majority each process gives the group away once in half a minute")
 {
     // Within one pause.
-    constexpr Duration watched = 20s;
+    constexpr Duration observationTime = 20s;
     constexpr int processes = 2;
     // A change of primary is to be over within this time.
-    constexpr Duration longestChange = 5s;
+    constexpr Duration maxFailoverTime = 5s;
     const auto insert = [](const std::string &id) {
         return OwnerCluster::write("INSERT INTO offer(id, amount) VALUES ($1, 1)", {id});
     };
     OwnerCluster cluster(processes);
     REQUIRE(cluster.entry().execute(insert("one")).reason == Reason::None);
     REQUIRE(cluster.waitForSuccessors(processes - 1));
-    std::string holder = cluster.holder();
+    std::string currentOwner = cluster.currentOwner();
     cluster.kill("b");
     cluster.kill("c");
 
     // 1. Somebody else may hear the servers, but not more often than that.
-    int changes = 0;
-    for (const Instant end = BootClock::now() + watched; BootClock::now() < end;) {
-        const std::string now = cluster.holder();
-        if (!now.empty() && now != holder) {
-            ++changes;
-            holder = now;
+    int ownerChanges = 0;
+    for (const Instant end = BootClock::now() + observationTime; BootClock::now() < end;) {
+        const std::string now = cluster.currentOwner();
+        if (!now.empty() && now != currentOwner) {
+            ++ownerChanges;
+            currentOwner = now;
         }
         std::this_thread::sleep_for(2ms);
     }
-    CHECK(changes >= 1);
-    CHECK(changes <= processes);
+    CHECK(ownerChanges >= 1);
+    CHECK(ownerChanges <= processes);
 
     // 2. Whoever has the group serves it once a majority is back.
-    cluster.revive("b");
-    cluster.revive("c");
-    const Instant back = BootClock::now();
+    cluster.restartServer("b");
+    cluster.restartServer("c");
+    const Instant restartedAt = BootClock::now();
     REQUIRE(cluster.entry().execute(insert("two")).reason == Reason::None);
-    CHECK(BootClock::now() - back <= longestChange);
+    CHECK(BootClock::now() - restartedAt <= maxFailoverTime);
 }
--- a/tests/owner/failoverdriver_test.cpp
+++ b/tests/owner/failoverdriver_test.cpp
@@ -23,10 +23,10 @@
     backend::BatchResult answer(const backend::Statement &statement);
 
     TimerService &timers;
-    bool listens = true;
+    bool isListening = true;
     bool primary = false;
     // Takes commands and does not change: its log stays one of an older term.
-    bool stuck = false;
+    bool ignoresCommands = false;
     Term term = 1;
     OwnerEpoch fence = 0;
 };
@@ -41,11 +41,11 @@
             backend::BatchResult result;
             result.state = backend::BatchState::Unknown;
             result.connectionLost = true;
-            callback(server.listens && isOpen ? server.answer(batch.front()) : result);
+            callback(server.isListening && isOpen ? server.answer(batch.front()) : result);
         });
     }
     bool busy() const override { return false; }
-    bool open() const override { return isOpen && server.listens; }
+    bool open() const override { return isOpen && server.isListening; }
     void close() override { isOpen = false; }
 
     FakeServer &server;
@@ -55,7 +55,7 @@
 void FakeServer::connect(Duration, backend::ConnectCallback callback)
 {
     timers.subscribeAfter(1ms, [this, callback] {
-        if (listens)
+        if (isListening)
             callback(absl::OkStatus(), std::make_shared<FakeConnection>(*this));
         else
             callback(absl::UnavailableError("connection refused"), nullptr);
@@ -64,20 +64,20 @@
 
 backend::BatchResult FakeServer::answer(const backend::Statement &statement)
 {
-    const settings::GroupStatements known;
+    const settings::GroupStatements statements;
     backend::BatchResult result;
     result.state = backend::BatchState::Done;
     result.rows.emplace_back();
     Rows &rows = result.rows.back();
     const std::string termText = std::to_string(term);
-    if (statement.sql == known.status)
+    if (statement.sql == statements.status)
         rows.values.push_back({termText, primary ? "primary" : "replica", "7", "7",
                                std::to_string(fence), termText, termText});
-    else if (statement.sql == known.history)
+    else if (statement.sql == statements.history)
         rows.values.push_back({termText, "0"});
-    else if (statement.sql == known.raiseFence)
+    else if (statement.sql == statements.raiseFence)
         fence = std::stoull(*statement.parameters.front());
-    else if (statement.sql == known.prepare && !stuck)
+    else if (statement.sql == statements.prepare && !ignoresCommands)
         term = std::stoull(*statement.parameters.front());
     return result;
 }
@@ -133,7 +133,7 @@
         }
     }
 
-    void kill(const ServerName &name) { servers.at(name)->listens = false; }
+    void kill(const ServerName &name) { servers.at(name)->isListening = false; }
 
     void onServerReport(const ServerName &, Instant, const decision::ServerReport &) override { }
     void onServerUnreachable(const ServerName &) override { }
@@ -178,7 +178,7 @@
 TEST_CASE("A server that is gone is not heard, though a command for it is repeated")
 {
     Fixture f;
-    f.servers["c"]->stuck = true;
+    f.servers["c"]->ignoresCommands = true;
     f.servers["c"]->term = 1;
     f.start();
     f.kill("b");
--- a/tests/owner/freeport.h
+++ b/tests/owner/freeport.h
@@ -13,13 +13,13 @@
 {
     using boost::asio::ip::tcp;
     static boost::asio::io_context context;
-    static std::set<int> drawn;
+    static std::set<int> usedPorts;
     int port = 0;
     do {
         tcp::acceptor acceptor(context,
                                tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
         port = acceptor.local_endpoint().port();
-    } while (!drawn.insert(port).second);
+    } while (!usedPorts.insert(port).second);
     return port;
 }
 
--- a/tests/owner/owner_test.cpp
+++ b/tests/owner/owner_test.cpp
@@ -61,7 +61,7 @@
         if (i == 20)
             cluster.kill(cluster.primary());
         if (i == 40)
-            cluster.revive("a");
+            cluster.restartServer("a");
         const auto written = cluster.entry().execute(insertOffer(id));
         INFO(id << ": " << reasonInfo(written.reason).name << ' ' << written.detail);
         // Without a key an attempt whose answer was lost may have run before.
@@ -86,12 +86,12 @@
     REQUIRE(first.reason == Reason::None);
     // Only a listed successor may claim.
     REQUIRE(cluster.waitForSuccessors(2));
-    const std::string owner = cluster.serving();
+    const std::string owner = cluster.waitForServingOwner();
     cluster.crash(owner);
     const auto second = cluster.entry().execute(insertOffer("after"));
     INFO(reasonInfo(second.reason).name << ' ' << second.detail);
     REQUIRE(second.reason == Reason::None);
-    REQUIRE(cluster.serving() != owner);
+    REQUIRE(cluster.waitForServingOwner() != owner);
     REQUIRE(readIds(cluster, second.position) == std::set<std::string> {"after", "before"});
 }
 
@@ -126,7 +126,7 @@
 {
     OwnerCluster cluster(3);
     REQUIRE(cluster.entry().execute(insertOffer("before")).reason == Reason::None);
-    const std::string owner = cluster.serving();
+    const std::string owner = cluster.waitForServingOwner();
     cluster.entry().takeRefusals();
     // Goes on until the hand-over is over: it waits for a successor.
     const Instant end = BootClock::now() + 30s;
@@ -138,7 +138,7 @@
         INFO(reasonInfo(written.reason).name << ' ' << written.detail);
         REQUIRE(written.reason == Reason::None);
     }
-    REQUIRE(cluster.serving() != owner);
+    REQUIRE(cluster.waitForServingOwner() != owner);
     for (const Reason reason : cluster.entry().takeRefusals())
         CHECK(reasonInfo(reason).name == reasonInfo(Reason::NotOwner).name);
 }
@@ -157,8 +157,8 @@
     REQUIRE(read.reason == Reason::None);
     REQUIRE(read.fromReplica);
     REQUIRE(read.rows.values.size() == 1);
-    cluster.revive("a");
-    cluster.revive("b");
+    cluster.restartServer("a");
+    cluster.restartServer("b");
 }
 
 TEST_CASE("A steady state writes nothing to the store")
@@ -224,7 +224,7 @@
 
     setLeaving(2, "b");
     // The answer to an operator's call shows that the version is in force there.
-    const std::string owner = cluster.serving();
+    const std::string owner = cluster.waitForServingOwner();
     const auto status = cluster.entry().operate(owner, {});
     REQUIRE(status.has_value());
     REQUIRE(status->configVersion == 2);
@@ -252,7 +252,7 @@
 {
     OwnerCluster cluster(2);
     REQUIRE(cluster.entry().execute(insertOffer("one")).reason == Reason::None);
-    const std::string owner = cluster.serving();
+    const std::string owner = cluster.waitForServingOwner();
     const std::string other =
         owner == cluster.addresses()[0] ? cluster.addresses()[1] : cluster.addresses()[0];
 
@@ -295,7 +295,7 @@
 {
     OwnerCluster cluster(2);
     REQUIRE(cluster.entry().execute(insertOffer("one")).reason == Reason::None);
-    const std::string owner = cluster.serving();
+    const std::string owner = cluster.waitForServingOwner();
     cluster.kill("b");
     cluster.kill("c");
     inner::Execute write = insertOffer("two");
@@ -304,8 +304,8 @@
     REQUIRE(answer.has_value());
     CHECK(answer->reason != Reason::None);
     CHECK(answer->executed != Executed::Yes);
-    cluster.revive("b");
-    cluster.revive("c");
+    cluster.restartServer("b");
+    cluster.restartServer("c");
     REQUIRE(cluster.entry().execute(insertOffer("three")).reason == Reason::None);
 }
 
@@ -314,14 +314,14 @@
     OwnerCluster cluster(2);
     REQUIRE(cluster.entry().execute(insertOffer("one")).reason == Reason::None);
     REQUIRE(cluster.waitForSuccessors(1));
-    const std::string owner = cluster.serving();
+    const std::string owner = cluster.waitForServingOwner();
     cluster.kill("b");
     cluster.kill("c");
     const Instant end = BootClock::now() + 60s;
-    while (cluster.serving() == owner && BootClock::now() < end) { }
-    REQUIRE(cluster.serving() != owner);
-    cluster.revive("b");
-    cluster.revive("c");
+    while (cluster.waitForServingOwner() == owner && BootClock::now() < end) { }
+    REQUIRE(cluster.waitForServingOwner() != owner);
+    cluster.restartServer("b");
+    cluster.restartServer("c");
     REQUIRE(cluster.entry().execute(insertOffer("two")).reason == Reason::None);
     REQUIRE(readIds(cluster, std::nullopt) == std::set<std::string> {"one", "two"});
 }
@@ -330,7 +330,7 @@
 {
     OwnerCluster cluster(2);
     REQUIRE(cluster.entry().execute(insertOffer("before")).reason == Reason::None);
-    const std::string owner = cluster.serving();
+    const std::string owner = cluster.waitForServingOwner();
     const Instant end = BootClock::now() + 60s;
     const auto successors = [&] {
         const auto status = cluster.entry().operate(owner, {});
@@ -357,7 +357,7 @@
     const auto written = cluster.entry().execute(insertOffer("after"));
     INFO(reasonInfo(written.reason).name << ' ' << written.detail);
     REQUIRE(written.reason == Reason::None);
-    REQUIRE(cluster.serving() == owner);
+    REQUIRE(cluster.waitForServingOwner() == owner);
 }
 
 TEST_CASE("A keyed write runs once however often it is sent")
--- a/tests/owner/ownercluster.cpp
+++ b/tests/owner/ownercluster.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Duration longest = 30s;
+constexpr Duration waitTimeout = 30s;
 
 standin::DatabaseGroupSettings databaseSettings(const standin::ServerLimits &limits)
 {
@@ -79,7 +79,7 @@
     database_.stop();
 }
 
-standin::ServerLimits OwnerCluster::noCost()
+standin::ServerLimits OwnerCluster::zeroConnectionCost()
 {
     standin::ServerLimits limits;
     limits.connectionCost = Duration(0);
@@ -129,9 +129,9 @@
     return *owners_.at(address)->process;
 }
 
-std::string OwnerCluster::serving()
+std::string OwnerCluster::waitForServingOwner()
 {
-    const Instant end = BootClock::now() + longest;
+    const Instant end = BootClock::now() + waitTimeout;
     while (BootClock::now() < end) {
         for (const auto &[address, owner] : owners_) {
             const auto answer = entry_->operate(address, {});
@@ -143,7 +143,7 @@
     return {};
 }
 
-std::string OwnerCluster::holder()
+std::string OwnerCluster::currentOwner()
 {
     for (const auto &[address, owner] : owners_) {
         const auto answer = entry_->operate(address, {});
@@ -155,8 +155,8 @@
 
 bool OwnerCluster::waitForSuccessors(std::size_t count)
 {
-    const std::string owner = serving();
-    const Instant end = BootClock::now() + longest;
+    const std::string owner = waitForServingOwner();
+    const Instant end = BootClock::now() + waitTimeout;
     while (BootClock::now() < end) {
         const auto status = entry_->operate(owner, {});
         if (status && !status->groups.empty() && status->groups.front().successors.size() == count)
@@ -168,13 +168,14 @@
 
 std::string OwnerCluster::primary()
 {
-    const Instant end = BootClock::now() + longest;
+    const Instant end = BootClock::now() + waitTimeout;
     while (BootClock::now() < end) {
         std::string newest;
         Term term = 0;
         for (const auto &server : database_.servers()) {
             standin::ServerState state;
-            server->callAndWait([&](standin::DatabaseServer &known) { state = known.state(); });
+            server->callAndWait(
+                [&](standin::DatabaseServer &databaseServer) { state = databaseServer.state(); });
             if (state.running && state.role == "primary" && state.term > term) {
                 newest = state.name;
                 term = state.term;
@@ -191,44 +192,46 @@
 {
     int peak = 0;
     for (const auto &server : database_.servers())
-        server->callAndWait([&peak](standin::DatabaseServer &known) {
-            peak = std::max(peak, known.state().peakConnections);
+        server->callAndWait([&peak](standin::DatabaseServer &databaseServer) {
+            peak = std::max(peak, databaseServer.state().peakConnections);
         });
     return peak;
 }
 
 void OwnerCluster::kill(const ServerName &server)
 {
-    database_.find(server)->callAndWait([](standin::DatabaseServer &known) { known.kill(true); });
+    database_.find(server)->callAndWait(
+        [](standin::DatabaseServer &databaseServer) { databaseServer.kill(true); });
 }
 
-void OwnerCluster::revive(const ServerName &server)
+void OwnerCluster::restartServer(const ServerName &server)
 {
-    database_.find(server)->callAndWait([](standin::DatabaseServer &known) { known.restart(); });
+    database_.find(server)->callAndWait(
+        [](standin::DatabaseServer &databaseServer) { databaseServer.restart(); });
 }
 
 void OwnerCluster::pauseServer(const ServerName &server, bool paused)
 {
     database_.find(server)->callAndWait(
-        [paused](standin::DatabaseServer &known) { known.setPaused(paused); });
+        [paused](standin::DatabaseServer &databaseServer) { databaseServer.setPaused(paused); });
 }
 
 void OwnerCluster::setStoreOutage(bool out)
 {
     const std::string outage = out ? "reset" : "none";
-    control("POST", "/faults", R"({"service":"tables","outage":")" + outage + "\"}");
+    callPlatform("POST", "/faults", R"({"service":"tables","outage":")" + outage + "\"}");
 }
 
 std::uint64_t OwnerCluster::storeWrites()
 {
-    const std::string counters = control("GET", "/counters");
+    const std::string counters = callPlatform("GET", "/counters");
     const auto tables = counters.find("\"tables\"");
     const auto writes = counters.find("\"writes\":", tables);
     return std::stoull(counters.substr(writes + 9));
 }
 
-std::string OwnerCluster::control(const std::string &method, const std::string &path,
-                                  const std::string &body)
+std::string OwnerCluster::callPlatform(const std::string &method, const std::string &path,
+                                       const std::string &body)
 {
     using boost::asio::ip::tcp;
     boost::asio::io_context context;
--- a/tests/owner/ownercluster.h
+++ b/tests/owner/ownercluster.h
@@ -18,10 +18,10 @@
 class OwnerCluster
 {
 public:
-    explicit OwnerCluster(int owners, const standin::ServerLimits &limits = noCost());
+    explicit OwnerCluster(int owners, const standin::ServerLimits &limits = zeroConnectionCost());
     ~OwnerCluster();
 
-    static standin::ServerLimits noCost();
+    static standin::ServerLimits zeroConnectionCost();
 
     // Ends one owner as a crash would; restart() begins a new run at the same address.
     void crash(const std::string &address);
@@ -29,11 +29,11 @@
     OwnerProcess &owner(const std::string &address);
 
     // Address of the owner that serves the group now; waits until there is one.
-    std::string serving();
+    std::string waitForServingOwner();
 
     // Address of the owner that has the group now, whether it can serve or not; empty when none
     // has.
-    std::string holder();
+    std::string currentOwner();
 
     // Waits until the owner has listed so many successors; false when it does not.
     bool waitForSuccessors(std::size_t count);
@@ -43,7 +43,7 @@
     // Name of the server that is primary now, as the stand-in says.
     std::string primary();
     void kill(const ServerName &server);
-    void revive(const ServerName &server);
+    void restartServer(const ServerName &server);
     void pauseServer(const ServerName &server, bool paused);
     void setStoreOutage(bool out);
     // Writes to the table service so far.
@@ -68,8 +68,8 @@
     };
 
     std::unique_ptr<Owner> makeOwner(std::size_t index);
-    std::string control(const std::string &method, const std::string &path,
-                        const std::string &body = "");
+    std::string callPlatform(const std::string &method, const std::string &path,
+                             const std::string &body = "");
 
     standin::DatabaseGroup database_;
     DutyThread platformThread_ {"platform"};
--- a/tests/owner/ownermeasure.cpp
+++ b/tests/owner/ownermeasure.cpp
@@ -140,7 +140,7 @@
         if (hang)
             cluster.pauseServer(primary, false);
         else
-            cluster.revive(primary);
+            cluster.restartServer(primary);
     }
     print(hang ? "gap of a hung primary" : "gap of a killed primary", gaps);
     std::cout << "writes failed: " << writer.failed() << std::endl;
@@ -153,7 +153,7 @@
     writer.firstAfter(BootClock::now());
     std::vector<double> gaps;
     for (int i = 0; i < count; ++i) {
-        const std::string owner = cluster.serving();
+        const std::string owner = cluster.waitForServingOwner();
         std::this_thread::sleep_for(1s);
         const Instant began = BootClock::now();
         cluster.crash(owner);
@@ -172,7 +172,7 @@
     std::vector<double> pauses;
     std::vector<double> usual;
     for (int i = 0; i < count; ++i) {
-        const std::string owner = cluster.serving();
+        const std::string owner = cluster.waitForServingOwner();
         // Successors are listed and have their connections open by then.
         std::this_thread::sleep_for(4s);
         cluster.entry().takeRefusals();
@@ -281,14 +281,14 @@
 
 void measureLoad(const std::string &what, const inner::Execute &execute, int inProgress)
 {
-    standin::ServerLimits limits = OwnerCluster::noCost();
+    standin::ServerLimits limits = OwnerCluster::zeroConnectionCost();
     limits.slots = 16;
     OwnerCluster cluster(1, limits);
     settings::Inventory inventory = cluster.inventory();
     for (auto &server : inventory.groups.front().servers)
         server.slots = 8;
     cluster.install(2, inventory);
-    const std::string owner = cluster.serving();
+    const std::string owner = cluster.waitForServingOwner();
     Load load(owner, execute);
     load.start(inProgress);
     std::this_thread::sleep_for(1s);
