--- a/src/owner/controlconnection.cpp
+++ b/src/owner/controlconnection.cpp
@@ -6,7 +6,6 @@
 
 namespace {
 
-// Chosen, not measured: a connection costs about 12 ms, a status query a round trip.
 constexpr Duration connectTimeout = std::chrono::milliseconds(400);
 constexpr Duration commandTimeout = std::chrono::milliseconds(400);
 constexpr std::size_t maxWaitingCommands = 64;
@@ -34,7 +33,7 @@
 {
     if (waiting_.size() >= maxWaitingCommands) {
         CommandResult rejected;
-        rejected.message = "too many commands wait for this server";
+        rejected.message = "too many commands are queued for this server";
         callback(rejected);
         return;
     }
@@ -147,10 +146,11 @@
         return;
     const auto keepAlive = shared_from_this();
     dropConnection();
-    failAll(false, "no answer in time");
+    failAll(false, "command timed out");
 }
 
-// What runs is unknown, what waits was not sent. Callbacks may add commands; those stay.
+// The outcome of the running command is unknown; the waiting ones were not sent. Commands that the
+// callbacks add are kept.
 void ControlConnection::failAll(bool connectionRefused, const std::string &message)
 {
     timers_.cancel(timeout_);
--- a/src/owner/controlconnection.h
+++ b/src/owner/controlconnection.h
@@ -8,21 +8,21 @@
 
 namespace kelptally::owner {
 
-// What came of one command to a server.
+// Outcome of a command to a server.
 enum class CommandState {
     Done,
-    // The server refused it.
+    // The server answered with an error.
     Refused,
-    // Nothing was sent: no connection.
+    // Not sent, as there was no connection.
     NotSent,
-    // Sent, and the connection was lost or too slow.
+    // Sent, but the connection was lost or timed out.
     Unknown,
 };
 
 struct CommandResult
 {
     CommandState state = CommandState::NotSent;
-    // The server's host answered that nothing listens there.
+    // The connection attempt was refused: the host is up, but the server does not listen.
     bool connectionRefused = false;
     std::string message;
     Rows rows;
@@ -31,18 +31,18 @@
 
 using CommandCallback = std::function<void(const CommandResult &)>;
 
-// The connection over which one server is asked for its state and told its role, apart from the
-// pool of callers' statements so that it never waits behind them. Commands run one at a time in
-// order. Opens by itself when there is something to send.
+// Connection for status queries and role changes of one server, separate from the pool, so that
+// commands never queue behind callers' statements. Runs commands one at a time in order and
+// connects on demand.
 class ControlConnection : public std::enable_shared_from_this<ControlConnection>
 {
 public:
     ControlConnection(TimerService &timers, std::shared_ptr<backend::BackendServer> server);
     ~ControlConnection();
 
-    // Each callback is called exactly once, also when the connection is closed.
+    // Queues a statement. The callback is called exactly once, also if the connection is closed.
     void run(backend::Statement statement, CommandCallback callback);
-    // Ends what runs and waits; a later run() opens it again.
+    // Closes the connection and fails all commands. A later run() reconnects.
     void close();
 
     bool idle() const { return waiting_.empty() && !runningCallback_; }
@@ -71,7 +71,7 @@
     CommandCallback runningCallback_;
     Instant sentAt_;
     bool connecting_ = false;
-    // Tells the answers of earlier connections and commands apart.
+    // Identifies the current connection attempt or command; answers to earlier ones are ignored.
     std::uint64_t attempt_ = 0;
     TimerId timeout_ = 0;
 };
--- a/src/owner/failoverdriver.cpp
+++ b/src/owner/failoverdriver.cpp
@@ -12,14 +12,13 @@
 
 namespace {
 
-// Writes that wait for confirmation share the samples of this long; a fraction of the sites' round
-// trips of 1 and 3 ms.
+// Minimum interval between samples of the replicas, so that concurrent writes share them.
 constexpr Duration minSampleInterval = std::chrono::microseconds(500);
 
 decision::CommandFailure toCommandFailure(CommandState state)
 {
     switch (state) {
-    // An answer, though one that could not be understood.
+    // The server answered, but the answer could not be parsed.
     case CommandState::Done:
     case CommandState::Refused:
         return decision::CommandFailure::Refused;
@@ -299,7 +298,7 @@
                 handler(result);
                 return;
             }
-            // A server that is known to be gone is tried again and again.
+            // Commands to a stopped server are repeated; logging each failure would flood the log.
             if (!result.connectionRefused)
                 LOG(WARNING) << "event=server_command_failed group=" << group_.name
                              << " server=" << server << " cause=" << logValue(result.message);
--- a/src/owner/failoverdriver.h
+++ b/src/owner/failoverdriver.h
@@ -10,7 +10,7 @@
 
 namespace kelptally::owner {
 
-// Told what the group's servers say and who is primary.
+// Receives the events of a FailoverDriver: the servers' reports and changes of the primary.
 class FailoverListener
 {
 public:
@@ -23,9 +23,10 @@
     virtual void onPrimaryReady(const decision::PrimaryReady &ready) = 0;
 };
 
-// Carries out the failover decision of one group over a control connection to each server: probes,
-// prepare, promote, follow, the fence and the term history. It also samples the servers' positions
-// for confirmation and freshness; while this process does not serve the group it does nothing.
+// Executes the actions of one group's failover decision over a control connection to each server:
+// probe, prepare, promote, follow, raise the fence and read the term history. Also samples the
+// servers' positions for confirmation and freshness. Active only while this process serves the
+// group.
 class FailoverDriver
 {
 public:
@@ -36,16 +37,16 @@
     bool running() const { return failover_.has_value(); }
     void tick();
 
-    // Servers as a new configuration has them.
+    // Applies the servers of a new configuration.
     void setServers(const settings::Group &group);
 
     // Opens the control connections ahead of need.
     void warm();
     void closeConnections();
 
-    // Asks all servers for their state.
+    // Queries the status of all servers.
     void sampleAll();
-    // Asks the replicas for their state soon: at once, unless that was done a moment ago.
+    // Queries the status of all replicas, at most once per minSampleInterval.
     void requestReplicaSamples();
 
     void onTraffic(const ServerName &server);
@@ -72,7 +73,7 @@
     void sample(const ServerName &server);
     void sampleReplicas();
     void queryStatus(const ServerName &server, StatusHandler handler);
-    // Runs one command; a failure is told to the decision, success to the handler.
+    // Runs one command. Calls the handler on success and reports a failure to the decision.
     void runCommand(const ServerName &server, backend::Statement statement, CommandHandler handler);
     Instant now() const { return ports_.timers.now(); }
 
@@ -81,16 +82,17 @@
     settings::Group group_;
     std::optional<decision::Failover> failover_;
     std::map<ServerName, std::shared_ptr<ControlConnection>> connections_;
-    // Samples under way; one that is asked for meanwhile follows.
+    // A status query of a server.
     struct Sampling
     {
         bool running = false;
+        // Another sample was requested while this one runs; it follows.
         bool repeat = false;
     };
     std::map<ServerName, Sampling> samplings_;
     Instant nextSample_;
     bool sampleTimerActive_ = false;
-    // Answers of an earlier time as owner are dropped.
+    // Replaced on each stop, so that callbacks of earlier runs are dropped.
     std::shared_ptr<int> generation_ = std::make_shared<int>(0);
 };
 
--- a/src/owner/groupcontext.h
+++ b/src/owner/groupcontext.h
@@ -8,10 +8,10 @@
 
 namespace kelptally::owner {
 
-// The place that a request takes in a server's queue.
+// Returns the entry of a request for a server's queue.
 decision::Work workOf(const Request &request);
 
-// What the runners of one group's requests work with. All of it belongs to the group's runtime.
+// State shared by the request runners of one group. Owned by the group's GroupRuntime.
 struct GroupContext
 {
     OwnerPorts &ports;
@@ -19,16 +19,17 @@
     OwnershipDriver &ownership;
     FailoverDriver &failover;
     GroupServers &servers;
-    // The configuration in force; replaced at run time.
+    // The active configuration; replaced at run time.
     settings::ConfigurationPtr configuration;
     GroupName group;
-    // Attempts at writes so far; numbers go up over all owners, as the epoch goes before them.
+    // Number of write attempts. Attempt numbers increase across owners, as the epoch is their
+    // prefix.
     std::uint64_t attempts = 0;
 
     Instant now() const { return ports.timers.now(); }
     const settings::Limits &limits() const { return configuration->inventory.limits; }
 
-    // The term of the primary that takes writes now; nothing while there is none.
+    // Returns the term of the current primary; no value without a primary.
     std::optional<Term> primaryTerm() const
     {
         const decision::Failover *failoverDecision = failover.decision();
@@ -37,10 +38,11 @@
         return failoverDecision->term();
     }
 
-    // Whether work for this primary of this term may be sent now: the lease and the primary hold.
+    // Whether writes may be sent to this server now: the lease is valid and the server is the
+    // primary of this term.
     bool mayWriteAt(const ServerName &server, Term term) const;
 
-    // A statement at a server has ended; its slot is free.
+    // Releases the slot of a statement that has ended.
     void onStatementEnded(const ServerName &server, const decision::Work &work, Instant sentAt,
                           bool connectionLost);
 
@@ -49,7 +51,7 @@
         return configuration->inventory.findGroup(group)->statements;
     }
 
-    // The write that a request asks for, as a new attempt.
+    // Creates the write of a request with a new attempt number.
     backend::WriteRequest makeWrite(const inner::Execute &execute);
 };
 
--- a/src/owner/groupdirectory.cpp
+++ b/src/owner/groupdirectory.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-// An answer about an owner waits this long for the table service.
+// Maximum time that a Locate waits for the table service.
 constexpr Duration locateTimeout = std::chrono::milliseconds(500);
-// First hosts of a group by its hash, which keep links to each other: owner, two successors, and
-// as many to replace them.
+// Number of hosts per group, chosen by its hash, that keep links to each other: the owner, two
+// successors and the same number of replacements.
 constexpr std::size_t candidateCount = 6;
-// How soon a new role of this process brings the links that it needs.
+// Interval between checks of which links are needed.
 constexpr Duration connectPeriod = std::chrono::seconds(1);
-// Requests in progress over all groups.
+// Limit of requests in progress over all groups.
 constexpr std::size_t maxRequests = 50'000;
 
 settings::RequestClass defaultClass(const inner::Execute &execute)
@@ -39,7 +39,7 @@
 
 GroupDirectory::~GroupDirectory() = default;
 
-// ---- Configuration and members ----
+// ---- Configuration and membership ----
 
 void GroupDirectory::configure(const settings::ConfigurationPtr &configuration)
 {
@@ -76,7 +76,8 @@
     }
 }
 
-// Links are kept to the other candidates of the groups that concern this process.
+// Keeps links to the other candidates of each group that this process is a candidate for or has a
+// role in.
 void GroupDirectory::connectPeers()
 {
     std::set<std::string> wanted;
@@ -107,7 +108,7 @@
         runtime->ownership().onIncarnation(peer.process);
 }
 
-// The callers behind a lost link get no answer from here any more.
+// Cancels the link's requests, as their answers can no longer be sent.
 void GroupDirectory::onPeerDown(inner::LinkId link)
 {
     const auto peer = peers_.find(link);
@@ -188,7 +189,7 @@
     return result;
 }
 
-// ---- Time ----
+// ---- Periodic work ----
 
 void GroupDirectory::tick()
 {
@@ -251,7 +252,7 @@
         refuse(*request, configuration_ ? Reason::UnknownGroup : Reason::NoOwner);
         return;
     }
-    // An id that is in progress on this link is not run a second time; its first answer counts.
+    // A repeated id is ignored while its first request is in progress on the same link.
     if (!requests_[link].emplace(request->execute.requestId, request).second)
         return;
     ++requestCount_;
@@ -357,7 +358,7 @@
     }
 }
 
-// ---- Operators ----
+// ---- Operator requests ----
 
 void GroupDirectory::handle(inner::LinkId link, inner::OperatorRequest &&request)
 {
--- a/src/owner/groupdirectory.h
+++ b/src/owner/groupdirectory.h
@@ -10,30 +10,30 @@
 
 namespace kelptally::owner {
 
-// All groups that this process owns, succeeds or is asked about, and the messages of its peers on
-// their way to them. Lives on the groups thread.
+// Holds the runtime of each group that this process owns, is a successor of or was asked about, and
+// dispatches peer messages to them. Used on the groups thread only.
 class GroupDirectory
 {
 public:
     explicit GroupDirectory(OwnerPorts &ports);
     ~GroupDirectory();
 
-    // A version that is in force from now on.
+    // Applies a new version of the configuration.
     void configure(const settings::ConfigurationPtr &configuration);
     const settings::ConfigurationPtr &configuration() const { return configuration_; }
 
     void onPeerUp(inner::LinkId link, const inner::Hello &peer);
     void onPeerDown(inner::LinkId link);
     void onMessage(inner::LinkId link, inner::Message message);
-    // The platform's list of hosts as just fetched.
+    // Handles the list of hosts just fetched from the platform.
     void onHostList(const std::vector<HostName> &live, const std::vector<HostName> &leaving);
 
-    // Called each GroupRuntime::tickPeriod.
+    // Must be called once each GroupRuntime::tickPeriod.
     void tick();
 
-    // Hands over every group. New requests go on being answered, by a hint to the new owner.
+    // Starts to hand over all groups. New requests are refused with a hint to the new owner.
     void drain();
-    // Nothing is served here any more and no request waits.
+    // Whether no group is served any more and no request is in progress.
     bool drained() const;
     bool draining() const { return draining_; }
     bool ready() const { return configuration_ != nullptr; }
@@ -48,12 +48,12 @@
     void handle(inner::LinkId link, inner::Locate &&locate);
     void handle(inner::LinkId link, inner::HandOver &&handOver);
     void handle(inner::LinkId link, inner::OperatorRequest &&request);
-    // What is not for an owner.
+    // Ignores messages that are not addressed to owners.
     template <typename Other>
     void handle(inner::LinkId, Other &&)
     { }
 
-    // The group's runtime, made when the configuration knows the group; else nothing.
+    // Returns the group's runtime and creates it if needed; null if the group is not configured.
     GroupRuntime *runtime(const GroupName &group);
     GroupRuntime *findRuntime(const GroupName &group);
     void classify(Request &request) const;
@@ -76,7 +76,7 @@
     std::size_t requestCount_ = 0;
     std::uint64_t lastRequestNumber_ = 0;
     bool draining_ = false;
-    // Members, leaving hosts or groups have changed since the groups were told.
+    // Processes, leaving hosts or groups have changed since the last updateMembership().
     bool membershipChanged_ = true;
 
     struct WaitingLocate
@@ -87,13 +87,13 @@
         Instant expiresAt;
     };
     std::vector<WaitingLocate> waitingLocates_;
-    // The process at the other end of each link; two processes may share several links.
+    // The process at the other end of each link. A process may have several links.
     std::map<inner::LinkId, ProcessId> peers_;
-    // Groups that this process is a candidate for, with all their candidates. The other groups of a
-    // large installation cost nothing here.
+    // Groups that this process is a candidate for, with the addresses of all candidates. Other
+    // groups use no resources here until a request arrives for them.
     std::map<GroupName, std::vector<std::string>> candidateGroups_;
     Instant nextConnect_;
-    // Addresses that links are kept to.
+    // Addresses that have a permanent link.
     std::set<std::string> connectedAddresses_;
 };
 
--- a/src/owner/groupruntime.cpp
+++ b/src/owner/groupruntime.cpp
@@ -12,23 +12,23 @@
 
 namespace {
 
-// How long requests are held for a group that this process has just begun to serve, or is about to;
-// a start needs a handful of round trips.
+// Maximum time that requests are held while this process starts to serve the group.
 constexpr Duration maxStartHold = std::chrono::milliseconds(1500);
-// Positions are sampled this often while there are requests, and after each commit.
+// Interval between samples of the servers' positions while there are requests.
 constexpr Duration samplePeriod = std::chrono::milliseconds(40);
+// Sampling stops this long after the last request.
 constexpr Duration samplingIdleTimeout = std::chrono::seconds(1);
 constexpr Duration metricsPeriod = std::chrono::milliseconds(500);
 constexpr Duration retryAfterRefusal = std::chrono::milliseconds(200);
-// A successor that has heard no heartbeat for this long closes its reserve; longer than a promise.
+// A successor closes its reserve after this time without a heartbeat; longer than a promise.
 constexpr Duration heartbeatTimeout = std::chrono::milliseconds(1700);
-// A new successor opens its reserve this long after its first promise, when the one that it
-// replaces has closed its own.
+// Delay from a new successor's first promise to the opening of its reserve. By then the replaced
+// successor has closed its own, so that both together stay within the server's limit.
 constexpr Duration reserveDelay = std::chrono::milliseconds(2500);
-// A process that is asked for a group it does not serve reads the row at most this often.
+// Minimum interval between reads of the row.
 constexpr Duration refreshPeriod = std::chrono::milliseconds(300);
 
-// Why a statement must not run on a connection that others use too; empty when it may.
+// Returns why a statement must not run on a pooled connection; empty if it may.
 std::string findProblem(const inner::Execute &execute)
 {
     const bool hasSql = execute.step == inner::StatementStep::Single
@@ -59,7 +59,7 @@
 
 GroupRuntime::~GroupRuntime() = default;
 
-// ---- Time ----
+// ---- Periodic work ----
 
 void GroupRuntime::tick()
 {
@@ -67,15 +67,15 @@
     ownership_.tick();
     acceptRequestsWhenReady();
     checkLease();
-    // 2. The primary.
+    // 2. Failover.
     failover_.tick();
-    // 3. Requests whose time is up.
+    // 3. Requests past their deadline.
     reads_.expire();
     writes_.expire();
     transactions_.expire();
     servers_.forEachLane([](ServerLane &lane) { lane.expire(); });
     updateHeldRequests();
-    // 4. What goes on by itself.
+    // 4. Hand-over and background work.
     updateReserve();
     logSilentServers();
     checkCutOff();
@@ -87,7 +87,7 @@
     updateMetrics();
 }
 
-// The lease of a new owner may begin with the first answered heartbeat.
+// A new owner may get its lease only with the first answered heartbeat, after the primary is found.
 void GroupRuntime::acceptRequestsWhenReady()
 {
     if (acceptingRequests_ || !primaryFound_ || !ownership_.holdsLease())
@@ -108,8 +108,8 @@
     return answer;
 }
 
-// A successor that has been replaced closes its reserve once it hears no more heartbeats; the next
-// one opens its own only after that.
+// Opens the reserve of connections while this process is a listed successor that receives
+// heartbeats, and closes it when they stop.
 void GroupRuntime::updateReserve()
 {
     if (serving_)
@@ -141,7 +141,8 @@
     acceptRequestsWhenReady();
 }
 
-// Once the lease has lapsed a successor may own the group, so nothing waits for it to come back.
+// After the lease has lapsed a successor may own the group, so requests in progress are refused and
+// connections closed.
 void GroupRuntime::checkLease()
 {
     const bool lapsed = acceptingRequests_ && !ownership_.holdsLease();
@@ -363,8 +364,7 @@
         dispatch(request);
 }
 
-// Held are requests for a group that is about to start here, and those that come while it is
-// handed over.
+// Requests are held while the group starts here and while it is handed over.
 bool GroupRuntime::mustHold(const RequestPtr &request) const
 {
     if (!serving_)
@@ -422,8 +422,7 @@
     ownership_.refresh();
 }
 
-// Without it a log can't tell an owner that hears a majority from one that can't give the group
-// away.
+// Lets the log show whether an owner has a majority or merely cannot hand the group over.
 void GroupRuntime::logSilentServers()
 {
     const decision::Failover *failover = failover_.decision();
@@ -467,7 +466,7 @@
     }
 }
 
-// Requests are held meanwhile, so a log has to tell what for.
+// Requests are held during the wait, so its reason is logged.
 void GroupRuntime::logHandOverWait()
 {
     const decision::HandOverWait wait =
@@ -478,7 +477,8 @@
     handOverWait_ = wait;
 }
 
-// Nothing is held before the store has just answered and there is somebody to take the group.
+// Starts the requested hand-over. Requests are held only if the table service has just answered and
+// a successor is listed.
 void GroupRuntime::startHandOver()
 {
     const bool requested = now() - handOverRequestedAt_ < refreshPeriod;
@@ -497,7 +497,8 @@
     return reads_.waiting() + writes_.waiting() + transactions_.waiting();
 }
 
-// The next owner opens its whole share at once, so that of this process goes first.
+// The new owner opens its full share of connections at once, so this process reduces its own before
+// the row is written.
 void GroupRuntime::transferOwnership()
 {
     stopRunners({Reason::Draining, "", Executed::No, retryAfterRefusal, ""});
--- a/src/owner/groupruntime.h
+++ b/src/owner/groupruntime.h
@@ -12,8 +12,8 @@
 
 namespace kelptally::owner {
 
-// One database group at this process, as its owner, successor, or on the way there. Joins the
-// decisions on ownership and failover to the runners of requests.
+// Runs one database group in this process, as owner, as successor or while it is unlisted. Connects
+// the ownership and failover decisions to the request runners.
 class GroupRuntime : private OwnershipListener, private FailoverListener, private HandOverGroup
 {
 public:
@@ -21,7 +21,7 @@
                  OwnerPorts &ports, HeartbeatBatch &heartbeats, Responder &responder);
     ~GroupRuntime() override;
 
-    // Called each tickPeriod.
+    // Must be called once each tickPeriod.
     void tick();
     static constexpr Duration tickPeriod = std::chrono::milliseconds(20);
 
@@ -32,23 +32,23 @@
     std::optional<inner::GroupHeartbeatAnswer> onHeartbeat(const ProcessId &from,
                                                            const inner::GroupHeartbeat &heartbeat);
     void onHeartbeatAnswer(const ProcessId &from, const inner::GroupHeartbeatAnswer &answer);
-    // One of the group's requests was answered.
+    // Must be called after one of the group's requests was answered.
     void onAnswered();
-    // The old owner has named this process in the row.
+    // The previous owner has written this process to the row as the new owner.
     void onHandOver(OwnerEpoch newEpoch);
-    // Hands the group to a successor once what is in progress has ended. Asked again until the
-    // group is not served any more: without a store or a successor nothing happens.
+    // Requests a hand-over to a successor. It starts only if the table service answers and a
+    // successor is listed, so the caller repeats the call until the group is no longer served.
     void beginHandOver();
     void promote(const ServerName &server, bool acceptLoss);
 
     OwnershipDriver &ownership() { return ownership_; }
     const GroupName &name() const { return context_.group; }
     bool serving() const { return serving_; }
-    // Address of the owner as far as known; empty when not.
+    // Returns the address of the last known owner; empty if there is none.
     std::string ownerAddress() const;
-    // Looks at the row again when what is known of it may be out of date.
+    // Reads the row again unless this process serves the group or has just read it.
     void refreshOwner();
-    // The group has left the configuration.
+    // Stops everything, as the group was removed from the configuration.
     void end();
     inner::GroupStatus status() const;
 
@@ -74,9 +74,9 @@
     void stopRunners(const Refusal &refusal);
     void startHandOver();
     void logHandOverWait();
-    // A line when other servers are heard than before.
+    // Logs the silent servers when they change.
     void logSilentServers();
-    // Gives the group to a successor when this process hears too few of the servers.
+    // Starts a hand-over when too few servers respond to this process.
     void checkCutOff();
     void updateConnectionShare();
     void updateReserve();
@@ -94,14 +94,14 @@
     TransactionRunner transactions_;
 
     bool serving_ = false;
-    // A primary was found since this process began to serve.
+    // A primary was found since this process started to serve.
     bool primaryFound_ = false;
-    // Since then the lease was held and requests were let through.
+    // The lease was held after the primary was found; requests are no longer held for the start.
     bool acceptingRequests_ = false;
-    // The lease had lapsed at the last look.
+    // As of the last checkLease().
     bool leaseLapsed_ = false;
     Instant servingSince_;
-    // This process was told that it becomes owner.
+    // Time of the last notification of a hand-over to this process.
     std::optional<Instant> handOverNotifiedAt_;
     HandOver handOver_ {*this};
     HeldRequests held_;
@@ -112,20 +112,20 @@
     Instant lastRefresh_;
     Instant handOverRequestedAt_;
     decision::CutOffPolicy cutOff_;
-    // As of the last line that told it.
+    // Last logged values.
     decision::CutOffStep cutOffStep_ = decision::CutOffStep::Serve;
     decision::HandOverWait handOverWait_ = decision::HandOverWait::None;
     Instant rowRequestedAt_;
-    // The table service answered with the row, or with the outcome of a write of it.
+    // Last answer of the table service to a read or write of the row.
     Instant rowConfirmedAt_;
-    // As of the last line that told them.
+    // Last logged value.
     std::vector<ServerName> silentServers_;
-    // As successor: when the owner was heard last, and since when without a break.
+    // As successor: the last promise to the owner, and the first one of the current series.
     Instant lastPromise_;
     Instant promisingSince_;
-    // As successor: connections are kept open ahead of need.
+    // As successor: a reserve of connections is kept open for a takeover.
     bool reserveOpen_ = false;
-    // Notices that arrive after this object is gone are dropped.
+    // Guards callbacks that may run after this object was destroyed.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/owner/groupservers.cpp
+++ b/src/owner/groupservers.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Successors keep this many connections of each server ready beside the slots: one for control.
+// Connections to each server beside the slots: the control connection.
 constexpr int controlConnections = 1;
 constexpr int successorCount = 2;
-// A successor's reserve is at most this part of a server's connections.
+// A successor's reserve is at most 1 / reserveDivisor of a server's connections.
 constexpr int reserveDivisor = 5;
 
 int successorReserve(const settings::Server &server)
@@ -43,7 +43,7 @@
     LaneRefusal leaving;
     leaving.reason = Reason::Draining;
     leaving.unreachable = true;
-    leaving.detail = "the server is leaving";
+    leaving.detail = "server is being removed";
     for (auto &[name, server] : servers_)
         if (isLeaving(name) && primary_ != name)
             server.lane->refuseAll(leaving);
@@ -61,7 +61,8 @@
         if (primary_ == it->first)
             primary_.reset();
         it = servers_.erase(it);
-        lane->refuseAll({Reason::Draining, Duration(0), "the server has left", true});
+        lane->refuseAll({Reason::Draining, Duration(0),
+                         "server was removed or its address or credentials changed", true});
         lane->closeConnections(false);
     }
 }
@@ -105,7 +106,7 @@
     }
 }
 
-// A server that does not answer may come back with less than it had.
+// The replica's last position is dropped, as the server may come back with less data.
 void GroupServers::onUnreachable(const ServerName &name)
 {
     const auto found = servers_.find(name);
@@ -127,7 +128,8 @@
     primarySince_ = now;
     acknowledged_.reset();
     freshness_.onNewTerm(term, history);
-    // One slot of the primary stays free for what must go there.
+    // Browse reads may use all slots of the primary but one, which is kept for requests that need
+    // the primary.
     for (auto &[name, server] : servers_) {
         const int slots = server.lane->server().slots;
         server.lane->setBrowseSlots(name == primary ? std::max(1, slots - 1) : 0);
@@ -214,8 +216,8 @@
     return status;
 }
 
-// The counts of owner and successors together stay within the server's connections at every
-// moment: the old owner closes down to its reserve before it gives the group away.
+// The shares of the owner and its successors never exceed the server's connections in total: the
+// old owner reduces its connections to the reserve before it hands the group over.
 int GroupServers::connectionLimit(const settings::Server &server, ConnectionShare share)
 {
     const int reserve = successorReserve(server);
--- a/src/owner/groupservers.h
+++ b/src/owner/groupservers.h
@@ -12,37 +12,37 @@
 
 namespace kelptally::owner {
 
-// The servers of one group as its owner knows them: the lane to each, whether it answers, and how
-// fresh its data is.
+// The servers of one group: the lane to each server, whether it is reachable and how fresh its data
+// is.
 class GroupServers
 {
 public:
     GroupServers(const settings::Group &group, const settings::Inventory &inventory,
                  OwnerPorts &ports);
 
-    // Servers, slots and limits as a new configuration has them. Work that waits for a server that
-    // is gone or leaving is refused so that its runner chooses another.
+    // Applies the servers, slots and limits of a new configuration. Work that is queued for a
+    // removed or leaving server is refused, so that its runner chooses another server.
     void configure(const settings::Group &group, const settings::Inventory &inventory);
 
     ServerLane *lane(const ServerName &name);
     bool isLeaving(const ServerName &name) const;
-    // Gives a connection back to the server's pool, or closes it when the server has left.
+    // Returns a connection to the server's pool, or closes it if the server was removed.
     void release(const ServerName &name, const ConnectionPtr &connection, bool reusable);
 
     void onReport(const ServerName &name, Instant sentAt, const decision::ServerReport &report);
     void onUnreachable(const ServerName &name);
-    // A write committed at the primary at this position; it was sent at that time.
+    // Records that a write sent at this time was committed at the primary at this position.
     void onPrimarySample(Instant sentAt, Position position);
     void onNewTerm(Instant now, const ServerName &primary, Term term,
                    const std::vector<decision::TermStart> &history);
     void onPrimaryGone();
 
-    // Newest position whose write has been acknowledged.
+    // Records the position of an acknowledged write.
     void onAcknowledged(Position position);
 
     decision::ServerView view(const ServerName &name, Instant now) const;
     const std::vector<decision::ServerView> &views(Instant now);
-    // The same with the waits that a request of this class and team meets.
+    // Returns the views with the expected queue delay of a request of this class and team.
     const std::vector<decision::ServerView> &
     viewsFor(Instant now, settings::RequestClass requestClass, const TeamName &team);
     inner::ServerStatus status(const ServerName &name, Instant now) const;
@@ -56,18 +56,19 @@
             function(*server.lane);
     }
 
-    // Connections of each server that this process may have open.
+    // Connections to each server that this process may have open.
     enum class ConnectionShare {
         None,
-        // A successor's reserve.
+        // The reserve of one successor.
         Reserve,
-        // What is left after the reserve of two successors.
+        // All connections but the reserves of two successors.
         Owner,
     };
-    // The notice comes once the connections of all servers are within the share.
+    // Calls onWithinShare once the open connections to all servers are within the share.
     void setConnectionShare(ConnectionShare share, std::function<void()> onWithinShare = {});
-    // Transactions that may be open at one time: the slots' own connections are left free.
+    // Returns the limit of open transactions, which leaves one connection free for each slot.
     std::size_t transactionLimit() const;
+    // Opens pooled connections ahead of need.
     void warm();
 
 private:
@@ -87,8 +88,8 @@
     std::map<ServerName, Server> servers_;
     decision::Freshness freshness_;
     std::optional<ServerName> primary_;
-    // Every acknowledged write lies at or before this position; nothing until the first report of
-    // the primary after its start or ours, since an earlier owner may have acknowledged writes.
+    // Upper bound of the positions of acknowledged writes. Unset until the primary's first report
+    // in this term, as a previous owner may have acknowledged writes.
     std::optional<Position> acknowledged_;
     Instant primarySince_;
     ConnectionShare connectionShare_ = ConnectionShare::None;
--- a/src/owner/handover.cpp
+++ b/src/owner/handover.cpp
@@ -4,8 +4,7 @@
 
 namespace {
 
-// Limits of the steps; chosen: transactions idle for longer are ended by their own limit anyway,
-// and a statement takes milliseconds.
+// Maximum duration of the phases; what is still in progress then is aborted.
 constexpr Duration maxTransactionWait = std::chrono::seconds(3);
 constexpr Duration maxStatementWait = std::chrono::seconds(1);
 
--- a/src/owner/handover.h
+++ b/src/owner/handover.h
@@ -7,39 +7,39 @@
 
 namespace kelptally::owner {
 
-// What a hand-over needs to know of its group, and does to it.
+// Interface to the group that is handed over.
 class HandOverGroup
 {
 public:
     virtual ~HandOverGroup() = default;
 
     virtual std::size_t openTransactions() const = 0;
-    // Requests in progress.
     virtual std::size_t requestsInProgress() const = 0;
-    // Ends what is still in progress, closes the connections that the next owner will open, and
-    // writes the row.
+    // Aborts requests still in progress, reduces the connections to a successor's share and writes
+    // the row.
     virtual void transferOwnership() = 0;
 };
 
-// The steps of a planned hand-over of one group. 1. Open transactions end and no new ones begin;
-// single statements go on. 2. Requests in progress end; new ones are held. 3. The row is written,
-// and those held are sent on to the new owner.
+// State machine of a planned hand-over of one group:
+// 1. New transactions are held until the open ones have ended; single statements are still run.
+// 2. All new requests are held until those in progress have ended.
+// 3. The row is written, and the held requests are referred to the new owner.
 class HandOver
 {
 public:
     explicit HandOver(HandOverGroup &group) : group_(group) { }
 
     void begin(Instant now);
-    // Goes on when it can; called on each tick and after each answer.
+    // Advances the phase if possible. Called on each tick and after each answer.
     void step(Instant now);
-    // The group is not served any more.
+    // Must be called when the group is no longer served.
     void end() { phase_ = Phase::None; }
 
     bool running() const { return phase_ != Phase::None; }
-    // The row is being written: nothing of the group is in progress here.
+    // Whether no request is in progress any more and the row is being written.
     bool isTransferring() const { return phase_ == Phase::Transfer; }
     bool mustHold(inner::StatementStep step) const;
-    // When the first request was held.
+    // Start of the current wait; in phase Transfer, the time from which all requests are held.
     Instant phaseStartedAt() const { return phaseStartedAt_; }
 
 private:
--- a/src/owner/heartbeatbatch.cpp
+++ b/src/owner/heartbeatbatch.cpp
@@ -9,7 +9,7 @@
     byAddress_[to.address].groups.push_back(std::move(heartbeat));
 }
 
-// A message that cannot be sent is simply not answered.
+// Send errors are ignored: the request remains unanswered and is repeated with the next heartbeat.
 void HeartbeatBatch::flush()
 {
     for (auto &[address, heartbeat] : byAddress_) {
--- a/src/owner/heartbeatbatch.h
+++ b/src/owner/heartbeatbatch.h
@@ -7,8 +7,8 @@
 
 namespace kelptally::owner {
 
-// Collects the lease requests that the groups of this process have for the same successor and sends
-// them as one message. Lives as long as the timers fire.
+// Collects the lease requests of all groups of this process to the same successor and sends them as
+// one message. Must live until the timers stop.
 class HeartbeatBatch
 {
 public:
@@ -16,7 +16,7 @@
 
     void setConfigVersion(ConfigVersion version) { configVersion_ = version; }
 
-    // Goes out, with what else is added meanwhile, once the caller's work is done.
+    // Adds a request to the batch, which is sent from the event loop after the caller returns.
     void add(const ProcessId &to, inner::GroupHeartbeat heartbeat);
 
 private:
--- a/src/owner/main.cpp
+++ b/src/owner/main.cpp
@@ -5,7 +5,7 @@
 
 #include <glog/logging.h>
 
-// kelptally-owner: owns some of the database groups.
+// kelptally-owner: serves the database groups that it owns.
 
 int main(int argc, char **argv)
 {
--- a/src/owner/ownermetrics.cpp
+++ b/src/owner/ownermetrics.cpp
@@ -27,25 +27,31 @@
 OwnerMetrics::OwnerMetrics(Metrics &metrics)
     : metrics_(metrics),
       unsent_(metrics.counter("kelptally_owner_answers_unsent_total",
-                              "Answers whose link to the entry was gone or full")),
+                              "Answers dropped because the link to the entry was closed or full")),
       readsRepeated_(metrics.counter("kelptally_owner_reads_repeated_total",
-                                     "Reads run again because the data had become too old")),
+                                     "Reads repeated because the data was too old")),
       writes_(metrics.counter("kelptally_owner_writes_total", "Writes acknowledged")),
       replays_(metrics.counter("kelptally_owner_replays_total",
-                               "Answers taken from the record of an idempotency key")),
-      claims_(metrics.counter("kelptally_owner_claims_total", "Starts of service of a group")),
+                               "Answers replayed from the record of an idempotency key")),
+      claims_(metrics.counter("kelptally_owner_claims_total",
+                              "Groups that this process started to serve")),
       handOvers_(metrics.counter("kelptally_owner_handovers_total", "Groups handed over")),
       promotions_(metrics.counter("kelptally_owner_promotions_total", "Primaries replaced")),
       failoverGap_(metrics.histogram(
           "kelptally_owner_failover_gap_seconds",
-          "From the first sign of trouble to a primary that takes writes", gapBounds)),
+          "Time from the first sign of a failed primary to a primary that accepts writes",
+          gapBounds)),
       queueWait_(metrics.histogram("kelptally_owner_queue_wait_seconds",
-                                   "From arrival to a slot of a server", waitBounds)),
+                                   "Time from a request's arrival to a slot of a server",
+                                   waitBounds)),
       confirmation_(metrics.histogram("kelptally_owner_confirmation_seconds",
-                                      "From commit to confirmation by a majority", waitBounds)),
-      handOverTime_(metrics.histogram("kelptally_owner_handover_seconds",
-                                      "From the last new work to the row's change", waitBounds)),
-      groupsServed_(metrics.gauge("kelptally_owner_groups", "Groups this process serves"))
+                                      "Time from commit to confirmation by a majority",
+                                      waitBounds)),
+      handOverTime_(metrics.histogram(
+          "kelptally_owner_handover_seconds",
+          "Time that requests are held by a hand-over until the ownership row changes",
+          waitBounds)),
+      groupsServed_(metrics.gauge("kelptally_owner_groups", "Groups that this process serves"))
 {
     for (int cause = 0; cause < decision::primaryCauseCount; ++cause) {
         const bool replica = cause == 0;
@@ -53,7 +59,7 @@
             {"server", replica ? "replica" : "primary"},
             {"cause", decision::primaryCauseName(static_cast<decision::PrimaryCause>(cause))}};
         reads_[static_cast<std::size_t>(cause)] = &metrics.counter(
-            "kelptally_owner_reads_total", "Reads served, by where and why", labels);
+            "kelptally_owner_reads_total", "Reads served, by server role and cause", labels);
     }
 }
 
@@ -130,7 +136,8 @@
 void OwnerMetrics::setLeaseLeft(const GroupName &group, Duration left)
 {
     metrics_
-        .gauge("kelptally_owner_lease_left_seconds", "Time left of the lease", {{"group", group}})
+        .gauge("kelptally_owner_lease_left_seconds", "Remaining time of the lease",
+               {{"group", group}})
         .Set(toSeconds(left));
 }
 
@@ -148,7 +155,7 @@
     const MetricLabels labels = serverLabels(group, server);
     metrics_.gauge("kelptally_owner_connections", "Open connections to a server", labels).Set(open);
     metrics_.gauge("kelptally_owner_slots_busy", "Slots of a server in use", labels).Set(busy);
-    metrics_.gauge("kelptally_owner_queue_length", "Requests that wait for a server", labels)
+    metrics_.gauge("kelptally_owner_queue_length", "Requests queued for a server", labels)
         .Set(queued);
 }
 
--- a/src/owner/ownermetrics.h
+++ b/src/owner/ownermetrics.h
@@ -8,7 +8,7 @@
 
 namespace kelptally::owner {
 
-// The metrics of an owner process; docs/METRICS.md lists them. Thread-safe.
+// The metrics of an owner process, as listed in docs/METRICS.md. Thread-safe.
 class OwnerMetrics
 {
 public:
@@ -16,11 +16,11 @@
 
     void countAnswer(Reason reason);
     void countRetry(Reason reason);
-    // An answer whose link was gone or full.
+    // Counts an answer that could not be sent, as its link was closed or full.
     void countUnsent();
     void countRead(decision::PrimaryCause cause);
-    // A read made again because the server's data was too old or of an ended term by the time it
-    // had answered.
+    // Counts a read that was repeated because its data was too old, or its term had ended, by the
+    // time the server answered.
     void countReadRepeated();
     void countWrite();
     void countReplay();
--- a/src/owner/ownerports.h
+++ b/src/owner/ownerports.h
@@ -16,8 +16,7 @@
 using ServerFactory =
     std::function<std::shared_ptr<backend::BackendServer>(const backend::ServerEndpoint &)>;
 
-// What the parts of an owner process reach the world through. Everything but the links is used on
-// the groups thread only.
+// External interfaces of an owner process. All but the links are used on the groups thread only.
 struct OwnerPorts
 {
     TimerService &timers;
@@ -25,9 +24,9 @@
     services::TableService &table;
     ServerFactory makeServer;
     OwnerMetrics &metrics;
-    // This process, its host and its availability zone.
     ProcessId self;
     HostName host;
+    // Availability zone of the host.
     ZoneName zone;
 };
 
--- a/src/owner/ownerprocess.cpp
+++ b/src/owner/ownerprocess.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t inboxCapacity = 1u << 16;
-// The platform's list lags by seconds; asking more often would tell nothing new.
+// The platform updates its list only every few seconds.
 constexpr Duration hostListPeriod = std::chrono::seconds(2);
 
 Incarnation makeIncarnation()
--- a/src/owner/ownerprocess.h
+++ b/src/owner/ownerprocess.h
@@ -16,26 +16,27 @@
 
 namespace kelptally::owner {
 
-// One owner process: the links' thread, and the groups thread with all decisions, the connections
-// to backend servers and the calls to the platform.
+// An owner process. Peer links have a thread of their own; decisions, connections to backend
+// servers and platform calls run on the groups thread.
 class OwnerProcess : public admin::FrameProgram
 {
 public:
-    // The metrics outlive the process.
+    // The metrics must outlive the process.
     OwnerProcess(settings::ProcessSettings settings, Metrics &metrics);
     ~OwnerProcess() override;
     OwnerProcess(const OwnerProcess &) = delete;
     OwnerProcess &operator=(const OwnerProcess &) = delete;
 
-    // The frame's part of the links, if there is a frame, is given the links and their events.
+    // Starts the links and the groups thread. If adminPeers is set, it receives the links and their
+    // events. Returns an error if the links cannot listen.
     absl::Status start(admin::AdminPeers *adminPeers = nullptr);
-    // Cuts everything off at once; a graceful stop drains first.
+    // Stops at once without a hand-over; call drain() first for a graceful stop.
     void stop();
 
     void install(settings::ConfigurationPtr configuration) override;
-    // Has a configuration.
+    // Whether a configuration was installed.
     bool ready() const override { return ready_; }
-    // Begins to hand over all groups; drained() tells when nothing is served any more.
+    // Starts to hand over all groups; drained() returns true once no group is served any more.
     void drain() override;
     bool drained() const override { return drained_; }
     void operate(const inner::OperatorRequest &request, admin::OperatorReply reply) override;
@@ -54,7 +55,7 @@
     DutyThread groupsThread_ {"groups"};
     PeerInbox inbox_;
     std::unique_ptr<inner::PeerLinks> links_;
-    // Used and destroyed on the groups thread, or while it does not run.
+    // Used and destroyed on the groups thread or while it is stopped.
     std::unique_ptr<services::TableService> table_;
     std::unique_ptr<services::HostList> hostList_;
     std::unique_ptr<OwnerPorts> ports_;
--- a/src/owner/ownershipdriver.cpp
+++ b/src/owner/ownershipdriver.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// How sure a failed write is not to have happened.
+// Maps a status of the table service to the outcome of the write.
 WriteOutcome toWriteOutcome(const absl::Status &status)
 {
     if (status.ok())
--- a/src/owner/ownershipdriver.h
+++ b/src/owner/ownershipdriver.h
@@ -8,27 +8,28 @@
 
 namespace kelptally::owner {
 
-// Told when this process may serve the group and when it must stop.
+// Receives the events of an OwnershipDriver.
 class OwnershipListener
 {
 public:
     virtual ~OwnershipListener() = default;
 
+    // This process is the owner and may serve the group.
     virtual void onStartServing(const decision::StartServing &start) = 0;
     virtual void onStopServing(const std::string &reason) = 0;
-    // The row as known has changed: new owner, successors or role.
+    // The row was read, or a write of it has ended: the owner, successors or role may have changed.
     virtual void onRowChanged() = 0;
 };
 
-// Carries out what the ownership decision of one group asks for: rows in the table service, lease
-// requests and hand-overs to other processes.
+// Executes the actions of one group's ownership decision: reads and writes of its row in the table
+// service, lease requests and hand-over notifications to other processes.
 class OwnershipDriver
 {
 public:
     OwnershipDriver(GroupName group, OwnerPorts &ports, HeartbeatBatch &heartbeats,
                     OwnershipListener &listener);
 
-    // Reads the row again unless that is under way.
+    // Reads the row again unless a read is pending.
     void refresh();
     std::optional<inner::GroupHeartbeatAnswer> onHeartbeat(const ProcessId &from,
                                                            const inner::GroupHeartbeat &heartbeat);
@@ -39,7 +40,7 @@
     void setPreferredOwner(bool isPreferred);
     void setPrimary(Term term, const ServerName &primary);
     void beginHandOver();
-    // Why the row of a hand-over that was begun is not written yet.
+    // Returns why the row of a started hand-over is not written yet.
     decision::HandOverWait handOverWait() const { return ownership_.handOverWait(now()); }
     void onHandOver(OwnerEpoch newEpoch);
     void tick();
@@ -70,7 +71,7 @@
     decision::Ownership ownership_;
     Term term_ = 0;
     ServerName primary_;
-    // Answers of the table service that arrive after this object is gone are dropped.
+    // Guards callbacks that may run after this object was destroyed.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/owner/peerinbox.cpp
+++ b/src/owner/peerinbox.cpp
@@ -31,7 +31,7 @@
     if (inbox_.tryPush(std::move(event)))
         return;
     metrics_.countAnswer(Reason::RingFull);
-    // A refused item is left alone. NOLINTNEXTLINE(bugprone-use-after-move)
+    // tryPush() does not move from a refused item. NOLINTNEXTLINE(bugprone-use-after-move)
     const auto &unsent = std::get<inner::Message>(event.payload);
     const auto *execute = std::get_if<inner::Execute>(&unsent);
     inner::PeerLinks *links = links_;
@@ -44,7 +44,7 @@
     links->sendOn(link, std::move(refusal)).IgnoreError();
 }
 
-// Heartbeats tell each other's configuration version.
+// Reports the configuration version of the peer that sent a heartbeat or its answer.
 void PeerInbox::reportVersion(const inner::Message &message)
 {
     if (!adminPeers_)
@@ -55,7 +55,7 @@
         adminPeers_->onVersionHeard(answer->from.address, answer->configVersion);
 }
 
-// Never lost to a full ring: requests behind the link would wait for nothing.
+// Bypasses the bounded queue, as the link's requests must be cancelled even when it is full.
 void PeerInbox::onPeerDown(inner::LinkId link, const std::string &address, const absl::Status &)
 {
     if (adminPeers_)
--- a/src/owner/peerinbox.h
+++ b/src/owner/peerinbox.h
@@ -13,17 +13,18 @@
 
 class GroupDirectory;
 
-// Brings what the links tell from their thread to the groups thread. A request that finds the ring
-// full is refused on the spot.
+// Passes events of the links from their thread to the groups thread. Requests are refused at once
+// if the queue is full.
 class PeerInbox : public inner::PeerEvents
 {
 public:
     PeerInbox(DutyThread &groupsThread, std::size_t capacity, OwnerMetrics &metrics);
 
-    // Where to send refusals and events; set before any link is made.
+    // Sets the receivers of refusals and events. Must be called before the first link is made.
     void connect(inner::PeerLinks *links, GroupDirectory *directory);
 
-    // What concerns configuration and operators goes there; before any link is made.
+    // Sets the receiver of configuration and operator messages. Must be called before the first
+    // link is made.
     void setAdminPeers(admin::AdminPeers *adminPeers) { adminPeers_ = adminPeers; }
 
     void onPeerUp(inner::LinkId link, const inner::Hello &peer) override;
--- a/src/owner/recordpurge.cpp
+++ b/src/owner/recordpurge.cpp
@@ -4,12 +4,11 @@
 
 namespace {
 
-// Chosen: at most 10 records a second, above any rate at which a group of today records keys for a
-// day.
+// Together these allow 10 deletions per second, which must exceed the mean rate of new keys.
 constexpr Duration purgePeriod = std::chrono::seconds(20);
 constexpr int maxRecordsPerPurge = 200;
 constexpr Duration purgeTimeout = std::chrono::seconds(2);
-// Work of no request: numbers of requests begin at 1.
+// Reserved work id; request numbers start at 1.
 constexpr decision::WorkId purgeWorkId = 0;
 
 } // namespace
--- a/src/owner/recordpurge.h
+++ b/src/owner/recordpurge.h
@@ -6,14 +6,14 @@
 
 namespace kelptally::owner {
 
-// Deletes the records of expired idempotency keys at the primary, a few at a time and only on idle
-// slots.
+// Deletes the records of expired idempotency keys at the primary in small batches while all its
+// slots are idle.
 class RecordPurge
 {
 public:
     explicit RecordPurge(GroupContext &context) : context_(context) { }
 
-    // Called on each tick while the group is served.
+    // Must be called on each tick while the group is served.
     void tick();
 
 private:
--- a/src/owner/serverendpoint.h
+++ b/src/owner/serverendpoint.h
@@ -5,13 +5,14 @@
 
 namespace kelptally::owner {
 
-// Where a server of a group listens and how to log in there.
+// Returns the address and credentials of a server of the group.
 backend::ServerEndpoint endpointOf(const settings::Group &group, const settings::Server &server);
 
-// The server of this name, or nothing.
+// Returns the server of this name; null if the group has none.
 const settings::Server *findServer(const settings::Group &group, const ServerName &name);
 
-// Whether connections to a server as the group had it are of no use for the group as it is now.
+// Whether the server was removed or added, or its address or credentials changed, so that existing
+// connections to it must be closed.
 bool isRemovedOrChanged(const settings::Group &before, const settings::Group &now,
                         const ServerName &name);
 
--- a/src/owner/serverreport.h
+++ b/src/owner/serverreport.h
@@ -8,10 +8,10 @@
 
 namespace kelptally::owner {
 
-// The answer to a group's status statement; nothing when it has not the agreed columns.
+// Parses the answer to a group's status statement; no value if its columns are not as expected.
 std::optional<decision::ServerReport> parseServerReport(const Rows &rows);
 
-// The answer to a group's history statement; nothing when it has not the agreed columns.
+// Parses the answer to a group's history statement; no value if its columns are not as expected.
 std::optional<std::vector<decision::TermStart>> parseHistory(const Rows &rows);
 
 } // namespace kelptally::owner
--- a/tests/owner/connections_test.cpp
+++ b/tests/owner/connections_test.cpp
@@ -29,7 +29,7 @@
     return begun.transaction;
 }
 
-// The only value that a statement gives in a transaction.
+// Returns the single value of a statement in a transaction.
 std::string valueOf(TestEntry &entry, const std::string &transaction, const std::string &sql)
 {
     const auto result = entry.execute(step(StatementStep::InTransaction, transaction, sql));
@@ -40,9 +40,9 @@
 
 } // namespace
 
-TEST_CASE("Connections to each server stay within the count through hand-overs and crashes")
+TEST_CASE("Connections to each server stay within the limit during hand-overs and crashes")
 {
-    // The servers themselves would allow more, so that a breach is seen.
+    // The servers accept more connections, so that a breach of the limit is detected.
     standin::ServerLimits limits = OwnerCluster::zeroConnectionCost();
     limits.connections = 200;
     OwnerCluster cluster(3, limits);
@@ -52,7 +52,7 @@
     std::atomic<bool> busy {true};
     std::atomic<int> committed {0};
     std::vector<std::thread> threads;
-    // More transactions than there are connections, so that the pools are at their limits.
+    // More transactions than connections, so that the pools reach their limits.
     for (int i = 0; i < allowed + 5; ++i) {
         threads.emplace_back([&] {
             TestEntry entry(cluster.addresses());
@@ -89,7 +89,7 @@
     CHECK(cluster.peakConnections() > allowed / 2);
 }
 
-TEST_CASE("Nothing of one transaction is seen by another or by its connection's next user")
+TEST_CASE("A transaction is isolated from others and from the next user of its connection")
 {
     OwnerCluster cluster(2);
     TestEntry &one = cluster.entry();
@@ -105,17 +105,17 @@
     REQUIRE(
         one.execute(step(StatementStep::InTransaction, first, "SET search_path = 'first'")).reason
         == Reason::None);
-    // Its own work is seen through any entry, by nobody else.
+    // Its changes are visible through any entry, but not in other transactions.
     CHECK(valueOf(two, first, count) == "1");
     CHECK(valueOf(one, second, count) == "0");
     CHECK(valueOf(two, second, "SHOW search_path").empty());
     CHECK(two.execute(OwnerCluster::read(count)).rows.values.at(0).at(0) == Value("0"));
-    // Another team does not reach it.
+    // Another team cannot use the transaction.
     inner::Execute foreign = step(StatementStep::InTransaction, first, count);
     foreign.team = "others";
     CHECK(two.execute(foreign).reason != Reason::None);
 
-    // The next users of all connections see neither its settings nor its work.
+    // Later transactions on the same connections see neither its settings nor its changes.
     REQUIRE(one.execute(step(StatementStep::Rollback, first)).reason == Reason::None);
     REQUIRE(two.execute(step(StatementStep::Commit, second)).reason == Reason::None);
     std::vector<std::string> open;
--- a/tests/owner/failoverdriver_test.cpp
+++ b/tests/owner/failoverdriver_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr OwnerEpoch epoch = 3;
 
-// One server as its control connection sees it.
+// Database server that answers the commands of a control connection.
 struct FakeServer : public backend::BackendServer
 {
     explicit FakeServer(TimerService &timers) : timers(timers) { }
@@ -25,7 +25,7 @@
     TimerService &timers;
     bool isListening = true;
     bool primary = false;
-    // Takes commands and does not change: its log stays one of an older term.
+    // Accepts commands without effect, so that its log stays at an older term.
     bool ignoresCommands = false;
     Term term = 1;
     OwnerEpoch fence = 0;
@@ -99,7 +99,7 @@
     void write(std::vector<services::ConditionalWrite>, services::WriteCallback) override { }
 };
 
-// The driver of one owner before the servers a, b and c, of which a leads term 2.
+// A driver with servers a, b and c; a is primary in term 2.
 struct Fixture : public FailoverListener
 {
     Fixture()
@@ -162,20 +162,9 @@
 
 } // namespace
 
-// Two of three servers were killed within a millisecond of the owner's start, before one of them
-// had shown a record of the present term. A replica in that state is told to follow, again and
-// again. With nothing listening, the command was not sent; that came back as "the server refused
-// it", and a server that refuses was counted as heard. So the owner heard a majority for ever, kept
-// the group, and neither replaced nor gave away anything.
-//
-// From a red run of owner_majority_test, 60 s in which these are the last lines:
-//   server-killed server=b
-//   server-killed server=c
-//   servers_silent silent=b cut_off=0
-// and in a trial with one line a second, for c, killed 9 s before: last heard 39.87 ms ago, last
-// probe sent 39.87 ms ago: heard at the instant of a question, without any round trip. Green runs
-// say silent=b,c cut_off=1 after 2.0 s.
-TEST_CASE("A server that is gone is not heard, though a command for it is repeated")
+// A command that could not be sent must not count as an answer: an owner that repeats a command to
+// stopped servers would assume a majority forever.
+TEST_CASE("Repeated commands to a stopped server do not count as answers")
 {
     Fixture f;
     f.servers["c"]->ignoresCommands = true;
@@ -189,7 +178,7 @@
     CHECK(f.driver->decision()->isCutOff(f.timers.now()));
 }
 
-TEST_CASE("Servers that are gone are not heard while a promotion waits for a majority")
+TEST_CASE("Stopped servers become silent while a promotion waits for a majority")
 {
     Fixture f;
     f.start();
--- a/tests/owner/freeport.h
+++ b/tests/owner/freeport.h
@@ -7,8 +7,8 @@
 
 namespace kelptally::owner {
 
-// A port that nothing listened on a moment ago; another one each time. A port that was drawn is
-// free until its user listens there, so the system may well draw it again.
+// Returns an unused local port, a different one each time: the system may assign a port again until
+// its user listens on it.
 inline int takeFreePort()
 {
     using boost::asio::ip::tcp;
--- a/tests/owner/owner_test.cpp
+++ b/tests/owner/owner_test.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("An owner claims its group, and a session reads what it has written")
+TEST_CASE("An owner claims its group, and a session reads its own writes")
 {
     OwnerCluster cluster(2);
     const auto written = cluster.entry().execute(insertOffer("one"));
@@ -51,7 +51,7 @@
     }
 }
 
-TEST_CASE("Writes go on at a new primary, and none that was acknowledged is lost")
+TEST_CASE("Writes continue at a new primary, and no acknowledged write is lost")
 {
     OwnerCluster cluster(2);
     std::set<std::string> acknowledged;
@@ -64,7 +64,7 @@
             cluster.restartServer("a");
         const auto written = cluster.entry().execute(insertOffer(id));
         INFO(id << ": " << reasonInfo(written.reason).name << ' ' << written.detail);
-        // Without a key an attempt whose answer was lost may have run before.
+        // Without an idempotency key an attempt whose answer was lost may have been executed.
         const bool ranBefore = written.reason == Reason::StatementFailed
             && written.detail.find("UNIQUE") != std::string::npos;
         REQUIRE((written.reason == Reason::None || ranBefore));
@@ -95,7 +95,7 @@
     REQUIRE(readIds(cluster, second.position) == std::set<std::string> {"after", "before"});
 }
 
-TEST_CASE("A primary fails while the store is down, and writes go on")
+TEST_CASE("Writes continue when the primary fails during an outage of the table service")
 {
     OwnerCluster cluster(3);
     REQUIRE(cluster.entry().execute(insertOffer("before")).reason == Reason::None);
@@ -122,13 +122,13 @@
     REQUIRE(read == std::set<std::string> {"after", "before"});
 }
 
-TEST_CASE("A planned hand-over refuses no request but for the hint to the new owner")
+TEST_CASE("A planned hand-over refuses requests only with a hint to the new owner")
 {
     OwnerCluster cluster(3);
     REQUIRE(cluster.entry().execute(insertOffer("before")).reason == Reason::None);
     const std::string owner = cluster.waitForServingOwner();
     cluster.entry().takeRefusals();
-    // Goes on until the hand-over is over: it waits for a successor.
+    // Writes continue until the hand-over has ended, which may have to wait for a successor.
     const Instant end = BootClock::now() + 30s;
     const auto drained = [&] { return cluster.owner(owner).drained(); };
     for (int i = 0; i < 100 || (!drained() && BootClock::now() < end); ++i) {
@@ -143,7 +143,7 @@
         CHECK(reasonInfo(reason).name == reasonInfo(Reason::NotOwner).name);
 }
 
-TEST_CASE("Replica reads go on while the primary is gone and no other may follow it")
+TEST_CASE("Replica reads continue while there is no primary and none can be promoted")
 {
     OwnerCluster cluster(2);
     REQUIRE(cluster.entry().execute(insertOffer("before")).reason == Reason::None);
@@ -161,7 +161,7 @@
     cluster.restartServer("b");
 }
 
-TEST_CASE("A steady state writes nothing to the store")
+TEST_CASE("A steady state writes nothing to the table service")
 {
     OwnerCluster cluster(3);
     REQUIRE(cluster.entry().execute(insertOffer("first")).reason == Reason::None);
@@ -173,7 +173,7 @@
     REQUIRE(cluster.storeWrites() == before);
 }
 
-TEST_CASE("A transaction commits whole, and an unfinished one leaves nothing")
+TEST_CASE("A transaction commits atomically, and a rolled back one leaves no changes")
 {
     OwnerCluster cluster(2);
     inner::Execute begin = OwnerCluster::write("");
@@ -208,7 +208,7 @@
     REQUIRE(readIds(cluster, committed.position) == std::set<std::string> {"one"});
 }
 
-TEST_CASE("A leaving replica gets no new work, and a leaving primary hands over")
+TEST_CASE("A leaving replica gets no reads, and a leaving primary is replaced")
 {
     OwnerCluster cluster(2);
     REQUIRE(cluster.entry().execute(insertOffer("one")).reason == Reason::None);
@@ -223,7 +223,7 @@
     browse.statedAge = 10s;
 
     setLeaving(2, "b");
-    // The answer to an operator's call shows that the version is in force there.
+    // The answer to an operator request shows the active version.
     const std::string owner = cluster.waitForServingOwner();
     const auto status = cluster.entry().operate(owner, {});
     REQUIRE(status.has_value());
@@ -248,7 +248,7 @@
     REQUIRE(cluster.primary() != "a");
 }
 
-TEST_CASE("A request that cannot be served is refused at once, and says that it was not run")
+TEST_CASE("A request that cannot be served is refused at once and reported as not executed")
 {
     OwnerCluster cluster(2);
     REQUIRE(cluster.entry().execute(insertOffer("one")).reason == Reason::None);
@@ -291,7 +291,7 @@
     REQUIRE(readIds(cluster, std::nullopt) == std::set<std::string> {"one"});
 }
 
-TEST_CASE("Without a majority no write is acknowledged, and each is refused at once in the end")
+TEST_CASE("Without a majority no write is acknowledged")
 {
     OwnerCluster cluster(2);
     REQUIRE(cluster.entry().execute(insertOffer("one")).reason == Reason::None);
@@ -309,7 +309,7 @@
     REQUIRE(cluster.entry().execute(insertOffer("three")).reason == Reason::None);
 }
 
-TEST_CASE("An owner that hears no majority gives the group to a successor")
+TEST_CASE("An owner without a majority hands the group over to a successor")
 {
     OwnerCluster cluster(2);
     REQUIRE(cluster.entry().execute(insertOffer("one")).reason == Reason::None);
@@ -326,7 +326,7 @@
     REQUIRE(readIds(cluster, std::nullopt) == std::set<std::string> {"one", "two"});
 }
 
-TEST_CASE("Writes go on at the same owner once its lapsed lease is back")
+TEST_CASE("Writes continue at the same owner once its lapsed lease is renewed")
 {
     OwnerCluster cluster(2);
     REQUIRE(cluster.entry().execute(insertOffer("before")).reason == Reason::None);
@@ -339,7 +339,7 @@
     while (successors().empty() && BootClock::now() < end) { }
     REQUIRE(successors().size() == 1);
 
-    // 1. Without the successor and the store the lease can't be renewed.
+    // 1. Without the successor and the table service the lease cannot be renewed.
     cluster.setStoreOutage(true);
     cluster.crash(successors().front().address);
     Reason reason = Reason::None;
@@ -352,7 +352,7 @@
     }
     REQUIRE(reason == Reason::LeaseLost);
 
-    // 2. The store is back: the successor is dropped from the row.
+    // 2. Once the table service is back, the owner removes the successor from the row.
     cluster.setStoreOutage(false);
     const auto written = cluster.entry().execute(insertOffer("after"));
     INFO(reasonInfo(written.reason).name << ' ' << written.detail);
@@ -360,7 +360,7 @@
     REQUIRE(cluster.waitForServingOwner() == owner);
 }
 
-TEST_CASE("A keyed write runs once however often it is sent")
+TEST_CASE("A write with an idempotency key is executed once even if it is repeated")
 {
     OwnerCluster cluster(2);
     inner::Execute write = insertOffer("one");
--- a/tests/owner/ownercluster.cpp
+++ b/tests/owner/ownercluster.cpp
@@ -246,7 +246,7 @@
     boost::system::error_code error;
     boost::asio::read(socket, boost::asio::dynamic_buffer(answer), error);
     if (answer.find(" 200 ") == std::string::npos)
-        throw std::runtime_error("the platform's stand-in refused " + path + ": " + answer);
+        throw std::runtime_error("platform stand-in refused " + path + ": " + answer);
     return answer;
 }
 
--- a/tests/owner/ownercluster.h
+++ b/tests/owner/ownercluster.h
@@ -10,11 +10,11 @@
 
 namespace kelptally::owner {
 
-constexpr const char *testPeerKey = "a key that only tests have";
+constexpr const char *testPeerKey = "peer key for tests only";
 constexpr const char *testGroup = "offers";
 
-// The database group with its servers a, b and c, the platform's stand-in, and some owner
-// processes, each as a host of its own, all in this process on free ports.
+// A database group with servers a, b and c, a platform stand-in and a number of owner processes,
+// each on a host of its own. All run in this process on free ports.
 class OwnerCluster
 {
 public:
@@ -23,30 +23,31 @@
 
     static standin::ServerLimits zeroConnectionCost();
 
-    // Ends one owner as a crash would; restart() begins a new run at the same address.
+    // Stops an owner without a hand-over. restart() starts a new one at the same address.
     void crash(const std::string &address);
     void restart(const std::string &address);
     OwnerProcess &owner(const std::string &address);
 
-    // Address of the owner that serves the group now; waits until there is one.
+    // Waits until an owner serves the group with a primary and returns its address; empty on
+    // timeout.
     std::string waitForServingOwner();
 
-    // Address of the owner that has the group now, whether it can serve or not; empty when none
-    // has.
+    // Returns the address of the process that owns the group, with or without a primary; empty if
+    // there is none.
     std::string currentOwner();
 
-    // Waits until the owner has listed so many successors; false when it does not.
+    // Waits until the owner has listed this many successors. Returns false on timeout.
     bool waitForSuccessors(std::size_t count);
 
-    // Most connections that any server has had open at one time.
+    // Returns the highest number of connections that any server had open at the same time.
     int peakConnections();
-    // Name of the server that is primary now, as the stand-in says.
+    // Waits for a primary and returns the name of the one with the highest term; empty on timeout.
     std::string primary();
     void kill(const ServerName &server);
     void restartServer(const ServerName &server);
     void pauseServer(const ServerName &server, bool paused);
     void setStoreOutage(bool out);
-    // Writes to the table service so far.
+    // Returns the number of writes to the table service.
     std::uint64_t storeWrites();
 
     void install(ConfigVersion version, const settings::Inventory &inventory);
@@ -55,7 +56,7 @@
     TestEntry &entry() { return *entry_; }
     const std::vector<std::string> &addresses() const { return addresses_; }
 
-    // A single write, read, or step of a transaction for the test's group.
+    // Create a single write or read of the test group.
     static inner::Execute write(const std::string &sql, std::vector<Value> parameters = {});
     static inner::Execute read(const std::string &sql,
                                std::optional<Position> position = std::nullopt);
