--- a/src/owner/ownermetrics.cpp
+++ b/src/owner/ownermetrics.cpp
@@ -128,9 +128,9 @@
     confirmation_.Observe(toSeconds(wait));
 }
 
-void OwnerMetrics::observeHandOver(Duration took)
+void OwnerMetrics::observeHandOver(Duration elapsed)
 {
-    handOverTime_.Observe(toSeconds(took));
+    handOverTime_.Observe(toSeconds(elapsed));
 }
 
 void OwnerMetrics::setLeaseLeft(const GroupName &group, Duration left)
--- a/src/owner/ownermetrics.h
+++ b/src/owner/ownermetrics.h
@@ -31,7 +31,7 @@
     void observeFailoverGap(Duration gap);
     void observeQueueWait(Duration wait);
     void observeConfirmation(Duration wait);
-    void observeHandOver(Duration took);
+    void observeHandOver(Duration elapsed);
 
     void setLeaseLeft(const GroupName &group, Duration left);
     void setLag(const GroupName &group, const ServerName &server, Duration lag);
