--- a/src/owner/groupruntime.h
+++ b/src/owner/groupruntime.h
@@ -12,8 +12,8 @@
 
 namespace kelptally::owner {
 
-// One database group at this process, as its owner, successor, or on the way there. Joins the
-// decisions on ownership and failover to the runners of requests.
+// Runs one database group in this process, as owner, as successor or while it is unlisted. Connects
+// the ownership and failover decisions to the request runners.
 class GroupRuntime : private OwnershipListener, private FailoverListener, private HandOverGroup
 {
 public:
@@ -21,7 +21,7 @@
                  OwnerPorts &ports, HeartbeatBatch &heartbeats, Responder &responder);
     ~GroupRuntime() override;
 
-    // Called each tickPeriod.
+    // Must be called once each tickPeriod.
     void tick();
     static constexpr Duration tickPeriod = std::chrono::milliseconds(20);
 
@@ -32,29 +32,29 @@
     std::optional<inner::GroupHeartbeatAnswer> onHeartbeat(const ProcessId &from,
                                                            const inner::GroupHeartbeat &heartbeat);
     void onHeartbeatAnswer(const ProcessId &from, const inner::GroupHeartbeatAnswer &answer);
-    // One of the group's requests was answered.
+    // Must be called after one of the group's requests was answered.
     void onAnswered();
-    // The old owner has named this process in the row.
+    // The previous owner has written this process to the row as the new owner.
     void onHandOver(OwnerEpoch newEpoch);
-    // Hands the group to a successor once what is in progress has ended. Asked again until the
-    // group is not served any more: without a store or a successor nothing happens.
+    // Requests a hand-over to a successor. It starts only if the table service answers and a
+    // successor is listed, so the caller repeats the call until the group is no longer served.
     void beginHandOver();
     void promote(const ServerName &server, bool acceptLoss);
 
     OwnershipDriver &ownership() { return ownership_; }
     const GroupName &name() const { return context_.group; }
     bool serving() const { return serving_; }
-    // Address of the owner as far as known; empty when not.
+    // Returns the address of the last known owner; empty if there is none.
     std::string ownerAddress() const;
-    // Looks at the row again when what is known of it may be out of date.
+    // Reads the row again unless this process serves the group or has just read it.
     void refreshOwner();
-    // The group has left the configuration.
+    // Stops everything, as the group was removed from the configuration.
     void end();
     inner::GroupStatus status() const;
 
 private:
     void onStartServing(const decision::StartServing &start) override;
-    void onStopServing(const std::string &why) override;
+    void onStopServing(const std::string &stopReason) override;
     void onRowChanged() override;
     void onServerReport(const ServerName &server, Instant sentAt,
                         const decision::ServerReport &report) override;
@@ -62,26 +62,26 @@
     void onPrimaryGone(const decision::PrimaryGone &gone) override;
     void onPrimaryReady(const decision::PrimaryReady &ready) override;
     std::size_t openTransactions() const override { return transactions_.openCount(); }
-    std::size_t inProgress() const override;
-    void giveAway() override;
+    std::size_t requestsInProgress() const override;
+    void transferOwnership() override;
 
     void dispatch(const RequestPtr &request);
     bool mustHold(const RequestPtr &request) const;
-    void updateHeld();
-    void beginWhenReady();
+    void updateHeldRequests();
+    void acceptRequestsWhenReady();
     void checkLease();
     void sampleWhenNeeded();
     void stopRunners(const Refusal &refusal);
     void startHandOver();
-    void noteHandOverWait();
-    // A line when other servers are heard than before.
-    void noteSilentServers();
-    // Gives the group to a successor when this process hears too few of the servers.
-    void considerCutOff();
-    void updateShare();
-    void updateSuccessor();
+    void logHandOverWait();
+    // Logs the silent servers when they change.
+    void logSilentServers();
+    // Starts a hand-over when too few servers respond to this process.
+    void checkCutOff();
+    void updateConnectionShare();
+    void updateReserve();
     void updateMetrics();
-    Refusal notOwner() const;
+    Refusal notOwnerRefusal() const;
     Instant now() const { return context_.ports.timers.now(); }
 
     OwnershipDriver ownership_;
@@ -94,15 +94,15 @@
     TransactionRunner transactions_;
 
     bool serving_ = false;
-    // A primary was found since this process began to serve.
-    bool ready_ = false;
-    // Since then the lease was held and requests were let through.
-    bool begun_ = false;
-    // The lease had lapsed at the last look.
-    bool lapsed_ = false;
+    // A primary was found since this process started to serve.
+    bool primaryFound_ = false;
+    // The lease was held after the primary was found; requests are no longer held for the start.
+    bool acceptingRequests_ = false;
+    // As of the last checkLease().
+    bool leaseLapsed_ = false;
     Instant servingSince_;
-    // This process was told that it becomes owner.
-    std::optional<Instant> arrivingSince_;
+    // Time of the last notification of a hand-over to this process.
+    std::optional<Instant> handOverNotifiedAt_;
     HandOver handOver_ {*this};
     HeldRequests held_;
     RecordPurge purge_;
@@ -110,22 +110,22 @@
     Instant lastSample_;
     Instant lastMetrics_;
     Instant lastRefresh_;
-    Instant handOverAsked_;
+    Instant handOverRequestedAt_;
     decision::CutOffPolicy cutOff_;
-    // As of the last line that told it.
+    // Last logged values.
     decision::CutOffStep cutOffStep_ = decision::CutOffStep::Serve;
     decision::HandOverWait handOverWait_ = decision::HandOverWait::None;
-    Instant rowAskedAt_;
-    // The table service answered with the row, or with the outcome of a write of it.
-    Instant rowToldAt_;
-    // As of the last line that told them.
+    Instant rowRequestedAt_;
+    // Last answer of the table service to a read or write of the row.
+    Instant rowConfirmedAt_;
+    // Last logged value.
     std::vector<ServerName> silentServers_;
-    // As successor: when the owner was heard last, and since when without a break.
+    // As successor: the last promise to the owner, and the first one of the current series.
     Instant lastPromise_;
     Instant promisingSince_;
-    // As successor: connections are kept open ahead of need.
-    bool reserve_ = false;
-    // Notices that arrive after this object is gone are dropped.
+    // As successor: a reserve of connections is kept open for a takeover.
+    bool reserveOpen_ = false;
+    // Guards callbacks that may run after this object was destroyed.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/owner/peerinbox.h
+++ b/src/owner/peerinbox.h
@@ -13,41 +13,42 @@
 
 class GroupDirectory;
 
-// Brings what the links tell from their thread to the groups thread. A request that finds the ring
-// full is refused on the spot.
+// Passes events of the links from their thread to the groups thread. Requests are refused at once
+// if the queue is full.
 class PeerInbox : public inner::PeerEvents
 {
 public:
-    PeerInbox(DutyThread &groups, std::size_t capacity, OwnerMetrics &metrics);
+    PeerInbox(DutyThread &groupsThread, std::size_t capacity, OwnerMetrics &metrics);
 
-    // Where to send refusals and events; set before any link is made.
+    // Sets the receivers of refusals and events. Must be called before the first link is made.
     void connect(inner::PeerLinks *links, GroupDirectory *directory);
 
-    // What concerns configuration and operators goes there; before any link is made.
+    // Sets the receiver of configuration and operator messages. Must be called before the first
+    // link is made.
     void setAdminPeers(admin::AdminPeers *adminPeers) { adminPeers_ = adminPeers; }
 
     void onPeerUp(inner::LinkId link, const inner::Hello &peer) override;
     void onPeerMessage(inner::LinkId link, inner::Message message) override;
     void onPeerDown(inner::LinkId link, const std::string &address,
-                    const absl::Status &why) override;
+                    const absl::Status &status) override;
 
 private:
-    struct Down
+    struct PeerDown
     { };
     struct Event
     {
         inner::LinkId link = 0;
-        std::variant<inner::Hello, inner::Message, Down> what;
+        std::variant<inner::Hello, inner::Message, PeerDown> payload;
     };
 
     void handle(Event &&event);
-    void noteVersion(const inner::Message &message);
+    void reportVersion(const inner::Message &message);
 
     OwnerMetrics &metrics_;
     std::atomic<inner::PeerLinks *> links_ {nullptr};
     std::atomic<GroupDirectory *> directory_ {nullptr};
     admin::AdminPeers *adminPeers_ = nullptr;
-    DutyThread &groups_;
+    DutyThread &groupsThread_;
     Inbox<Event> inbox_;
 };
 
--- a/src/owner/recordpurge.h
+++ b/src/owner/recordpurge.h
@@ -6,21 +6,21 @@
 
 namespace kelptally::owner {
 
-// Deletes the records of expired idempotency keys at the primary, a few at a time and only on idle
-// slots.
+// Deletes the records of expired idempotency keys at the primary in small batches while all its
+// slots are idle.
 class RecordPurge
 {
 public:
     explicit RecordPurge(GroupContext &context) : context_(context) { }
 
-    // Called on each tick while the group is served.
+    // Must be called on each tick while the group is served.
     void tick();
 
 private:
     void run(ServerLane &lane);
 
     GroupContext &context_;
-    Instant next_;
+    Instant nextPurge_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/tests/owner/freeport.h
+++ b/tests/owner/freeport.h
@@ -7,19 +7,19 @@
 
 namespace kelptally::owner {
 
-// A port that nothing listened on a moment ago; another one each time. A port that was drawn is
-// free until its user listens there, so the system may well draw it again.
+// Returns an unused local port, a different one each time: the system may assign a port again until
+// its user listens on it.
 inline int takeFreePort()
 {
     using boost::asio::ip::tcp;
     static boost::asio::io_context context;
-    static std::set<int> drawn;
+    static std::set<int> usedPorts;
     int port = 0;
     do {
         tcp::acceptor acceptor(context,
                                tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
         port = acceptor.local_endpoint().port();
-    } while (!drawn.insert(port).second);
+    } while (!usedPorts.insert(port).second);
     return port;
 }
 
