--- a/src/backend/backendserver.h
+++ b/src/backend/backendserver.h
@@ -65,7 +65,7 @@
 
     // Closes, and calls back once the server has closed its side too, or cannot be waited for any
     // longer: until then the server may still count the connection.
-    virtual void closeThen(std::function<void()> closed)
+    virtual void closeAsync(std::function<void()> closed)
     {
         close();
         closed();
--- a/src/backend/connectionpool.cpp
+++ b/src/backend/connectionpool.cpp
@@ -15,9 +15,9 @@
 constexpr Duration demandWindow = std::chrono::seconds(5);
 // Pauses after failed connects: doubled each time, half of it drawn at random. The shortest is
 // about one connect, the longest bounds how late a server that is back is found.
-constexpr Duration shortestPause = std::chrono::milliseconds(10);
-constexpr Duration longestPause = std::chrono::milliseconds(500);
-constexpr int mostDoublings = 6;
+constexpr Duration minConnectDelay = std::chrono::milliseconds(10);
+constexpr Duration maxConnectDelay = std::chrono::milliseconds(500);
+constexpr int maxBackoffDoublings = 6;
 
 } // namespace
 
@@ -33,7 +33,7 @@
     ~PooledConnection() override
     {
         if (const auto pool = pool_.lock())
-            pool->giveBack(*this, false);
+            pool->returnConnection(*this, false);
         else if (raw_)
             raw_->close();
     }
@@ -88,15 +88,15 @@
 ConnectionPool::ConnectionPool(TimerService &timers, std::shared_ptr<BackendServer> server,
                                PoolOptions options)
     : timers_(timers), server_(std::move(server)), options_(options), random_(options.seed),
-      windowStart_(timers.now()), pauseUntil_(timers.now())
+      windowStart_(timers.now()), nextConnectAt_(timers.now())
 {
-    tick_ = timers_.subscribeEvery(tickPeriod, [this] { onTick(); });
+    tickTimer_ = timers_.subscribeEvery(tickPeriod, [this] { onTick(); });
 }
 
 ConnectionPool::~ConnectionPool()
 {
-    timers_.cancel(tick_);
-    timers_.cancel(retry_);
+    timers_.cancel(tickTimer_);
+    timers_.cancel(retryTimer_);
     for (const Waiter &waiter : waiting_)
         timers_.cancel(waiter.timer);
     for (const IdleConnection &idle : idle_)
@@ -121,8 +121,8 @@
         }
     }
     // 2. A server that is out of reach is said so at once.
-    if (pauseUntil_ > timers_.now() && !absl::IsResourceExhausted(lastFailure_)) {
-        callback(lastFailure_, nullptr);
+    if (nextConnectAt_ > timers_.now() && !absl::IsResourceExhausted(lastConnectError_)) {
+        callback(lastConnectError_, nullptr);
         return id;
     }
     // 3. Wait for the next one that is free.
@@ -134,8 +134,8 @@
         late(absl::DeadlineExceededError("no connection was free in time"), nullptr);
     });
     waiting_.push_back({id, std::move(callback), timer});
-    noteDemand();
-    openWanted();
+    updatePeakDemand();
+    openMissing();
     return id;
 }
 
@@ -155,8 +155,8 @@
 {
     auto lent = std::make_shared<PooledConnection>(weak_from_this(), connection, generation_);
     borrowed_.emplace(lent.get(), std::move(connection));
-    noteDemand();
-    openWanted();
+    updatePeakDemand();
+    openMissing();
     callback(absl::OkStatus(), std::move(lent));
 }
 
@@ -164,15 +164,15 @@
 {
     const auto lent = std::dynamic_pointer_cast<PooledConnection>(connection);
     if (lent)
-        giveBack(*lent, reusable);
+        returnConnection(*lent, reusable);
 }
 
-void ConnectionPool::giveBack(PooledConnection &connection, bool reusable)
+void ConnectionPool::returnConnection(PooledConnection &connection, bool reusable)
 {
     const RawConnection raw = std::exchange(connection.raw_, nullptr);
     if (borrowed_.erase(&connection) == 0 || !raw)
         return;
-    const bool known =
+    const bool clean =
         reusable && raw->open() && !raw->busy() && connection.generation_ == generation_;
     const bool changed = connection.session_->leavesState;
     std::vector<Statement> statements;
@@ -180,18 +180,18 @@
         statements.push_back({options_.resetStatement, {}});
     if (connection.session_->inTransaction)
         statements.push_back({"ROLLBACK", {}});
-    if (!known || (changed && options_.resetStatement.empty()))
+    if (!clean || (changed && options_.resetStatement.empty()))
         close(raw);
     else
         reset(raw, std::move(statements));
-    openWanted();
+    openMissing();
 }
 
 // Runs the statements, last one first, each in a batch of its own.
 void ConnectionPool::reset(const RawConnection &connection, std::vector<Statement> statements)
 {
     if (statements.empty())
-        return takeBack(connection);
+        return addIdle(connection);
     Statement next = std::move(statements.back());
     statements.pop_back();
     ++resetting_;
@@ -206,13 +206,13 @@
             self->reset(connection, std::move(statements));
         else
             self->close(connection);
-        self->openWanted();
+        self->openMissing();
     };
     connection->run({std::move(next)}, std::move(done));
 }
 
 // A clean connection: to the first who waits, else idle.
-void ConnectionPool::takeBack(RawConnection connection)
+void ConnectionPool::addIdle(RawConnection connection)
 {
     if (counted() >= options_.limit)
         return close(connection);
@@ -237,29 +237,29 @@
 void ConnectionPool::close(const RawConnection &connection)
 {
     ++closing_;
-    connection->closeThen([weak = weak_from_this()] {
+    connection->closeAsync([weak = weak_from_this()] {
         const auto self = weak.lock();
         if (!self)
             return;
         --self->closing_;
-        self->noticeIfWithinLimit();
-        self->openWanted();
+        self->notifyIfWithinLimit();
+        self->openMissing();
     });
 }
 
 // The demand seen lately and a spare one, but at least what is in use or waited for now.
-int ConnectionPool::wantedOpen() const
+int ConnectionPool::targetSize() const
 {
-    const int demand = std::max({peak_, lastPeak_, inUse() + waiting()});
+    const int demand = std::max({peakDemand_, previousPeakDemand_, inUse() + waiting()});
     const int forecast = demand == 0 ? 0 : demand + options_.spare;
     return std::min(options_.limit, std::max(forecast, options_.minOpen));
 }
 
-void ConnectionPool::openWanted()
+void ConnectionPool::openMissing()
 {
-    if (timers_.now() < pauseUntil_)
+    if (timers_.now() < nextConnectAt_)
         return;
-    while (counted() < options_.limit && inUse() + idle() + opening_ + resetting_ < wantedOpen())
+    while (counted() < options_.limit && inUse() + idle() + opening_ + resetting_ < targetSize())
         open();
 }
 
@@ -283,34 +283,35 @@
                              self->close(connection);
                          else
                              self->onConnected(status, std::move(connection));
-                         self->noticeIfWithinLimit();
+                         self->notifyIfWithinLimit();
                      });
 }
 
 void ConnectionPool::onConnected(const absl::Status &status, RawConnection connection)
 {
-    failures_ = 0;
-    lastFailure_ = status;
-    pauseUntil_ = timers_.now();
-    takeBack(std::move(connection));
-    openWanted();
+    connectFailures_ = 0;
+    lastConnectError_ = status;
+    nextConnectAt_ = timers_.now();
+    addIdle(std::move(connection));
+    openMissing();
 }
 
 void ConnectionPool::onConnectFailed(const absl::Status &status)
 {
-    lastFailure_ = status;
-    pauseUntil_ = timers_.now() + nextPause();
-    timers_.cancel(retry_);
-    retry_ = timers_.subscribeAt(pauseUntil_, [this] { openWanted(); });
+    lastConnectError_ = status;
+    nextConnectAt_ = timers_.now() + nextConnectDelay();
+    timers_.cancel(retryTimer_);
+    retryTimer_ = timers_.subscribeAt(nextConnectAt_, [this] { openMissing(); });
     // A full server may have room soon; one that is out of reach is no use to wait for.
     if (!absl::IsResourceExhausted(status) && opening_ == 0)
         failWaiting(status);
 }
 
-Duration ConnectionPool::nextPause()
+Duration ConnectionPool::nextConnectDelay()
 {
     const Duration full =
-        std::min(longestPause, shortestPause * (1 << std::min(failures_++, mostDoublings)));
+        std::min(maxConnectDelay,
+                 minConnectDelay * (1 << std::min(connectFailures_++, maxBackoffDoublings)));
     std::uniform_int_distribution<Duration::rep> jitter(0, full.count() / 2);
     return full / 2 + Duration(jitter(random_));
 }
@@ -325,7 +326,7 @@
         waiter.callback(status, nullptr);
 }
 
-void ConnectionPool::setLimit(int limit, Notice withinLimit)
+void ConnectionPool::setLimit(int limit, WithinLimitCallback withinLimit)
 {
     options_.limit = limit;
     while (counted() - closing_ > limit && !idle_.empty()) {
@@ -334,77 +335,77 @@
         close(connection);
     }
     if (withinLimit)
-        withinLimit_.push_back(std::move(withinLimit));
-    noticeIfWithinLimit();
-    openWanted();
+        withinLimitCallbacks_.push_back(std::move(withinLimit));
+    notifyIfWithinLimit();
+    openMissing();
 }
 
 void ConnectionPool::warm(int minOpen)
 {
     options_.minOpen = minOpen;
-    openWanted();
+    openMissing();
 }
 
-void ConnectionPool::closeAll(bool cutRunning)
+void ConnectionPool::closeAll(bool abortRunning)
 {
     ++generation_;
     options_.minOpen = 0;
-    peak_ = 0;
-    lastPeak_ = 0;
+    peakDemand_ = 0;
+    previousPeakDemand_ = 0;
     std::deque<IdleConnection> idle;
     idle.swap(idle_);
     for (const IdleConnection &each : idle)
         close(each.connection);
-    if (cutRunning) {
-        std::unordered_map<PooledConnection *, RawConnection> cut;
-        cut.swap(borrowed_);
-        for (const auto &[lent, raw] : cut)
+    if (abortRunning) {
+        std::unordered_map<PooledConnection *, RawConnection> borrowed;
+        borrowed.swap(borrowed_);
+        for (const auto &[lent, raw] : borrowed)
             close(raw);
     }
     failWaiting(absl::CancelledError("the pool closes its connections"));
 }
 
-void ConnectionPool::noticeIfWithinLimit()
+void ConnectionPool::notifyIfWithinLimit()
 {
-    if (withinLimit_.empty() || counted() > options_.limit)
+    if (withinLimitCallbacks_.empty() || counted() > options_.limit)
         return;
-    std::vector<Notice> notices;
-    notices.swap(withinLimit_);
-    for (const Notice &notice : notices)
-        notice();
+    std::vector<WithinLimitCallback> callbacks;
+    callbacks.swap(withinLimitCallbacks_);
+    for (const WithinLimitCallback &notify : callbacks)
+        notify();
 }
 
-void ConnectionPool::noteDemand()
+void ConnectionPool::updatePeakDemand()
 {
-    peak_ = std::max(peak_, inUse() + waiting());
+    peakDemand_ = std::max(peakDemand_, inUse() + waiting());
 }
 
 // 1. Idle connections that their server closed are no longer counted. 2. The window of demand moves
 // on. 3. Surplus closes, what hangs is cut, what is missing opens.
 void ConnectionPool::onTick()
 {
-    const auto gone = std::remove_if(idle_.begin(), idle_.end(), [](const IdleConnection &idle) {
+    const auto closed = std::remove_if(idle_.begin(), idle_.end(), [](const IdleConnection &idle) {
         return !idle.connection->open();
     });
-    idle_.erase(gone, idle_.end());
+    idle_.erase(closed, idle_.end());
     const Instant now = timers_.now();
     if (now - windowStart_ >= demandWindow) {
         windowStart_ = now;
-        lastPeak_ = std::exchange(peak_, 0);
-        noteDemand();
+        previousPeakDemand_ = std::exchange(peakDemand_, 0);
+        updatePeakDemand();
     }
     closeSurplus();
-    cutLongBatches();
-    openWanted();
-    noticeIfWithinLimit();
+    abortLongBatches();
+    openMissing();
+    notifyIfWithinLimit();
 }
 
-void ConnectionPool::cutLongBatches()
+void ConnectionPool::abortLongBatches()
 {
     const Instant now = timers_.now();
     std::vector<RawConnection> late;
     for (const auto &[lent, raw] : borrowed_)
-        if (raw->busy() && now - lent->session_->batchSince > options_.batchLimit)
+        if (raw->busy() && now - lent->session_->batchSince > options_.maxBatchTime)
             late.push_back(raw);
     for (const RawConnection &raw : late)
         raw->close();
@@ -413,8 +414,8 @@
 void ConnectionPool::closeSurplus()
 {
     const Instant now = timers_.now();
-    while (!idle_.empty() && inUse() + idle() > wantedOpen()
-           && now - idle_.front().since >= options_.idleLimit) {
+    while (!idle_.empty() && inUse() + idle() > targetSize()
+           && now - idle_.front().since >= options_.maxIdleTime) {
         const RawConnection connection = std::move(idle_.front().connection);
         idle_.pop_front();
         close(connection);
--- a/src/backend/connectionpool.h
+++ b/src/backend/connectionpool.h
@@ -27,9 +27,9 @@
     Duration connectTimeout {std::chrono::seconds(1)};
     // A batch that runs for longer is cut with its connection: its server may be gone without a
     // word. Longer than any request's deadline; chosen, not measured.
-    Duration batchLimit {std::chrono::seconds(60)};
+    Duration maxBatchTime {std::chrono::seconds(60)};
     // Idle connections above what the last demand needed close after this time.
-    Duration idleLimit {std::chrono::seconds(30)};
+    Duration maxIdleTime {std::chrono::seconds(30)};
     // Brings a session back to its first state after a user that changed it; when empty, or when it
     // fails, the connection is closed instead.
     std::string resetStatement = "DISCARD ALL";
@@ -47,7 +47,7 @@
 {
 public:
     using RequestId = std::uint64_t;
-    using Notice = std::function<void()>;
+    using WithinLimitCallback = std::function<void()>;
 
     ConnectionPool(TimerService &timers, std::shared_ptr<BackendServer> server,
                    PoolOptions options);
@@ -69,12 +69,12 @@
 
     // A lower limit closes idle connections now and those in use when they are given back. The
     // notice comes once no more are counted than the limit allows.
-    void setLimit(int limit, Notice withinLimit = {});
+    void setLimit(int limit, WithinLimitCallback withinLimit = {});
     // Keeps so many open from now on, within the limit.
     void warm(int minOpen);
     // Closes all: idle ones now, those in use when given back or, when told so, at once (their
     // batches end as Unknown). Requests that wait are cancelled.
-    void closeAll(bool cutRunning);
+    void closeAll(bool abortRunning);
 
     // Counted against the limit: in use, idle, being opened or closed.
     int counted() const;
@@ -104,23 +104,23 @@
     };
 
     void open();
-    void openWanted();
+    void openMissing();
     void onConnected(const absl::Status &status, RawConnection connection);
     void onConnectFailed(const absl::Status &status);
     void lend(RawConnection connection, const ConnectCallback &callback);
-    void giveBack(PooledConnection &connection, bool reusable);
+    void returnConnection(PooledConnection &connection, bool reusable);
     void reset(const RawConnection &connection, std::vector<Statement> statements);
-    void takeBack(RawConnection connection);
+    void addIdle(RawConnection connection);
     void close(const RawConnection &connection);
     void serveWaiting();
     void failWaiting(const absl::Status &status);
     void closeSurplus();
-    void cutLongBatches();
+    void abortLongBatches();
     void onTick();
-    void noteDemand();
-    void noticeIfWithinLimit();
-    int wantedOpen() const;
-    Duration nextPause();
+    void updatePeakDemand();
+    void notifyIfWithinLimit();
+    int targetSize() const;
+    Duration nextConnectDelay();
 
     TimerService &timers_;
     const std::shared_ptr<BackendServer> server_;
@@ -136,21 +136,21 @@
     int closing_ = 0;
     // Goes up with closeAll(): older connections are not reused.
     std::uint64_t generation_ = 0;
-    std::vector<Notice> withinLimit_;
+    std::vector<WithinLimitCallback> withinLimitCallbacks_;
 
     // Most connections asked for at one time in this window and in the one before.
-    int peak_ = 0;
-    int lastPeak_ = 0;
+    int peakDemand_ = 0;
+    int previousPeakDemand_ = 0;
     Instant windowStart_;
 
-    int failures_ = 0;
-    absl::Status lastFailure_;
-    Instant pauseUntil_;
+    int connectFailures_ = 0;
+    absl::Status lastConnectError_;
+    Instant nextConnectAt_;
 
     RequestId lastRequest_ = 0;
     std::uint64_t connects_ = 0;
-    TimerId tick_ = 0;
-    TimerId retry_ = 0;
+    TimerId tickTimer_ = 0;
+    TimerId retryTimer_ = 0;
 };
 
 } // namespace kelptally::backend
--- a/src/backend/postgresserver.cpp
+++ b/src/backend/postgresserver.cpp
@@ -24,12 +24,12 @@
 
 // libpq may write to the socket once it holds 8192 bytes; half of that leaves room for the
 // protocol's own bytes.
-constexpr std::size_t mayBeWrittenBytes = 4096;
+constexpr std::size_t maxBufferedBytes = 4096;
 // The protocol counts parameters in 16 bits.
 constexpr std::size_t maxParameters = 65535;
 // How long a closed connection is taken to be counted by a server that does not close its side;
 // chosen, not measured.
-constexpr Duration lingerLimit = std::chrono::seconds(10);
+constexpr Duration lingerTimeout = std::chrono::seconds(10);
 
 constexpr const char *tooManyArgumentsState = "54023";
 constexpr const char *invalidCharacterState = "22021";
@@ -126,7 +126,7 @@
     return rows;
 }
 
-bool holdsNul(const Statement &statement)
+bool containsNul(const Statement &statement)
 {
     if (statement.sql.find('\0') != std::string::npos)
         return true;
@@ -145,13 +145,13 @@
 }
 
 // What libpq could not send whole: text ends at a NUL there. Nothing when the batch is fine.
-std::optional<BatchResult> unsendable(const std::vector<Statement> &batch)
+std::optional<BatchResult> findUnsendable(const std::vector<Statement> &batch)
 {
     for (std::size_t i = 0; i < batch.size(); ++i) {
         BatchResult result;
         result.state = BatchState::Failed;
         result.failedStatement = i;
-        if (holdsNul(batch[i])) {
+        if (containsNul(batch[i])) {
             result.sqlState = invalidCharacterState;
             result.message = "a statement and its parameters cannot hold a NUL byte";
             return result;
@@ -175,7 +175,7 @@
 
     void start()
     {
-        timer_ = thread_.timers().subscribeAfter(lingerLimit, [self = shared_from_this()] {
+        timer_ = thread_.timers().subscribeAfter(lingerTimeout, [self = shared_from_this()] {
             self->timer_ = 0;
             self->end();
         });
@@ -227,7 +227,7 @@
     bool busy() const override { return callback_ != nullptr; }
     bool open() const override { return open_; }
     void close() override { end("closed by its user"); }
-    void closeThen(std::function<void()> closed) override;
+    void closeAsync(std::function<void()> closed) override;
 
 private:
     using ConnectionSelf = std::shared_ptr<PostgresConnection>;
@@ -241,11 +241,11 @@
     void flush();
     void waitForInput();
     void onInput();
-    void takeResults();
-    void takeResult(const PGresult *result);
+    void processResults();
+    void processResult(const PGresult *result);
     void finishBatch();
     // Drops the connection; the running batch ends with what is known of it.
-    void end(const std::string &why);
+    void end(const std::string &reason);
     // Calls back later, on the thread's own turn.
     void postResult(BatchCallback callback, BatchResult result);
 
@@ -260,7 +260,7 @@
     BatchCallback callback_;
     BatchResult result_;
     // Whether any byte of the batch may have reached the socket.
-    bool written_ = false;
+    bool maybeWritten_ = false;
     bool waitsForOutput_ = false;
 };
 
@@ -338,12 +338,12 @@
         result.message = "another batch runs on this connection";
         return postResult(std::move(callback), std::move(result));
     }
-    if (auto refused = unsendable(batch))
+    if (auto refused = findUnsendable(batch))
         return postResult(std::move(callback), std::move(*refused));
 
     callback_ = std::move(callback);
     result_ = {};
-    written_ = false;
+    maybeWritten_ = false;
     // 1. See whether the server has closed an idle connection: then nothing is sent.
     if (!open_ || PQconsumeInput(connection_.get()) == 0)
         return end(open_ ? trimmedError(connection_.get()) : "the connection is closed");
@@ -359,11 +359,11 @@
     std::size_t length = 0;
     for (const Statement &statement : batch) {
         length += byteLength(statement);
-        written_ = length >= mayBeWrittenBytes;
+        maybeWritten_ = length >= maxBufferedBytes;
         if (!queueStatement(statement))
             return false;
     }
-    written_ = true;
+    maybeWritten_ = true;
     return PQpipelineSync(connection_.get()) == 1;
 }
 
@@ -412,7 +412,7 @@
 void PostgresConnection::onInput()
 {
     const bool consumed = PQconsumeInput(connection_.get()) == 1;
-    takeResults();
+    processResults();
     if (!open_)
         return;
     if (!consumed || PQstatus(connection_.get()) == CONNECTION_BAD)
@@ -421,21 +421,21 @@
 }
 
 // libpq gives the results of one statement, a null, the next statement's, and at last the sync.
-void PostgresConnection::takeResults()
+void PostgresConnection::processResults()
 {
     int nulls = 0;
     while (open_ && busy() && PQisBusy(connection_.get()) == 0) {
         const ResultPtr result(PQgetResult(connection_.get()));
         if (result) {
             nulls = 0;
-            takeResult(result.get());
+            processResult(result.get());
         } else if (++nulls > 1) {
             return end("the server's answers do not match the batch");
         }
     }
 }
 
-void PostgresConnection::takeResult(const PGresult *result)
+void PostgresConnection::processResult(const PGresult *result)
 {
     switch (PQresultStatus(result)) {
     case PGRES_TUPLES_OK:
@@ -470,7 +470,7 @@
     callback(std::exchange(result_, {}));
 }
 
-void PostgresConnection::end(const std::string &why)
+void PostgresConnection::end(const std::string &reason)
 {
     open_ = false;
     if (descriptor_.is_open())
@@ -478,15 +478,15 @@
     connection_.reset();
     if (!callback_)
         return;
-    result_.state = written_ ? BatchState::Unknown : BatchState::NotSent;
+    result_.state = maybeWritten_ ? BatchState::Unknown : BatchState::NotSent;
     result_.connectionLost = true;
     if (result_.message.empty())
-        result_.message = why;
+        result_.message = reason;
     postResult(std::exchange(callback_, nullptr), std::exchange(result_, {}));
 }
 
 // libpq says goodbye and closes its descriptor; the copy shows when the server has done the same.
-void PostgresConnection::closeThen(std::function<void()> closed)
+void PostgresConnection::closeAsync(std::function<void()> closed)
 {
     const int copy = open_ ? ::dup(PQsocket(connection_.get())) : -1;
     close();
--- a/src/backend/sqltraits.cpp
+++ b/src/backend/sqltraits.cpp
@@ -22,7 +22,7 @@
     // Anywhere, also as a quoted name: leaves state in the session.
     LeavesState = 1u << 3,
     // Function whose answer depends on what the connection did before.
-    SessionReader = 1u << 4,
+    SessionFunction = 1u << 4,
     // Makes a statement write although its first word reads.
     Writes = 1u << 5,
     // After FOR: takes locks.
@@ -82,19 +82,19 @@
         {"PG_TRY_ADVISORY_LOCK_SHARED", LeavesState},
         {"DBLINK_CONNECT", LeavesState},
         {"SETSEED", LeavesState},
-        {"LASTVAL", SessionReader},
-        {"CURRVAL", SessionReader},
-        {"LAST_INSERT_ROWID", SessionReader},
-        {"CHANGES", SessionReader},
-        {"TOTAL_CHANGES", SessionReader},
+        {"LASTVAL", SessionFunction},
+        {"CURRVAL", SessionFunction},
+        {"LAST_INSERT_ROWID", SessionFunction},
+        {"CHANGES", SessionFunction},
+        {"TOTAL_CHANGES", SessionFunction},
     };
     return words;
 }
 
-constexpr std::string_view ourPrefix = "KELPTALLY_";
+constexpr std::string_view internalPrefix = "KELPTALLY_";
 
 // Known words are shorter than this.
-constexpr std::size_t longestWord = 32;
+constexpr std::size_t maxWordLength = 32;
 
 char toUpper(char c)
 {
@@ -113,7 +113,7 @@
 unsigned meaningOf(std::string_view word)
 {
     static const std::array<std::uint32_t, 26> lengths = lengthsOfKnownWords();
-    std::array<char, longestWord> upper;
+    std::array<char, maxWordLength> upper;
     if (word.empty() || word.size() >= upper.size())
         return 0;
     const char first = toUpper(word.front());
@@ -125,7 +125,7 @@
     return found == knownWords().end() ? 0 : found->second;
 }
 
-bool isWord(std::string_view text, std::string_view upper)
+bool equalsIgnoreCase(std::string_view text, std::string_view upper)
 {
     return text.size() == upper.size()
         && std::equal(text.begin(), text.end(), upper.begin(),
@@ -144,7 +144,7 @@
 
 // One piece of a statement: a word, a quoted name without its quotes, or a single sign. Strings
 // appear as the sign '.
-struct Piece
+struct Token
 {
     std::string_view text;
     bool quoted = false;
@@ -158,27 +158,27 @@
     explicit Scanner(std::string_view sql) : sql_(sql) { }
 
     // False at the end.
-    bool next(Piece &piece)
+    bool next(Token &token)
     {
         skipBlanks();
         if (position_ >= sql_.size())
             return false;
         const char first = sql_[position_];
-        piece = {};
+        token = {};
         if (isWordStart(first))
-            takeWord(piece);
+            readWord(token);
         else if (first == '"')
-            takeQuotedName(piece);
+            readQuotedName(token);
         else if (first == '\'')
-            takeString(piece, false);
-        else if (first == '$' && takeDollarString())
-            piece.text = "'";
+            readString(token, false);
+        else if (first == '$' && readDollarString())
+            token.text = "'";
         else
-            piece.text = sql_.substr(position_++, 1);
+            token.text = sql_.substr(position_++, 1);
         return true;
     }
 
-    bool unclear() const { return unclear_; }
+    bool ambiguous() const { return ambiguous_; }
 
 private:
     bool startsWith(std::string_view text) const
@@ -205,47 +205,47 @@
         const std::size_t end = sql_.find("*/", position_ + 2);
         const std::size_t inner = sql_.find("/*", position_ + 2);
         if (end == std::string_view::npos || inner < end)
-            unclear_ = true;
+            ambiguous_ = true;
         position_ = end == std::string_view::npos ? sql_.size() : end + 2;
     }
 
     // E'...' is a string in which a backslash escapes.
-    void takeWord(Piece &piece)
+    void readWord(Token &token)
     {
         const std::size_t start = position_;
         while (position_ < sql_.size() && isWordPart(sql_[position_]))
             ++position_;
-        piece.text = sql_.substr(start, position_ - start);
-        piece.word = true;
-        if (isWord(piece.text, "E") && position_ < sql_.size() && sql_[position_] == '\'')
-            takeString(piece, true);
+        token.text = sql_.substr(start, position_ - start);
+        token.word = true;
+        if (equalsIgnoreCase(token.text, "E") && position_ < sql_.size() && sql_[position_] == '\'')
+            readString(token, true);
     }
 
-    void takeQuotedName(Piece &piece)
+    void readQuotedName(Token &token)
     {
         const std::size_t end = sql_.find('"', position_ + 1);
-        unclear_ |= end == std::string_view::npos;
+        ambiguous_ |= end == std::string_view::npos;
         const std::size_t last = std::min(sql_.size(), end);
-        piece.text = sql_.substr(position_ + 1, last - position_ - 1);
-        piece.quoted = true;
+        token.text = sql_.substr(position_ + 1, last - position_ - 1);
+        token.quoted = true;
         position_ = std::min(sql_.size(), last + 1);
     }
 
     // A doubled quote just starts the next string.
-    void takeString(Piece &piece, bool backslashEscapes)
+    void readString(Token &token, bool backslashEscapes)
     {
-        piece = {"'", false, false};
+        token = {"'", false, false};
         ++position_;
         while (position_ < sql_.size() && sql_[position_] != '\'') {
             const bool escape = backslashEscapes && sql_[position_] == '\\';
             position_ += escape ? 2 : 1;
         }
-        unclear_ |= position_ >= sql_.size();
+        ambiguous_ |= position_ >= sql_.size();
         position_ = std::min(sql_.size(), position_ + 1);
     }
 
     // $tag$ ... $tag$; false for a parameter such as $1.
-    bool takeDollarString()
+    bool readDollarString()
     {
         std::size_t end = position_ + 1;
         while (end < sql_.size() && isWordPart(sql_[end]) && sql_[end] != '$')
@@ -254,49 +254,50 @@
             || std::isdigit(static_cast<unsigned char>(sql_[position_ + 1])) != 0;
         if (isParameter)
             return false;
-        const std::string_view mark = sql_.substr(position_, end + 1 - position_);
-        const std::size_t close = sql_.find(mark, end + 1);
-        unclear_ |= close == std::string_view::npos;
-        position_ = close == std::string_view::npos ? sql_.size() : close + mark.size();
+        const std::string_view delimiter = sql_.substr(position_, end + 1 - position_);
+        const std::size_t close = sql_.find(delimiter, end + 1);
+        ambiguous_ |= close == std::string_view::npos;
+        position_ = close == std::string_view::npos ? sql_.size() : close + delimiter.size();
         return true;
     }
 
     std::string_view sql_;
     std::size_t position_ = 0;
-    bool unclear_ = false;
+    bool ambiguous_ = false;
 };
 
 // Follows the pieces of a statement for the traits that depend on more than one word.
-class TraitsReader
+class TraitsParser
 {
 public:
-    explicit TraitsReader(SqlTraits &traits) : traits_(traits) { }
+    explicit TraitsParser(SqlTraits &traits) : traits_(traits) { }
 
-    void take(const Piece &piece)
+    void process(const Token &token)
     {
-        traits_.several |= ended_;
-        ended_ |= !piece.quoted && piece.text == ";";
+        traits_.multipleStatements |= ended_;
+        ended_ |= !token.quoted && token.text == ";";
         if (ended_)
             return;
-        const bool name = piece.word || piece.quoted;
-        const unsigned meaning = name ? meaningOf(piece.text) : 0;
+        const bool name = token.word || token.quoted;
+        const unsigned meaning = name ? meaningOf(token.text) : 0;
         traits_.leavesState |= (meaning & LeavesState) != 0;
-        traits_.namesOurs |= name && isWord(piece.text.substr(0, ourPrefix.size()), ourPrefix);
-        traits_.readsSession |= readsSession_ && !piece.quoted && piece.text == "(";
-        readsSession_ = (meaning & SessionReader) != 0;
-        if (piece.word)
-            takeWord(piece.text, meaning);
-        else if (!piece.quoted)
-            takeSign(piece.text.front());
-        afterFor_ = piece.word && isWord(piece.text, "FOR");
-        afterInsert_ = piece.word && isWord(piece.text, "INSERT");
+        traits_.referencesInternals |=
+            name && equalsIgnoreCase(token.text.substr(0, internalPrefix.size()), internalPrefix);
+        traits_.readsSessionState |= afterSessionFunction_ && !token.quoted && token.text == "(";
+        afterSessionFunction_ = (meaning & SessionFunction) != 0;
+        if (token.word)
+            readWord(token.text, meaning);
+        else if (!token.quoted)
+            readSymbol(token.text.front());
+        afterFor_ = token.word && equalsIgnoreCase(token.text, "FOR");
+        afterInsert_ = token.word && equalsIgnoreCase(token.text, "INSERT");
     }
 
     void finish()
     {
         const std::string &verb = traits_.verb;
         traits_.transactionControl = (verbMeaning_ & TransactionVerb) != 0;
-        traits_.copies = verb == "COPY";
+        traits_.usesCopy = verb == "COPY";
         traits_.runsCode = verb == "CALL" || verb == "DO";
         traits_.leavesState |= !verb.empty() && (verbMeaning_ & CleanVerb) == 0;
         traits_.readsOnly = (verbMeaning_ & ReadVerb) != 0 && !writes_;
@@ -304,7 +305,7 @@
     }
 
 private:
-    void takeWord(std::string_view word, unsigned meaning)
+    void readWord(std::string_view word, unsigned meaning)
     {
         if (traits_.verb.empty()) {
             traits_.verb.resize(word.size());
@@ -313,21 +314,21 @@
         }
         writes_ |= (meaning & Writes) != 0;
         writes_ |= afterFor_ && (meaning & LocksAfterFor) != 0;
-        manyRows_ |= (meaning & ManyRows) != 0 || (afterInsert_ && isWord(word, "OR"));
-        afterValues_ |= isWord(word, "VALUES");
+        manyRows_ |= (meaning & ManyRows) != 0 || (afterInsert_ && equalsIgnoreCase(word, "OR"));
+        afterValues_ |= equalsIgnoreCase(word, "VALUES");
     }
 
-    void takeSign(char sign)
+    void readSymbol(char symbol)
     {
-        depth_ += sign == '(' ? 1 : sign == ')' ? -1 : 0;
-        if (afterValues_ && depth_ == 1 && sign == '(')
+        depth_ += symbol == '(' ? 1 : symbol == ')' ? -1 : 0;
+        if (afterValues_ && depth_ == 1 && symbol == '(')
             ++valuesLists_;
     }
 
     SqlTraits &traits_;
     unsigned verbMeaning_ = 0;
     // What the piece before was.
-    bool readsSession_ = false;
+    bool afterSessionFunction_ = false;
     bool afterFor_ = false;
     bool afterInsert_ = false;
 
@@ -344,31 +345,31 @@
 SqlTraits inspectSql(std::string_view sql)
 {
     SqlTraits traits;
-    TraitsReader reader(traits);
+    TraitsParser reader(traits);
     Scanner scanner(sql);
-    Piece piece;
-    while (scanner.next(piece))
-        reader.take(piece);
+    Token token;
+    while (scanner.next(token))
+        reader.process(token);
     reader.finish();
-    traits.unclear = scanner.unclear();
+    traits.ambiguous = scanner.ambiguous();
     return traits;
 }
 
 std::string findSqlProblem(const SqlTraits &traits, bool readOnly)
 {
-    if (traits.unclear)
+    if (traits.ambiguous)
         return "a comment, string or quoted name does not end, or a comment holds another";
     if (traits.verb.empty())
         return "the statement is empty";
-    if (traits.several)
+    if (traits.multipleStatements)
         return "only one statement is allowed in a request";
     if (traits.transactionControl)
         return traits.verb + " is not allowed: use the requests for transactions";
-    if (traits.copies)
+    if (traits.usesCopy)
         return "COPY is not supported";
-    if (traits.readsSession)
+    if (traits.readsSessionState)
         return "a function that tells of the connection's last work is not allowed: use RETURNING";
-    if (traits.namesOurs)
+    if (traits.referencesInternals)
         return "the tables and functions of kelptally itself are not for callers";
     if (readOnly && !traits.readsOnly)
         return "a request of a reading kind may only read";
--- a/src/backend/sqltraits.h
+++ b/src/backend/sqltraits.h
@@ -12,14 +12,14 @@
     // First word in capitals; empty when there is none.
     std::string verb;
     // Text follows a semicolon.
-    bool several = false;
+    bool multipleStatements = false;
     // A comment, string or quoted name does not end, or a comment holds another: servers disagree
     // on where that ends.
-    bool unclear = false;
+    bool ambiguous = false;
     // Begins, ends or marks a transaction.
     bool transactionControl = false;
     // Waits for data on the connection, which a batch cannot carry.
-    bool copies = false;
+    bool usesCopy = false;
     // Runs code that may end the transaction around it: CALL and DO.
     bool runsCode = false;
     // Leaves something in the session that its next user would see: settings, temporary tables,
@@ -28,9 +28,9 @@
     bool leavesState = false;
     // Calls a function that tells what was last done on the connection, by whomever: LASTVAL,
     // CURRVAL, LAST_INSERT_ROWID, CHANGES.
-    bool readsSession = false;
+    bool readsSessionState = false;
     // Names something that begins with "kelptally_": the proxy's own tables and functions.
-    bool namesOurs = false;
+    bool referencesInternals = false;
     // Only reads, as far as words tell.
     bool readsOnly = false;
     // An INSERT of exactly one row of values, without conflict clause and returned rows.
--- a/src/backend/writebatch.cpp
+++ b/src/backend/writebatch.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // How far the clocks of two owners may be apart: a record outlives its key by this.
-constexpr Duration clockMargin = std::chrono::hours(1);
+constexpr Duration maxClockDifference = std::chrono::hours(1);
 
 constexpr const char *insertSql =
     "INSERT INTO kelptally_request (key, digest, outcome, attempt, at)"
@@ -77,7 +77,7 @@
         if (voidRecord == VoidRecord::Replace)
             batch_.statements.push_back(
                 {deleteVoidSql, {recordKey(request_), recordToText(makeVoidRecord()), attempt}});
-        batch_.keyAt = batch_.statements.size();
+        batch_.keyIndex = batch_.statements.size();
         batch_.statements.push_back({insertSql,
                                      {recordKey(request_), request_.keyDigest, recordToText(record),
                                       attempt, recordTime(request_)}});
@@ -92,13 +92,13 @@
     }
     BatchBuilder &addWork()
     {
-        batch_.workAt = batch_.statements.size();
+        batch_.workIndex = batch_.statements.size();
         batch_.statements.push_back(request_.statement);
         return *this;
     }
     BatchBuilder &addOffset()
     {
-        batch_.offsetAt = batch_.statements.size();
+        batch_.offsetIndex = batch_.statements.size();
         batch_.statements.push_back({statements_.writeOffset, {}});
         return *this;
     }
@@ -112,15 +112,15 @@
 
 } // namespace
 
-bool isOneBatch(const WriteRequest &request)
+bool fitsSingleBatch(const WriteRequest &request)
 {
     return request.key.empty() || inspectSql(request.statement.sql).insertsOneRow;
 }
 
 // Code that could end the transaction around it gets an explicit one, in which the server refuses
 // that; other work shares the transaction that the server makes of a batch.
-WriteBatch makeWholeBatch(const settings::GroupStatements &statements, const WriteRequest &request,
-                          VoidRecord voidRecord)
+WriteBatch makeSingleBatch(const settings::GroupStatements &statements, const WriteRequest &request,
+                           VoidRecord voidRecord)
 {
     const bool runsCode = inspectSql(request.statement.sql).runsCode;
     BatchBuilder builder(statements, request);
@@ -178,9 +178,9 @@
     if (inTransaction)
         builder.add("ROLLBACK");
     WriteBatch batch = builder.addFence().take();
-    batch.keyAt = batch.statements.size();
+    batch.keyIndex = batch.statements.size();
     batch.statements.push_back({lookupSql, {recordKey(request)}});
-    batch.offsetAt = batch.statements.size();
+    batch.offsetIndex = batch.statements.size();
     batch.statements.push_back({statements.writeOffset, {}});
     return batch;
 }
@@ -188,16 +188,17 @@
 std::vector<Statement> makePurgeBatch(const settings::GroupStatements &statements, OwnerEpoch epoch,
                                       WallTime now, Duration keyRetention, int limit)
 {
-    const auto age = std::chrono::duration_cast<std::chrono::seconds>(keyRetention + clockMargin);
+    const auto age =
+        std::chrono::duration_cast<std::chrono::seconds>(keyRetention + maxClockDifference);
     return {{statements.checkFence, {std::to_string(epoch)}},
             {purgeSql, {std::to_string(toSeconds(now - age)), std::to_string(limit)}}};
 }
 
 std::optional<FoundRecord> findRecord(const WriteBatch &batch, const BatchResult &result)
 {
-    if (!batch.keyAt || *batch.keyAt >= result.rows.size())
+    if (!batch.keyIndex || *batch.keyIndex >= result.rows.size())
         return std::nullopt;
-    const Rows &rows = result.rows[*batch.keyAt];
+    const Rows &rows = result.rows[*batch.keyIndex];
     if (rows.values.empty() || rows.values.front().size() != 2)
         return std::nullopt;
     const auto &row = rows.values.front();
@@ -212,9 +213,9 @@
 
 LogOffset offsetOf(const WriteBatch &batch, const BatchResult &result)
 {
-    if (!batch.offsetAt || *batch.offsetAt >= result.rows.size())
+    if (!batch.offsetIndex || *batch.offsetIndex >= result.rows.size())
         return 0;
-    const Rows &rows = result.rows[*batch.offsetAt];
+    const Rows &rows = result.rows[*batch.offsetIndex];
     if (rows.values.empty() || rows.values.front().empty() || !rows.values.front().front())
         return 0;
     return std::strtoull(rows.values.front().front()->c_str(), nullptr, 10);
--- a/src/backend/writebatch.h
+++ b/src/backend/writebatch.h
@@ -50,15 +50,15 @@
 struct WriteBatch
 {
     std::vector<Statement> statements;
-    std::optional<std::size_t> keyAt;
-    std::optional<std::size_t> workAt;
-    std::optional<std::size_t> offsetAt;
+    std::optional<std::size_t> keyIndex;
+    std::optional<std::size_t> workIndex;
+    std::optional<std::size_t> offsetIndex;
 };
 
 // Whether the whole write goes out in one batch: it is not recorded, or its answer is known before
 // it runs (an INSERT of one row). Else its transaction takes two: the work, and then its recorded
 // answer with the commit.
-bool isOneBatch(const WriteRequest &request);
+bool fitsSingleBatch(const WriteRequest &request);
 
 // Whether a void record in the place of the key is taken away first, when an earlier attempt left
 // it. One that is newer than this attempt stays, and the batch fails on it.
@@ -68,8 +68,8 @@
 };
 
 // The whole write, committed at its end.
-WriteBatch makeWholeBatch(const settings::GroupStatements &statements, const WriteRequest &request,
-                          VoidRecord voidRecord);
+WriteBatch makeSingleBatch(const settings::GroupStatements &statements, const WriteRequest &request,
+                           VoidRecord voidRecord);
 // Begins a transaction and does the work in it.
 WriteBatch makeWorkBatch(const settings::GroupStatements &statements, const WriteRequest &request,
                          VoidRecord voidRecord);
--- a/src/backend/writeflow.cpp
+++ b/src/backend/writeflow.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Attempts that a lookup may cause: a record can only vanish or change between by other attempts.
-constexpr int maxRounds = 4;
+constexpr int maxFlowAttempts = 4;
 
 // One request on its way through its batches; keeps itself alive until it calls back.
 class WriteFlow : public std::enable_shared_from_this<WriteFlow>
@@ -16,7 +16,7 @@
     enum class Purpose {
         Write,
         Commit,
-        Settle,
+        Resolve,
     };
 
     WriteFlow(WriteContext context, WriteRequest request, Purpose purpose, WriteCallback callback)
@@ -38,7 +38,7 @@
     using Step = void (WriteFlow::*)(BatchResult);
 
     void attempt();
-    void onWhole(BatchResult result);
+    void onSingleBatch(BatchResult result);
     void onWork(BatchResult result);
     void onRecorded(BatchResult result);
     void onCorrected(BatchResult result);
@@ -46,7 +46,7 @@
     void onLookUp(BatchResult result);
     void onRecord(const FoundRecord &found, LogOffset offset);
     // Whether the batch failed or was lost, and the request is dealt with.
-    bool endsWith(const BatchResult &result, bool commitSent);
+    bool handleFailure(const BatchResult &result, bool commitSent);
     bool isKeyConflict(const BatchResult &result) const;
 
     void run(WriteBatch batch, Step next);
@@ -61,21 +61,21 @@
 
     WriteBatch batch_;
     // What the work gave, for the end.
-    WriteOutcome done_;
+    WriteOutcome outcome_;
     VoidRecord voidRecord_ = VoidRecord::Keep;
-    int rounds_ = 0;
+    int attemptCount_ = 0;
 };
 
 void WriteFlow::attempt()
 {
-    if (++rounds_ > maxRounds)
+    if (++attemptCount_ > maxFlowAttempts)
         return finish(WriteState::Unknown, "other attempts with the same key are under way");
     if (purpose_ == Purpose::Commit)
-        run(makeCommitBatch(context_.statements, request_), &WriteFlow::onWhole);
-    else if (purpose_ == Purpose::Settle)
-        run(makeVoidBatch(context_.statements, request_), &WriteFlow::onWhole);
-    else if (isOneBatch(request_))
-        run(makeWholeBatch(context_.statements, request_, voidRecord_), &WriteFlow::onWhole);
+        run(makeCommitBatch(context_.statements, request_), &WriteFlow::onSingleBatch);
+    else if (purpose_ == Purpose::Resolve)
+        run(makeVoidBatch(context_.statements, request_), &WriteFlow::onSingleBatch);
+    else if (fitsSingleBatch(request_))
+        run(makeSingleBatch(context_.statements, request_, voidRecord_), &WriteFlow::onSingleBatch);
     else
         run(makeWorkBatch(context_.statements, request_, voidRecord_), &WriteFlow::onWork);
 }
@@ -90,58 +90,58 @@
 }
 
 // The batch held the commit: the request is done unless the answer was not the recorded one.
-void WriteFlow::onWhole(BatchResult result)
+void WriteFlow::onSingleBatch(BatchResult result)
 {
-    if (endsWith(result, true))
+    if (handleFailure(result, true))
         return;
-    if (purpose_ == Purpose::Settle)
+    if (purpose_ == Purpose::Resolve)
         return finish(WriteState::NotRun, result);
-    done_.state = WriteState::Done;
-    done_.offset = offsetOf(batch_, result);
-    if (batch_.workAt)
-        done_.rows = std::move(result.rows[*batch_.workAt]);
-    const bool recordedOther = batch_.keyAt && batch_.workAt && done_.rows.affected != 1;
-    if (!recordedOther)
-        return finish(std::move(done_));
-    run(makeCorrectionBatch(context_.statements, request_, done_.rows), &WriteFlow::onCorrected);
+    outcome_.state = WriteState::Done;
+    outcome_.offset = offsetOf(batch_, result);
+    if (batch_.workIndex)
+        outcome_.rows = std::move(result.rows[*batch_.workIndex]);
+    const bool recordDiffers = batch_.keyIndex && batch_.workIndex && outcome_.rows.affected != 1;
+    if (!recordDiffers)
+        return finish(std::move(outcome_));
+    run(makeCorrectionBatch(context_.statements, request_, outcome_.rows), &WriteFlow::onCorrected);
 }
 
 // Without the commit nothing is in force, so a loss here is not an unknown outcome.
 void WriteFlow::onWork(BatchResult result)
 {
-    if (endsWith(result, false))
+    if (handleFailure(result, false))
         return;
     if (context_.mayCommit && !context_.mayCommit())
         return finish(WriteState::NotRun, "the lease lapsed before the commit");
-    done_.rows = std::move(result.rows[*batch_.workAt]);
-    run(makeRecordBatch(context_.statements, request_, done_.rows), &WriteFlow::onRecorded);
+    outcome_.rows = std::move(result.rows[*batch_.workIndex]);
+    run(makeRecordBatch(context_.statements, request_, outcome_.rows), &WriteFlow::onRecorded);
 }
 
 void WriteFlow::onRecorded(BatchResult result)
 {
-    if (endsWith(result, true))
+    if (handleFailure(result, true))
         return;
-    done_.state = WriteState::Done;
-    done_.offset = offsetOf(batch_, result);
-    finish(std::move(done_));
+    outcome_.state = WriteState::Done;
+    outcome_.offset = offsetOf(batch_, result);
+    finish(std::move(outcome_));
 }
 
 // The work is committed already: a failure here only leaves the expected count in the record.
 void WriteFlow::onCorrected(BatchResult result)
 {
     if (result.state == BatchState::Done)
-        done_.offset = offsetOf(batch_, result);
-    done_.connectionLost = result.connectionLost;
-    finish(std::move(done_));
+        outcome_.offset = offsetOf(batch_, result);
+    outcome_.connectionLost = result.connectionLost;
+    finish(std::move(outcome_));
 }
 
 bool WriteFlow::isKeyConflict(const BatchResult &result) const
 {
     return result.state == BatchState::Failed && result.sqlState == uniqueViolationState
-        && batch_.keyAt && result.failedStatement == *batch_.keyAt;
+        && batch_.keyIndex && result.failedStatement == *batch_.keyIndex;
 }
 
-bool WriteFlow::endsWith(const BatchResult &result, bool commitSent)
+bool WriteFlow::handleFailure(const BatchResult &result, bool commitSent)
 {
     switch (result.state) {
     case BatchState::Done:
@@ -256,9 +256,9 @@
               std::move(callback));
 }
 
-void settleUnknown(WriteContext context, WriteRequest request, WriteCallback callback)
+void resolveUnknown(WriteContext context, WriteRequest request, WriteCallback callback)
 {
-    startFlow(std::move(context), std::move(request), WriteFlow::Purpose::Settle,
+    startFlow(std::move(context), std::move(request), WriteFlow::Purpose::Resolve,
               std::move(callback));
 }
 
--- a/src/backend/writeflow.h
+++ b/src/backend/writeflow.h
@@ -69,6 +69,6 @@
 // Settles a request with a key of which an attempt's outcome is unknown, without running it:
 // Replayed when it was done; NotRun when it was not and, once the offset is confirmed, never will
 // be. A later attempt with the same key may still run: its attempt number is higher.
-void settleUnknown(WriteContext context, WriteRequest request, WriteCallback callback);
+void resolveUnknown(WriteContext context, WriteRequest request, WriteCallback callback);
 
 } // namespace kelptally::backend
--- a/src/owner/confirmationwaits.cpp
+++ b/src/owner/confirmationwaits.cpp
@@ -12,7 +12,7 @@
     waits_.emplace(id, Wait {position, context_.now(), std::move(callback)});
     // Committed at a primary that has been replaced meanwhile, or before its successor is known.
     if (position.term != term_)
-        settle(id, term_);
+        checkHistory(id, term_);
     else
         confirmation_.add(id, position);
     return id;
@@ -38,11 +38,11 @@
     term_ = term;
     serverCount_ = serverCount;
     for (const decision::WriteId id : confirmation_.onTerm(term, serverCount))
-        settle(id, term);
+        checkHistory(id, term);
 }
 
 // The records up to the start of this term are those of its history, at the same offsets.
-void ConfirmationWaits::settle(decision::WriteId id, Term term)
+void ConfirmationWaits::checkHistory(decision::WriteId id, Term term)
 {
     const auto found = waits_.find(id);
     const decision::Failover *failover = context_.failover.decision();
@@ -73,7 +73,7 @@
     for (const auto &[id, wait] : waits_)
         all.push_back(id);
     for (const decision::WriteId id : all)
-        finish(id, ConfirmationOutcome::Open);
+        finish(id, ConfirmationOutcome::Unresolved);
     // The term stays: when a lapsed lease comes back, the primary is still the one it was.
     confirmation_ = decision::Confirmation();
     confirmation_.onTerm(term_, serverCount_);
--- a/src/owner/confirmationwaits.h
+++ b/src/owner/confirmationwaits.h
@@ -16,7 +16,7 @@
     // The term ended and the new primary's history does not hold it: it did not happen.
     Lost,
     // This process stopped before it was known.
-    Open,
+    Unresolved,
 };
 using ConfirmationCallback = std::function<void(ConfirmationOutcome)>;
 
@@ -33,7 +33,7 @@
     // are asked for it at once.
     decision::WriteId addCommitted(Instant sentAt, Position position,
                                    ConfirmationCallback callback);
-    void forget(decision::WriteId id) { waits_.erase(id); }
+    void remove(decision::WriteId id) { waits_.erase(id); }
 
     void onReport(const ServerName &server, const decision::ServerReport &report);
     void onPrimaryReady(Term term, std::size_t serverCount);
@@ -51,7 +51,7 @@
         ConfirmationCallback callback;
     };
 
-    void settle(decision::WriteId id, Term term);
+    void checkHistory(decision::WriteId id, Term term);
     void finish(decision::WriteId id, ConfirmationOutcome outcome);
 
     GroupContext &context_;
--- a/src/owner/groupcontext.cpp
+++ b/src/owner/groupcontext.cpp
@@ -16,8 +16,9 @@
 void GroupContext::onStatementEnded(const ServerName &server, const decision::Work &work,
                                     Instant sentAt, bool connectionLost)
 {
-    if (ServerLane *lane = servers.lane(server))
-        lane->finished(work, connectionLost ? std::nullopt : std::make_optional(now() - sentAt));
+    if (ServerExecutor *executor = servers.executor(server))
+        executor->finished(work,
+                           connectionLost ? std::nullopt : std::make_optional(now() - sentAt));
     if (connectionLost)
         failover.onConnectionLost(server);
     else
--- a/src/owner/groupruntime.cpp
+++ b/src/owner/groupruntime.cpp
@@ -73,7 +73,7 @@
     reads_.expire();
     writes_.expire();
     transactions_.expire();
-    servers_.forEachLane([](ServerLane &lane) { lane.expire(); });
+    servers_.forEachExecutor([](ServerExecutor &executor) { executor.expire(); });
     updateHeld();
     // 4. What goes on by itself.
     updateSuccessor();
@@ -158,7 +158,7 @@
     LOG(WARNING) << "event=lease_lapsed group=" << name() << " epoch=" << ownership_.epoch();
     stopRunners({Reason::LeaseLost, "", Executed::No, retryAfterRefusal, ""});
     updateShare();
-    servers_.forEachLane([](ServerLane &lane) { lane.closeConnections(true); });
+    servers_.forEachExecutor([](ServerExecutor &executor) { executor.closeConnections(true); });
 }
 
 void GroupRuntime::sampleWhenNeeded()
@@ -182,8 +182,8 @@
     OwnerMetrics &metrics = context_.ports.metrics;
     metrics.setLeaseLeft(name(), ownership_.leaseLeft());
     for (const decision::ServerView &view : servers_.views(now())) {
-        metrics.setPool(name(), view.name, servers_.lane(view.name)->openConnections(), view.busy,
-                        view.queued);
+        metrics.setPool(name(), view.name, servers_.executor(view.name)->openConnections(),
+                        view.busy, view.queued);
         if (view.age)
             metrics.setLag(name(), view.name, *view.age);
     }
@@ -234,7 +234,8 @@
     stopRunners(notOwner());
     held_.refuseAll(notOwner());
     updateShare();
-    servers_.forEachLane([planned](ServerLane &lane) { lane.closeConnections(!planned); });
+    servers_.forEachExecutor(
+        [planned](ServerExecutor &executor) { executor.closeConnections(!planned); });
 }
 
 void GroupRuntime::onRowChanged()
@@ -287,7 +288,7 @@
     stopRunners(gone);
     held_.refuseAll(gone);
     servers_.setShare(GroupServers::Share::None);
-    servers_.forEachLane([](ServerLane &lane) { lane.closeConnections(true); });
+    servers_.forEachExecutor([](ServerExecutor &executor) { executor.closeConnections(true); });
     failover_.closeConnections();
 }
 
@@ -323,9 +324,9 @@
     servers_.onPrimaryGone();
     writes_.onPrimaryGone();
     transactions_.onPrimaryGone();
-    if (ServerLane *lane = servers_.lane(gone.server)) {
-        lane->refuseAll({Reason::NoPrimary, Duration(0), gone.cause, true});
-        lane->closeConnections(true);
+    if (ServerExecutor *executor = servers_.executor(gone.server)) {
+        executor->refuseAll({Reason::NoPrimary, Duration(0), gone.cause, true});
+        executor->closeConnections(true);
     }
 }
 
--- a/src/owner/groupservers.cpp
+++ b/src/owner/groupservers.cpp
@@ -35,18 +35,19 @@
     group_ = group;
     for (const auto &server : group.servers) {
         auto &entry = servers_[server.name];
-        if (!entry.lane)
-            entry.lane = std::make_shared<ServerLane>(group, server, inventory.limits, ports_);
-        entry.lane->configure(server, inventory.teams);
+        if (!entry.executor)
+            entry.executor =
+                std::make_shared<ServerExecutor>(group, server, inventory.limits, ports_);
+        entry.executor->configure(server, inventory.teams);
     }
     setShare(share_);
-    LaneRefusal leaving;
+    WorkRefusal leaving;
     leaving.reason = Reason::Draining;
     leaving.unreachable = true;
     leaving.detail = "the server is leaving";
     for (auto &[name, server] : servers_)
         if (isLeaving(name) && primary_ != name)
-            server.lane->refuseAll(leaving);
+            server.executor->refuseAll(leaving);
 }
 
 void GroupServers::removeLeft(const settings::Group &group)
@@ -56,25 +57,25 @@
             ++it;
             continue;
         }
-        const auto lane = it->second.lane;
+        const auto executor = it->second.executor;
         freshness_.forget(it->first);
         if (primary_ == it->first)
             primary_.reset();
         it = servers_.erase(it);
-        lane->refuseAll({Reason::Draining, Duration(0), "the server has left", true});
-        lane->closeConnections(false);
+        executor->refuseAll({Reason::Draining, Duration(0), "the server has left", true});
+        executor->closeConnections(false);
     }
 }
 
-ServerLane *GroupServers::lane(const ServerName &name)
+ServerExecutor *GroupServers::executor(const ServerName &name)
 {
     const auto found = servers_.find(name);
-    return found == servers_.end() ? nullptr : found->second.lane.get();
+    return found == servers_.end() ? nullptr : found->second.executor.get();
 }
 
 void GroupServers::release(const ServerName &name, const ConnectionPtr &connection, bool reusable)
 {
-    if (ServerLane *known = lane(name))
+    if (ServerExecutor *known = executor(name))
         known->release(connection, reusable);
     else
         connection->close();
@@ -84,7 +85,7 @@
 {
     const auto found = servers_.find(name);
     return found == servers_.end()
-        || found->second.lane->server().presence == settings::Presence::Leaving;
+        || found->second.executor->server().presence == settings::Presence::Leaving;
 }
 
 void GroupServers::onReport(const ServerName &name, Instant sentAt,
@@ -129,8 +130,8 @@
     freshness_.onNewTerm(term, history);
     // One slot of the primary stays free for what must go there.
     for (auto &[name, server] : servers_) {
-        const int slots = server.lane->server().slots;
-        server.lane->setBrowseSlots(name == primary ? std::max(1, slots - 1) : 0);
+        const int slots = server.executor->server().slots;
+        server.executor->setBrowseSlots(name == primary ? std::max(1, slots - 1) : 0);
     }
 }
 
@@ -164,7 +165,7 @@
 {
     views(now);
     for (decision::ServerView &view : views_) {
-        const decision::Admission &admission = servers_.at(view.name).lane->admission();
+        const decision::Admission &admission = servers_.at(view.name).executor->admission();
         view.queueDelay = admission.expectedWait(requestClass, team);
     }
     return views_;
@@ -173,8 +174,8 @@
 decision::ServerView GroupServers::viewOf(const ServerName &name, const Server &server,
                                           Instant now) const
 {
-    const settings::Server &settings = server.lane->server();
-    const decision::Admission &admission = server.lane->admission();
+    const settings::Server &settings = server.executor->server();
+    const decision::Admission &admission = server.executor->admission();
     decision::ServerView view;
     view.name = name;
     view.zone = settings.zone;
@@ -208,7 +209,7 @@
     status.draining = view.draining;
     status.position = found->second.position;
     status.lag = view.age.value_or(Duration(0));
-    status.connectionsOpen = found->second.lane->openConnections();
+    status.connectionsOpen = found->second.executor->openConnections();
     status.slotsBusy = view.busy;
     status.queued = view.queued;
     return status;
@@ -240,14 +241,15 @@
             withinShare();
     };
     for (auto &[name, server] : servers_)
-        server.lane->setConnectionLimit(connectionLimit(server.lane->server(), share), notice);
+        server.executor->setConnectionLimit(connectionLimit(server.executor->server(), share),
+                                            notice);
 }
 
 std::size_t GroupServers::transactionLimit() const
 {
     int limit = 1;
     for (const auto &[name, server] : servers_) {
-        const settings::Server &settings = server.lane->server();
+        const settings::Server &settings = server.executor->server();
         limit = std::max(limit, connectionLimit(settings, Share::Owner) - settings.slots);
     }
     return static_cast<std::size_t>(limit);
@@ -258,9 +260,9 @@
     if (share_ == Share::None)
         return;
     for (auto &[name, server] : servers_) {
-        const settings::Server &settings = server.lane->server();
+        const settings::Server &settings = server.executor->server();
         const int open = std::min(settings.slots, reserveOf(settings) - controlConnections);
-        server.lane->warm(settings.presence == settings::Presence::Active ? open : 0);
+        server.executor->warm(settings.presence == settings::Presence::Active ? open : 0);
     }
 }
 
--- a/src/owner/groupservers.h
+++ b/src/owner/groupservers.h
@@ -3,7 +3,7 @@
 #include "decision/failover.h"
 #include "decision/freshness.h"
 #include "decision/routing.h"
-#include "owner/serverlane.h"
+#include "owner/serverexecutor.h"
 
 #include <map>
 #include <memory>
@@ -24,7 +24,7 @@
     // is gone or leaving is refused so that its runner chooses another.
     void configure(const settings::Group &group, const settings::Inventory &inventory);
 
-    ServerLane *lane(const ServerName &name);
+    ServerExecutor *executor(const ServerName &name);
     bool isLeaving(const ServerName &name) const;
     // Gives a connection back to the server's pool, or closes it when the server has left.
     void release(const ServerName &name, const ConnectionPtr &connection, bool reusable);
@@ -50,10 +50,10 @@
     const std::optional<ServerName> &primary() const { return primary_; }
 
     template <typename Function>
-    void forEachLane(Function function)
+    void forEachExecutor(Function function)
     {
         for (auto &[name, server] : servers_)
-            function(*server.lane);
+            function(*server.executor);
     }
 
     // Connections of each server that this process may have open.
@@ -73,7 +73,7 @@
 private:
     struct Server
     {
-        std::shared_ptr<ServerLane> lane;
+        std::shared_ptr<ServerExecutor> executor;
         bool reachable = false;
         Position position;
     };
--- a/src/owner/readrunner.cpp
+++ b/src/owner/readrunner.cpp
@@ -15,11 +15,11 @@
 
 // Allowance for an answer's way from owner to entry; chosen from the sites' one-way delays of 0.5
 // and 1.5 ms between zones, with room for a busy thread.
-constexpr Duration entryTransit = std::chrono::milliseconds(5);
+constexpr Duration entryTransitAllowance = std::chrono::milliseconds(5);
 // A read that fails or turns out too old this often is refused.
 constexpr int maxAttempts = 5;
 // Time given to a replica to catch up before asking again when the route names none.
-constexpr Duration defaultWait = std::chrono::milliseconds(2);
+constexpr Duration defaultReplicaWait = std::chrono::milliseconds(2);
 constexpr Duration retryAfterRefusal = std::chrono::milliseconds(200);
 
 } // namespace
@@ -27,7 +27,7 @@
 struct ReadRunner::Read
 {
     RequestPtr request;
-    decision::ReadRequirements needs;
+    decision::ReadRequirements requirements;
     int attempts = 0;
     bool queued = false;
     TimerId timer = 0;
@@ -62,10 +62,10 @@
 {
     auto read = std::make_shared<Read>();
     read->request = request;
-    read->needs.sessionPosition = request->execute.sessionPosition;
+    read->requirements.sessionPosition = request->execute.sessionPosition;
     if (request->execute.statedAge) {
-        const Duration transit = context_.limits().callerTransit + entryTransit;
-        read->needs.statedAge = std::max(Duration(0), *request->execute.statedAge - transit);
+        const Duration transit = context_.limits().callerTransit + entryTransitAllowance;
+        read->requirements.statedAge = std::max(Duration(0), *request->execute.statedAge - transit);
     }
     reads_.emplace(request->number, read);
     route(read);
@@ -77,14 +77,14 @@
 }
 
 // Reasons for which no server at all may answer now.
-bool ReadRunner::admits(const ReadPtr &read)
+bool ReadRunner::admit(const ReadPtr &read)
 {
     if (!context_.ownership.holdsLease()) {
         refuse(read, {Reason::LeaseLost, "", Executed::No, retryAfterRefusal, ""});
         return false;
     }
     const decision::Failover *failover = context_.failover.decision();
-    const auto &position = read->needs.sessionPosition;
+    const auto &position = read->requirements.sessionPosition;
     if (!position || !failover || failover->term() == 0)
         return true;
     if (failover->term() < position->term) {
@@ -102,14 +102,14 @@
 
 void ReadRunner::route(const ReadPtr &read)
 {
-    if (read->request->answered || !admits(read))
+    if (read->request->answered || !admit(read))
         return;
     const Instant now = context_.now();
-    read->needs.deadlineIn = read->request->deadline - now;
-    read->needs.waited = now - read->request->arrived;
+    read->requirements.deadlineIn = read->request->deadline - now;
+    read->requirements.waited = now - read->request->arrived;
     const auto &servers =
         context_.servers.viewsFor(now, read->request->requestClass, read->request->execute.team);
-    const Route route = routing_->routeRead(read->needs, servers, now);
+    const Route route = routing_->routeRead(read->requirements, servers, now);
     switch (route.kind) {
     case RouteKind::Server:
         submit(read, route);
@@ -122,7 +122,7 @@
         break;
     }
     context_.failover.requestReplicaSamples();
-    const Duration wait = route.retryIn > Duration(0) ? route.retryIn : defaultWait;
+    const Duration wait = route.retryIn > Duration(0) ? route.retryIn : defaultReplicaWait;
     std::weak_ptr<bool> alive = alive_;
     context_.ports.timers.cancel(read->timer);
     read->timer = context_.ports.timers.subscribeAfter(wait, [this, alive, read] {
@@ -148,40 +148,40 @@
 
 void ReadRunner::submit(const ReadPtr &read, const Route &route)
 {
-    ServerLane *lane = context_.servers.lane(route.server);
-    if (!lane) {
-        again(read, Reason::OwnerUnreachable);
+    ServerExecutor *executor = context_.servers.executor(route.server);
+    if (!executor) {
+        retry(read, Reason::OwnerUnreachable);
         return;
     }
     read->server = route.server;
     read->cause = route.cause;
     read->queued = true;
     read->work = workOf(*read->request);
-    LaneWork work;
+    ExecutorWork work;
     work.work = read->work;
     std::weak_ptr<bool> alive = alive_;
     work.start = [this, alive, read](const ConnectionPtr &connection) {
         if (!alive.expired())
             start(read, connection);
     };
-    work.refused = [this, alive, read](const LaneRefusal &refusal) {
+    work.refused = [this, alive, read](const WorkRefusal &refusal) {
         if (!alive.expired())
             onRefused(read, refusal);
     };
-    lane->submit(std::move(work));
+    executor->submit(std::move(work));
 }
 
 void ReadRunner::start(const ReadPtr &read, const ConnectionPtr &connection)
 {
     read->queued = false;
-    ServerLane *lane = context_.servers.lane(read->server);
+    ServerExecutor *executor = context_.servers.executor(read->server);
     const Instant now = context_.now();
     const decision::ServerView view = context_.servers.view(read->server, now);
-    const bool fit = view.primary || qualifies(view, read->needs);
-    if (!lane || read->request->answered || !fit || !context_.ownership.holdsLease()) {
-        if (lane) {
-            lane->finished(read->work, std::nullopt);
-            lane->release(connection, true);
+    const bool fit = view.primary || qualifies(view, read->requirements);
+    if (!executor || read->request->answered || !fit || !context_.ownership.holdsLease()) {
+        if (executor) {
+            executor->finished(read->work, std::nullopt);
+            executor->release(connection, true);
         }
         if (!read->request->answered)
             route(read);
@@ -231,11 +231,11 @@
                 Executed::No, Duration(0), ""});
         return;
     }
-    again(read, Reason::NoPrimary);
+    retry(read, Reason::NoPrimary);
 }
 
 // Whether the answer may still be given: same primary or same term, and within the age.
-bool ReadRunner::stillHolds(const Read &read) const
+bool ReadRunner::isStillValid(const Read &read) const
 {
     const decision::Failover *failover = context_.failover.decision();
     if (!failover || !context_.ownership.holdsLease())
@@ -244,16 +244,16 @@
         return false;
     if (read.cause != PrimaryCause::None)
         return failover->primary() == read.server;
-    if (!read.needs.statedAge)
+    if (!read.requirements.statedAge)
         return true;
-    return read.asOf && context_.now() - *read.asOf <= *read.needs.statedAge;
+    return read.asOf && context_.now() - *read.asOf <= *read.requirements.statedAge;
 }
 
 void ReadRunner::onDone(const ReadPtr &read, Rows rows)
 {
-    if (!stillHolds(*read)) {
+    if (!isStillValid(*read)) {
         context_.ports.metrics.countReadRepeated();
-        again(read, Reason::ReplicaTooStale);
+        retry(read, Reason::ReplicaTooStale);
         return;
     }
     inner::ExecuteResult result;
@@ -263,48 +263,48 @@
     result.server = read->server;
     if (read->asOf)
         result.age = context_.now() - *read->asOf;
-    result.position = read->needs.sessionPosition;
+    result.position = read->requirements.sessionPosition;
     context_.ports.metrics.countRead(read->cause);
-    forget(read);
+    remove(read);
     context_.responder.answer(*read->request, std::move(result));
 }
 
-void ReadRunner::onRefused(const ReadPtr &read, const LaneRefusal &refusal)
+void ReadRunner::onRefused(const ReadPtr &read, const WorkRefusal &refusal)
 {
     read->queued = false;
     if (read->request->answered)
         return;
     if (refusal.unreachable) {
         context_.servers.onUnreachable(read->server);
-        again(read, Reason::NoPrimary);
+        retry(read, Reason::NoPrimary);
         return;
     }
     refuse(read, {refusal.reason, refusal.detail, Executed::No, refusal.retryAfter, ""});
 }
 
-void ReadRunner::again(const ReadPtr &read, Reason why)
+void ReadRunner::retry(const ReadPtr &read, Reason retryReason)
 {
     if (++read->attempts >= maxAttempts) {
-        refuse(read, {why, "several attempts failed", Executed::No, retryAfterRefusal, ""});
+        refuse(read, {retryReason, "several attempts failed", Executed::No, retryAfterRefusal, ""});
         return;
     }
-    context_.ports.metrics.countRetry(why);
+    context_.ports.metrics.countRetry(retryReason);
     route(read);
 }
 
 void ReadRunner::refuse(const ReadPtr &read, Refusal refusal)
 {
-    forget(read);
+    remove(read);
     context_.responder.refuse(*read->request, refusal);
 }
 
-void ReadRunner::forget(const ReadPtr &read)
+void ReadRunner::remove(const ReadPtr &read)
 {
     context_.ports.timers.cancel(read->timer);
     read->timer = 0;
     if (read->queued)
-        if (ServerLane *lane = context_.servers.lane(read->server))
-            lane->cancel(read->request->number);
+        if (ServerExecutor *executor = context_.servers.executor(read->server))
+            executor->cancel(read->request->number);
     reads_.erase(read->request->number);
 }
 
@@ -320,11 +320,11 @@
 void ReadRunner::expire()
 {
     const Instant now = context_.now();
-    std::vector<ReadPtr> late;
+    std::vector<ReadPtr> overdue;
     for (const auto &[number, read] : reads_)
         if (read->request->cancelled || read->request->deadline <= now)
-            late.push_back(read);
-    for (const ReadPtr &read : late)
+            overdue.push_back(read);
+    for (const ReadPtr &read : overdue)
         refuse(read, {Reason::DeadlineExceeded, "", Executed::No, Duration(0), ""});
 }
 
--- a/src/owner/readrunner.h
+++ b/src/owner/readrunner.h
@@ -33,18 +33,18 @@
     using ReadPtr = std::shared_ptr<Read>;
 
     void route(const ReadPtr &read);
-    bool admits(const ReadPtr &read);
+    bool admit(const ReadPtr &read);
     void submit(const ReadPtr &read, const decision::Route &route);
     void start(const ReadPtr &read, const ConnectionPtr &connection);
     static std::vector<backend::Statement> makeBatch(const Read &read);
     void onResult(const ReadPtr &read, const ConnectionPtr &connection,
                   backend::BatchResult result);
     void onDone(const ReadPtr &read, Rows rows);
-    bool stillHolds(const Read &read) const;
-    void onRefused(const ReadPtr &read, const LaneRefusal &refusal);
-    void again(const ReadPtr &read, Reason why);
+    bool isStillValid(const Read &read) const;
+    void onRefused(const ReadPtr &read, const WorkRefusal &refusal);
+    void retry(const ReadPtr &read, Reason retryReason);
     void refuse(const ReadPtr &read, Refusal refusal);
-    void forget(const ReadPtr &read);
+    void remove(const ReadPtr &read);
 
     GroupContext &context_;
     std::unique_ptr<decision::Routing> routing_;
--- a/src/owner/recordpurge.cpp
+++ b/src/owner/recordpurge.cpp
@@ -20,19 +20,19 @@
     if (now < next_ || !context_.primaryTerm())
         return;
     next_ = now + purgePeriod;
-    ServerLane *lane = context_.servers.lane(*context_.failover.decision()->primary());
-    if (lane && lane->admission().busy() == 0 && context_.ownership.holdsLease())
-        run(*lane);
+    ServerExecutor *executor = context_.servers.executor(*context_.failover.decision()->primary());
+    if (executor && executor->admission().busy() == 0 && context_.ownership.holdsLease())
+        run(*executor);
 }
 
-void RecordPurge::run(ServerLane &lane)
+void RecordPurge::run(ServerExecutor &executor)
 {
-    const ServerName server = lane.server().name;
-    LaneWork work;
+    const ServerName server = executor.server().name;
+    ExecutorWork work;
     work.work.id = purgeWork;
     work.work.requestClass = settings::RequestClass::Browse;
     work.work.deadline = context_.now() + purgeDeadline;
-    work.refused = [](const LaneRefusal &) {};
+    work.refused = [](const WorkRefusal &) {};
     std::weak_ptr<bool> alive = alive_;
     work.start = [this, alive, server, own = work.work](const ConnectionPtr &connection) {
         if (alive.expired())
@@ -43,14 +43,15 @@
                                     std::chrono::system_clock::now(),
                                     context_.limits().keyRetention, purgeLimit),
             [this, alive, server, own, began, connection](const backend::BatchResult &result) {
-                ServerLane *used = alive.expired() ? nullptr : context_.servers.lane(server);
+                ServerExecutor *used =
+                    alive.expired() ? nullptr : context_.servers.executor(server);
                 if (!used)
                     return;
                 used->finished(own, context_.now() - began);
                 used->release(connection, !result.connectionLost);
             });
     };
-    lane.submit(std::move(work));
+    executor.submit(std::move(work));
 }
 
 } // namespace kelptally::owner
--- a/src/owner/recordpurge.h
+++ b/src/owner/recordpurge.h
@@ -17,7 +17,7 @@
     void tick();
 
 private:
-    void run(ServerLane &lane);
+    void run(ServerExecutor &executor);
 
     GroupContext &context_;
     Instant next_;
--- a/src/owner/responder.cpp
+++ b/src/owner/responder.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // What the entry is told should no message hold the answer; lacks the detail.
-inner::ExecuteResult withoutRows(const inner::ExecuteResult &whole)
+inner::ExecuteResult makeOversizeResult(const inner::ExecuteResult &whole)
 {
     inner::ExecuteResult result;
     result.requestId = whole.requestId;
@@ -30,11 +30,11 @@
     result.byteLength = result.rows.byteLength();
     result.ownerTime = ports_.timers.now() - request.arrived;
     ports_.metrics.countAnswer(result.reason);
-    inner::ExecuteResult instead = withoutRows(result);
+    inner::ExecuteResult fallback = makeOversizeResult(result);
     absl::Status sent = ports_.links.sendOn(request.link, std::move(result));
     if (absl::IsOutOfRange(sent)) {
-        instead.detail = "the answer is too large: " + std::string(sent.message());
-        sent = ports_.links.sendOn(request.link, std::move(instead));
+        fallback.detail = "the answer is too large: " + std::string(sent.message());
+        sent = ports_.links.sendOn(request.link, std::move(fallback));
     }
     if (!sent.ok())
         ports_.metrics.countUnsent();
--- a/src/owner/serverlane.h
+++ b/src/owner/serverexecutor.h
@@ -15,7 +15,7 @@
 using ConnectionPtr = std::shared_ptr<backend::Connection>;
 
 // Why work left a lane without having started.
-struct LaneRefusal
+struct WorkRefusal
 {
     Reason reason = Reason::None;
     Duration retryAfter {0};
@@ -25,23 +25,23 @@
 };
 
 // Work for one server: exactly one of its functions is called, unless it is cancelled.
-struct LaneWork
+struct ExecutorWork
 {
     decision::Work work;
     // A transaction's own connection; nothing: one of the pool.
     ConnectionPtr pinned;
     std::function<void(ConnectionPtr)> start;
-    std::function<void(const LaneRefusal &)> refused;
+    std::function<void(const WorkRefusal &)> refused;
 };
 
 // The way to one server: its queue and slots, and the pool of connections under them.
-class ServerLane : public std::enable_shared_from_this<ServerLane>
+class ServerExecutor : public std::enable_shared_from_this<ServerExecutor>
 {
 public:
-    ServerLane(const settings::Group &group, const settings::Server &server,
-               const settings::Limits &limits, OwnerPorts &ports);
+    ServerExecutor(const settings::Group &group, const settings::Server &server,
+                   const settings::Limits &limits, OwnerPorts &ports);
 
-    void submit(LaneWork work);
+    void submit(ExecutorWork work);
     // Takes waiting work away; false when it has started or is unknown.
     bool cancel(decision::WorkId id);
 
@@ -51,10 +51,10 @@
     void release(const ConnectionPtr &connection, bool reusable);
 
     // Refuses everything that waits.
-    void refuseAll(const LaneRefusal &refusal);
+    void refuseAll(const WorkRefusal &refusal);
     // Closes idle connections now and those in use when given back; those in use are cut at once
     // when told so.
-    void closeConnections(bool cutRunning);
+    void closeConnections(bool abortRunning);
     // Refuses what can no longer be done in time.
     void expire();
 
@@ -70,16 +70,16 @@
     int openConnections() const { return pool_->counted(); }
 
 private:
-    void pump();
-    void startDue();
+    void dispatch();
+    void startAdmitted();
     void start(const decision::Work &work);
-    void dropLate();
+    void refuseDropped();
     void onConnection(decision::WorkId id, const absl::Status &status, ConnectionPtr connection);
-    void refuse(decision::WorkId id, const LaneRefusal &refusal);
+    void refuse(decision::WorkId id, const WorkRefusal &refusal);
 
-    struct Waiting
+    struct PendingWork
     {
-        LaneWork lane;
+        ExecutorWork queued;
         // Waits for a connection with its slot taken.
         bool hasSlot = false;
         backend::ConnectionPool::RequestId request = 0;
@@ -89,10 +89,10 @@
     settings::Server server_;
     decision::Admission admission_;
     std::shared_ptr<backend::ConnectionPool> pool_;
-    std::unordered_map<decision::WorkId, Waiting> works_;
+    std::unordered_map<decision::WorkId, PendingWork> pendingWorks_;
     int connectionLimit_ = 0;
-    bool pumping_ = false;
-    bool pumpAgain_ = false;
+    bool dispatching_ = false;
+    bool dispatchAgain_ = false;
 };
 
 } // namespace kelptally::owner
--- a/src/owner/transactionrunner.cpp
+++ b/src/owner/transactionrunner.cpp
@@ -15,7 +15,7 @@
 constexpr Duration retryAfterRefusal = std::chrono::milliseconds(300);
 
 // Ids of transactions must not be guessed.
-std::uint64_t drawSeed()
+std::uint64_t randomSeed()
 {
     std::random_device source;
     return (static_cast<std::uint64_t>(source()) << 32) | source();
@@ -23,7 +23,7 @@
 
 } // namespace
 
-struct TransactionRunner::Pinned
+struct TransactionRunner::PinnedTransaction
 {
     TransactionId id;
     ConnectionPtr connection;
@@ -57,7 +57,7 @@
 void TransactionRunner::start(OwnerEpoch epoch)
 {
     transactions_ = std::make_unique<decision::Transactions>(
-        context_.group, context_.ports.self.address, epoch, drawSeed(),
+        context_.group, context_.ports.self.address, epoch, randomSeed(),
         context_.limits().transactionIdle, context_.servers.transactionLimit());
 }
 
@@ -77,9 +77,9 @@
 void TransactionRunner::begin(const StepPtr &step)
 {
     const std::optional<Term> term = context_.primaryTerm();
-    ServerLane *lane =
-        term ? context_.servers.lane(*context_.failover.decision()->primary()) : nullptr;
-    if (!lane) {
+    ServerExecutor *executor =
+        term ? context_.servers.executor(*context_.failover.decision()->primary()) : nullptr;
+    if (!executor) {
         refuse(step, {Reason::NoPrimary, "", Executed::No, retryAfterRefusal, ""});
         return;
     }
@@ -92,36 +92,36 @@
     }
     transactions_->enter(context_.now(), *step->id, step->request->execute.team);
     step->term = *term;
-    submit(step, *lane, nullptr);
+    submit(step, *executor, nullptr);
 }
 
 void TransactionRunner::enter(const StepPtr &step)
 {
     const auto id = TransactionId::fromText(step->request->execute.transaction);
     if (!id) {
-        refuseEntry(step, Reason::UnknownTransaction);
+        onEnterRefused(step, Reason::UnknownTransaction);
         return;
     }
     const Reason reason = transactions_->enter(context_.now(), *id, step->request->execute.team);
     step->id = id;
     if (reason != Reason::None) {
-        refuseEntry(step, reason);
+        onEnterRefused(step, reason);
         return;
     }
     const auto pinned = pinned_.find(id->number);
-    ServerLane *lane =
-        pinned == pinned_.end() ? nullptr : context_.servers.lane(pinned->second.server);
-    if (!lane) {
+    ServerExecutor *executor =
+        pinned == pinned_.end() ? nullptr : context_.servers.executor(pinned->second.server);
+    if (!executor) {
         end(*id, Reason::TransactionEnded, false);
-        refuseEntry(step, Reason::TransactionEnded);
+        onEnterRefused(step, Reason::TransactionEnded);
         return;
     }
     step->term = pinned->second.term;
-    submit(step, *lane, pinned->second.connection);
+    submit(step, *executor, pinned->second.connection);
 }
 
 // A commit that is repeated is told its outcome as far as it is remembered.
-void TransactionRunner::refuseEntry(const StepPtr &step, Reason reason)
+void TransactionRunner::onEnterRefused(const StepPtr &step, Reason reason)
 {
     const bool commit = step->kind() == StatementStep::Commit;
     if (commit && step->id && transactions_->committed(*step->id)) {
@@ -132,29 +132,29 @@
         return;
     }
     const bool earlierOwner = step->id && step->id->epoch != context_.ownership.epoch();
-    const bool open = commit && (earlierOwner || reason == Reason::Unconfirmed);
+    const bool outcomeUnknown = commit && (earlierOwner || reason == Reason::Unconfirmed);
     const bool ended = reason == Reason::TransactionEnded || reason == Reason::TransactionIdle
         || reason == Reason::UnknownTransaction || reason == Reason::Unconfirmed;
     step->id.reset();
     if (commit && ended && !step->request->execute.key.empty()) {
-        settleCommit(step, {Reason::TransactionEnded, "", Executed::No, Duration(0), ""});
+        resolveCommit(step, {Reason::TransactionEnded, "", Executed::No, Duration(0), ""});
         return;
     }
-    refuse(step, {reason, "", open ? Executed::Unknown : Executed::No, Duration(0), ""});
+    refuse(step, {reason, "", outcomeUnknown ? Executed::Unknown : Executed::No, Duration(0), ""});
 }
 
-void TransactionRunner::settleCommit(const StepPtr &step, const Refusal &refusal)
+void TransactionRunner::resolveCommit(const StepPtr &step, const Refusal &refusal)
 {
     steps_.erase(step->request->number);
-    writes_.settle(step->request, refusal);
+    writes_.resolve(step->request, refusal);
 }
 
-void TransactionRunner::submit(const StepPtr &step, ServerLane &lane, ConnectionPtr pinned)
+void TransactionRunner::submit(const StepPtr &step, ServerExecutor &executor, ConnectionPtr pinned)
 {
-    step->server = lane.server().name;
+    step->server = executor.server().name;
     step->queued = true;
     step->work = workOf(*step->request);
-    LaneWork work;
+    ExecutorWork work;
     work.work = step->work;
     work.pinned = std::move(pinned);
     std::weak_ptr<bool> alive = alive_;
@@ -162,11 +162,11 @@
         if (!alive.expired())
             start(step, connection);
     };
-    work.refused = [this, alive, step](const LaneRefusal &refusal) {
+    work.refused = [this, alive, step](const WorkRefusal &refusal) {
         if (!alive.expired())
             onRefused(step, refusal);
     };
-    lane.submit(std::move(work));
+    executor.submit(std::move(work));
 }
 
 bool TransactionRunner::mayStart(const Step &step) const
@@ -178,10 +178,10 @@
 {
     step->queued = false;
     if (!mayStart(*step)) {
-        if (ServerLane *lane = context_.servers.lane(step->server)) {
-            lane->finished(step->work, std::nullopt);
+        if (ServerExecutor *executor = context_.servers.executor(step->server)) {
+            executor->finished(step->work, std::nullopt);
             if (step->kind() == StatementStep::Begin)
-                lane->release(connection, true);
+                executor->release(connection, true);
         }
         end(*step->id, Reason::TransactionEnded, true);
         refuse(step, {Reason::TransactionEnded, "", Executed::No, Duration(0), ""});
@@ -195,13 +195,14 @@
         return;
     }
     std::weak_ptr<bool> alive = alive_;
-    connection->run(batchFor(*step), [this, alive, step, connection](backend::BatchResult result) {
-        if (!alive.expired())
-            onResult(step, connection, std::move(result));
-    });
+    connection->run(makeStepBatch(*step),
+                    [this, alive, step, connection](backend::BatchResult result) {
+                        if (!alive.expired())
+                            onResult(step, connection, std::move(result));
+                    });
 }
 
-std::vector<backend::Statement> TransactionRunner::batchFor(const Step &step)
+std::vector<backend::Statement> TransactionRunner::makeStepBatch(const Step &step)
 {
     const inner::Execute &execute = step.request->execute;
     if (step.kind() == StatementStep::Begin)
@@ -271,11 +272,11 @@
 void TransactionRunner::runCommit(const StepPtr &step, const ConnectionPtr &connection)
 {
     std::weak_ptr<bool> alive = alive_;
-    backend::WriteContext flow;
-    flow.connection = connection;
-    flow.statements = context_.statements();
-    flow.mayCommit = [this, alive, step] { return !alive.expired() && mayStart(*step); };
-    backend::runCommit(std::move(flow), context_.makeWrite(step->request->execute),
+    backend::WriteContext writeContext;
+    writeContext.connection = connection;
+    writeContext.statements = context_.statements();
+    writeContext.mayCommit = [this, alive, step] { return !alive.expired() && mayStart(*step); };
+    backend::runCommit(std::move(writeContext), context_.makeWrite(step->request->execute),
                        [this, alive, step](backend::WriteOutcome outcome) {
                            if (!alive.expired())
                                onCommitOutcome(step, std::move(outcome));
@@ -312,7 +313,7 @@
     case backend::WriteState::Unknown:
         end(*step->id, Reason::Unconfirmed, reusable);
         if (!step->request->execute.key.empty())
-            settleCommit(step, refusal);
+            resolveCommit(step, refusal);
         else
             refuse(step, {Reason::Unconfirmed, "", Executed::Unknown, retryAfterRefusal, ""});
         return;
@@ -342,7 +343,7 @@
     step->confirmation = 0;
     if (outcome == ConfirmationOutcome::Lost && step->result.replayed) {
         transactions_->end(context_.now(), *step->id, Reason::Unconfirmed);
-        settleCommit(step, {Reason::TransactionEnded, "", Executed::No, Duration(0), ""});
+        resolveCommit(step, {Reason::TransactionEnded, "", Executed::No, Duration(0), ""});
         return;
     }
     if (outcome == ConfirmationOutcome::Lost) {
@@ -353,7 +354,7 @@
         return;
     }
     transactions_->end(context_.now(), *step->id, Reason::None);
-    if (outcome == ConfirmationOutcome::Open || !context_.ownership.holdsLease()) {
+    if (outcome == ConfirmationOutcome::Unresolved || !context_.ownership.holdsLease()) {
         refuse(step, {Reason::Unconfirmed, "", Executed::Unknown, retryAfterRefusal, ""});
         return;
     }
@@ -375,7 +376,7 @@
     refuse(step, refusal);
 }
 
-void TransactionRunner::onRefused(const StepPtr &step, const LaneRefusal &refusal)
+void TransactionRunner::onRefused(const StepPtr &step, const WorkRefusal &refusal)
 {
     step->queued = false;
     const bool began = step->kind() != StatementStep::Begin;
@@ -386,9 +387,9 @@
     refuse(step, {refusal.reason, refusal.detail, Executed::No, refusal.retryAfter, ""});
 }
 
-void TransactionRunner::end(const TransactionId &id, Reason why, bool reusable)
+void TransactionRunner::end(const TransactionId &id, Reason endReason, bool reusable)
 {
-    transactions_->end(context_.now(), id, why);
+    transactions_->end(context_.now(), id, endReason);
     releaseConnection(id, reusable);
 }
 
@@ -397,7 +398,7 @@
     const auto found = pinned_.find(id.number);
     if (found == pinned_.end())
         return;
-    const Pinned pinned = std::move(found->second);
+    const PinnedTransaction pinned = std::move(found->second);
     pinned_.erase(found);
     context_.servers.release(pinned.server, pinned.connection, reusable);
 }
@@ -411,10 +412,10 @@
 void TransactionRunner::refuse(const StepPtr &step, Refusal refusal)
 {
     if (step->confirmation != 0)
-        confirmations_.forget(step->confirmation);
+        confirmations_.remove(step->confirmation);
     if (step->queued)
-        if (ServerLane *lane = context_.servers.lane(step->server))
-            lane->cancel(step->request->number);
+        if (ServerExecutor *executor = context_.servers.executor(step->server))
+            executor->cancel(step->request->number);
     step->queued = false;
     steps_.erase(step->request->number);
     context_.responder.refuse(*step->request, refusal);
@@ -458,13 +459,13 @@
     for (const auto &[number, step] : steps_)
         all.push_back(step);
     for (const StepPtr &step : all) {
-        const bool open = step->sent && step->kind() == StatementStep::Commit;
-        Refusal own = refusal;
-        if (open)
-            own = {Reason::Unconfirmed, "", Executed::Unknown, retryAfterRefusal, ""};
+        const bool outcomeUnknown = step->sent && step->kind() == StatementStep::Commit;
+        Refusal stepRefusal = refusal;
+        if (outcomeUnknown)
+            stepRefusal = {Reason::Unconfirmed, "", Executed::Unknown, retryAfterRefusal, ""};
         else if (step->kind() != StatementStep::Begin)
-            own = {Reason::TransactionEnded, "", Executed::No, Duration(0), ""};
-        refuse(step, own);
+            stepRefusal = {Reason::TransactionEnded, "", Executed::No, Duration(0), ""};
+        refuse(step, stepRefusal);
     }
     endAllPinned();
 }
@@ -476,19 +477,19 @@
     const Instant now = context_.now();
     for (const TransactionId &id : transactions_->expireIdle(now))
         end(id, Reason::TransactionIdle, true);
-    std::vector<StepPtr> late;
+    std::vector<StepPtr> overdue;
     for (const auto &[number, step] : steps_)
         if (step->request->deadline <= now || (step->request->cancelled && step->queued))
-            late.push_back(step);
-    for (const StepPtr &step : late) {
-        const bool open = step->sent && step->kind() == StatementStep::Commit;
+            overdue.push_back(step);
+    for (const StepPtr &step : overdue) {
+        const bool outcomeUnknown = step->sent && step->kind() == StatementStep::Commit;
         if (step->queued && step->kind() != StatementStep::Begin)
             transactions_->leave(now, *step->id);
         else if (step->queued)
             end(*step->id, Reason::TransactionEnded, true);
         refuse(step,
-               {Reason::DeadlineExceeded, "", open ? Executed::Unknown : Executed::No, Duration(0),
-                ""});
+               {Reason::DeadlineExceeded, "", outcomeUnknown ? Executed::Unknown : Executed::No,
+                Duration(0), ""});
     }
 }
 
--- a/src/owner/transactionrunner.h
+++ b/src/owner/transactionrunner.h
@@ -34,18 +34,18 @@
 
 private:
     struct Step;
-    struct Pinned;
+    struct PinnedTransaction;
     using StepPtr = std::shared_ptr<Step>;
 
     void begin(const StepPtr &step);
     void enter(const StepPtr &step);
-    void refuseEntry(const StepPtr &step, Reason reason);
+    void onEnterRefused(const StepPtr &step, Reason reason);
     // The outcome of a commit is not known: its key tells.
-    void settleCommit(const StepPtr &step, const Refusal &refusal);
-    void submit(const StepPtr &step, ServerLane &lane, ConnectionPtr pinned);
+    void resolveCommit(const StepPtr &step, const Refusal &refusal);
+    void submit(const StepPtr &step, ServerExecutor &executor, ConnectionPtr pinned);
     void start(const StepPtr &step, const ConnectionPtr &connection);
     bool mayStart(const Step &step) const;
-    static std::vector<backend::Statement> batchFor(const Step &step);
+    static std::vector<backend::Statement> makeStepBatch(const Step &step);
     void onResult(const StepPtr &step, const ConnectionPtr &connection,
                   backend::BatchResult result);
     void onBegun(const StepPtr &step, const ConnectionPtr &connection);
@@ -56,10 +56,10 @@
     void onCommitted(const StepPtr &step, backend::WriteOutcome outcome);
     void onConfirmed(const StepPtr &step, ConfirmationOutcome outcome);
     void onLost(const StepPtr &step, const backend::BatchResult &result);
-    void onRefused(const StepPtr &step, const LaneRefusal &refusal);
+    void onRefused(const StepPtr &step, const WorkRefusal &refusal);
 
     // Ends the transaction and gives its connection back, which rolls back what is open.
-    void end(const decision::TransactionId &id, Reason why, bool reusable);
+    void end(const decision::TransactionId &id, Reason endReason, bool reusable);
     void releaseConnection(const decision::TransactionId &id, bool reusable);
     void endAllPinned();
     void answer(const StepPtr &step, inner::ExecuteResult result);
@@ -71,7 +71,7 @@
     std::unique_ptr<decision::Transactions> transactions_;
     std::map<std::uint64_t, StepPtr> steps_;
     // By the number of the transaction.
-    std::map<std::uint64_t, Pinned> pinned_;
+    std::map<std::uint64_t, PinnedTransaction> pinned_;
     // Answers that arrive after this object is gone are dropped.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/owner/writerunner.cpp
+++ b/src/owner/writerunner.cpp
@@ -11,13 +11,13 @@
 
 // How long a failover may take before writes are refused instead of held: its measured 99th
 // percentile lies below.
-constexpr Duration longestFailover = std::chrono::milliseconds(1500);
+constexpr Duration maxFailoverTime = std::chrono::milliseconds(1500);
 // Time a write is expected to need once there is a primary; chosen, not measured.
-constexpr Duration expectedWrite = std::chrono::milliseconds(30);
+constexpr Duration expectedWriteTime = std::chrono::milliseconds(30);
 constexpr Duration retryAfterRefusal = std::chrono::milliseconds(300);
 constexpr int maxAttempts = 6;
 // Between attempts after the first two.
-constexpr Duration attemptPause = std::chrono::milliseconds(20);
+constexpr Duration writeRetryDelay = std::chrono::milliseconds(20);
 
 } // namespace
 
@@ -45,7 +45,7 @@
     // Set once the write is only settled: what to say when it has never run.
     std::optional<Refusal> refusal;
     // What waits for confirmation is the record that it never runs.
-    bool isVoid = false;
+    bool confirmsVoidRecord = false;
     TimerId timer = 0;
 };
 
@@ -63,13 +63,13 @@
     submit(write);
 }
 
-void WriteRunner::settle(const RequestPtr &request, const Refusal &refusal)
+void WriteRunner::resolve(const RequestPtr &request, const Refusal &refusal)
 {
     auto write = std::make_shared<Write>();
     write->request = request;
     write->maybeExecuted = true;
     writes_.emplace(request->number, write);
-    settle(write, refusal);
+    resolve(write, refusal);
 }
 
 void WriteRunner::submit(const WritePtr &write)
@@ -79,37 +79,37 @@
         return;
     }
     const std::optional<Term> term = context_.primaryTerm();
-    ServerLane *lane =
-        term ? context_.servers.lane(*context_.failover.decision()->primary()) : nullptr;
-    if (!lane) {
+    ServerExecutor *executor =
+        term ? context_.servers.executor(*context_.failover.decision()->primary()) : nullptr;
+    if (!executor) {
         waitForPrimary(write);
         return;
     }
     write->state = Write::State::Queued;
-    write->server = lane->server().name;
+    write->server = executor->server().name;
     write->term = *term;
     write->work = workOf(*write->request);
-    LaneWork work;
+    ExecutorWork work;
     work.work = write->work;
     std::weak_ptr<bool> alive = alive_;
     work.start = [this, alive, write](const ConnectionPtr &connection) {
         if (!alive.expired())
             start(write, connection);
     };
-    work.refused = [this, alive, write](const LaneRefusal &refusal) {
+    work.refused = [this, alive, write](const WorkRefusal &refusal) {
         if (!alive.expired())
             onRefused(write, refusal);
     };
-    lane->submit(std::move(work));
+    executor->submit(std::move(work));
 }
 
 // A write is held only while a new primary can be expected before its deadline.
 bool WriteRunner::mayWaitForPrimary(const Write &write) const
 {
     const Instant now = context_.now();
-    const Instant since = primaryGoneSince_.value_or(now);
+    const Instant since = primaryLostAt_.value_or(now);
     const std::size_t limit = static_cast<std::size_t>(std::max(1, context_.limits().queueLength));
-    return now < since + longestFailover && now + expectedWrite < write.request->deadline
+    return now < since + maxFailoverTime && now + expectedWriteTime < write.request->deadline
         && writes_.size() <= limit;
 }
 
@@ -127,11 +127,11 @@
 
 void WriteRunner::start(const WritePtr &write, const ConnectionPtr &connection)
 {
-    ServerLane *lane = context_.servers.lane(write->server);
-    if (!lane || !mayStart(*write)) {
-        if (lane) {
-            lane->finished(write->work, std::nullopt);
-            lane->release(connection, true);
+    ServerExecutor *executor = context_.servers.executor(write->server);
+    if (!executor || !mayStart(*write)) {
+        if (executor) {
+            executor->finished(write->work, std::nullopt);
+            executor->release(connection, true);
         }
         if (!write->request->answered)
             submit(write);
@@ -141,12 +141,12 @@
     write->sentAt = context_.now();
     context_.ports.metrics.observeQueueWait(write->sentAt - write->request->arrived);
     std::weak_ptr<bool> alive = alive_;
-    backend::WriteContext flow;
-    flow.connection = connection;
-    flow.statements = context_.statements();
-    flow.mayCommit = [this, alive, write] { return !alive.expired() && mayStart(*write); };
-    const auto run = write->refusal ? backend::settleUnknown : backend::runWrite;
-    run(std::move(flow), context_.makeWrite(write->request->execute),
+    backend::WriteContext writeContext;
+    writeContext.connection = connection;
+    writeContext.statements = context_.statements();
+    writeContext.mayCommit = [this, alive, write] { return !alive.expired() && mayStart(*write); };
+    const auto run = write->refusal ? backend::resolveUnknown : backend::runWrite;
+    run(std::move(writeContext), context_.makeWrite(write->request->execute),
         [this, alive, write, connection](backend::WriteOutcome outcome) {
             if (!alive.expired())
                 onOutcome(write, connection, std::move(outcome));
@@ -170,15 +170,15 @@
         if (write->refusal && outcome.offset != 0)
             onCommitted(write, std::move(outcome));
         else
-            again(write, Reason::NoPrimary);
+            retry(write, Reason::NoPrimary);
         return;
     case backend::WriteState::NotPrimary:
         context_.failover.onConnectionLost(write->server);
-        again(write, Reason::NoPrimary);
+        retry(write, Reason::NoPrimary);
         return;
     case backend::WriteState::Unknown:
         write->maybeExecuted = true;
-        again(write, Reason::NoPrimary);
+        retry(write, Reason::NoPrimary);
         return;
     case backend::WriteState::Failed:
     case backend::WriteState::KeyReused:
@@ -193,7 +193,7 @@
 void WriteRunner::onCommitted(const WritePtr &write, backend::WriteOutcome outcome)
 {
     write->state = Write::State::Confirming;
-    write->isVoid = outcome.state == backend::WriteState::NotRun;
+    write->confirmsVoidRecord = outcome.state == backend::WriteState::NotRun;
     write->result = {};
     write->result.executed = Executed::Yes;
     write->result.rows = std::move(outcome.rows);
@@ -215,7 +215,7 @@
 void WriteRunner::onFailed(const WritePtr &write, const backend::WriteOutcome &outcome)
 {
     if (isServerStopping(outcome.sqlState)) {
-        again(write, Reason::NoPrimary);
+        retry(write, Reason::NoPrimary);
         return;
     }
     Refusal refusal {Reason::StatementFailed, describeError(outcome.sqlState, outcome.message),
@@ -232,10 +232,10 @@
         refusal.retryAfter = retryAfterRefusal;
         context_.failover.onConnectionLost(write->server);
     } else if (write->refusal) {
-        again(write, Reason::Unconfirmed);
+        retry(write, Reason::Unconfirmed);
         return;
     } else if (write->maybeExecuted && !write->request->execute.key.empty()) {
-        settle(write, refusal);
+        resolve(write, refusal);
         return;
     }
     refuse(write, refusal);
@@ -243,7 +243,7 @@
 
 // An earlier attempt may still come into force: a void record in the place of its key stops it, so
 // that "not run" stays true.
-void WriteRunner::settle(const WritePtr &write, const Refusal &refusal)
+void WriteRunner::resolve(const WritePtr &write, const Refusal &refusal)
 {
     write->refusal = refusal;
     submit(write);
@@ -258,15 +258,15 @@
         // earlier attempt did only the reading of its record may be lost.
         write->state = Write::State::WaitsForPrimary;
         write->maybeExecuted |= write->result.replayed;
-        again(write, Reason::Unconfirmed);
+        retry(write, Reason::Unconfirmed);
         return;
     }
-    if (outcome == ConfirmationOutcome::Open || !context_.ownership.holdsLease()) {
+    if (outcome == ConfirmationOutcome::Unresolved || !context_.ownership.holdsLease()) {
         refuse(write, {Reason::Unconfirmed, "", Executed::Unknown, retryAfterRefusal, ""});
         return;
     }
     context_.servers.onAcknowledged(*write->result.position);
-    if (write->isVoid) {
+    if (write->confirmsVoidRecord) {
         write->maybeExecuted = false;
         write->state = Write::State::WaitsForPrimary;
         refuse(write, *write->refusal);
@@ -275,18 +275,18 @@
     context_.ports.metrics.countWrite();
     if (write->result.replayed)
         context_.ports.metrics.countReplay();
-    forget(write);
+    remove(write);
     context_.responder.answer(*write->request, std::move(write->result));
 }
 
-void WriteRunner::onRefused(const WritePtr &write, const LaneRefusal &refusal)
+void WriteRunner::onRefused(const WritePtr &write, const WorkRefusal &refusal)
 {
     if (write->request->answered)
         return;
     write->state = Write::State::WaitsForPrimary;
     if (refusal.unreachable) {
         context_.failover.onConnectionLost(write->server);
-        again(write, Reason::NoPrimary);
+        retry(write, Reason::NoPrimary);
         return;
     }
     refuse(write, {refusal.reason, refusal.detail, Executed::No, refusal.retryAfter, ""});
@@ -294,20 +294,21 @@
 
 // Runs the write again at the primary of the moment. Only a write that may be repeated, or whose
 // key finds what an earlier attempt has done, gets here.
-void WriteRunner::again(const WritePtr &write, Reason why)
+void WriteRunner::retry(const WritePtr &write, Reason retryReason)
 {
     if (++write->attempts >= maxAttempts) {
-        refuse(write, {why, "several attempts failed", Executed::No, retryAfterRefusal, ""});
+        refuse(write,
+               {retryReason, "several attempts failed", Executed::No, retryAfterRefusal, ""});
         return;
     }
-    context_.ports.metrics.countRetry(why);
+    context_.ports.metrics.countRetry(retryReason);
     write->state = Write::State::WaitsForPrimary;
     if (write->attempts == 1) {
         submit(write);
         return;
     }
     std::weak_ptr<bool> alive = alive_;
-    write->timer = context_.ports.timers.subscribeAfter(attemptPause, [this, alive, write] {
+    write->timer = context_.ports.timers.subscribeAfter(writeRetryDelay, [this, alive, write] {
         if (alive.expired() || write->timer == 0)
             return;
         write->timer = 0;
@@ -318,21 +319,21 @@
 // Says that the work may have run when an attempt was sent and nothing has settled it since.
 void WriteRunner::refuse(const WritePtr &write, Refusal refusal)
 {
-    const bool open = write->maybeExecuted || write->state == Write::State::Running
+    const bool outcomeUnknown = write->maybeExecuted || write->state == Write::State::Running
         || write->state == Write::State::Confirming;
-    if (open && refusal.executed == Executed::No)
+    if (outcomeUnknown && refusal.executed == Executed::No)
         refusal.executed = Executed::Unknown;
-    forget(write);
+    remove(write);
     context_.responder.refuse(*write->request, refusal);
 }
 
-void WriteRunner::forget(const WritePtr &write)
+void WriteRunner::remove(const WritePtr &write)
 {
     if (write->state == Write::State::Queued)
-        if (ServerLane *lane = context_.servers.lane(write->server))
-            lane->cancel(write->request->number);
+        if (ServerExecutor *executor = context_.servers.executor(write->server))
+            executor->cancel(write->request->number);
     if (write->state == Write::State::Confirming)
-        confirmations_.forget(write->confirmation);
+        confirmations_.remove(write->confirmation);
     context_.ports.timers.cancel(write->timer);
     write->timer = 0;
     writes_.erase(write->request->number);
@@ -340,12 +341,12 @@
 
 void WriteRunner::onPrimaryGone()
 {
-    primaryGoneSince_ = context_.now();
+    primaryLostAt_ = context_.now();
 }
 
 void WriteRunner::onPrimaryReady()
 {
-    primaryGoneSince_.reset();
+    primaryLostAt_.reset();
     std::vector<WritePtr> held;
     for (const auto &[number, write] : writes_)
         if (write->state == Write::State::WaitsForPrimary && write->timer == 0)
@@ -361,25 +362,25 @@
         all.push_back(write);
     for (const WritePtr &write : all)
         refuse(write, refusal);
-    primaryGoneSince_.reset();
+    primaryLostAt_.reset();
 }
 
 void WriteRunner::expire()
 {
     const Instant now = context_.now();
-    std::vector<WritePtr> late;
-    std::vector<WritePtr> hopeless;
+    std::vector<WritePtr> overdue;
+    std::vector<WritePtr> withoutPrimary;
     for (const auto &[number, write] : writes_) {
         const bool idle =
             write->state == Write::State::WaitsForPrimary || write->state == Write::State::Queued;
         if (write->request->deadline <= now || (write->request->cancelled && idle))
-            late.push_back(write);
+            overdue.push_back(write);
         else if (write->state == Write::State::WaitsForPrimary && !mayWaitForPrimary(*write))
-            hopeless.push_back(write);
+            withoutPrimary.push_back(write);
     }
-    for (const WritePtr &write : late)
+    for (const WritePtr &write : overdue)
         refuse(write, {Reason::DeadlineExceeded, "", Executed::No, Duration(0), ""});
-    for (const WritePtr &write : hopeless)
+    for (const WritePtr &write : withoutPrimary)
         refuse(write, {Reason::NoPrimary, "", Executed::No, retryAfterRefusal, ""});
 }
 
--- a/src/owner/writerunner.h
+++ b/src/owner/writerunner.h
@@ -19,7 +19,7 @@
     void run(const RequestPtr &request);
     // Settles a request with a key of which an earlier attempt may have been committed, without
     // running it: answers from the record, or refuses once no attempt can be committed any more.
-    void settle(const RequestPtr &request, const Refusal &refusal);
+    void resolve(const RequestPtr &request, const Refusal &refusal);
 
     void onPrimaryGone();
     // Starts what waited for a primary.
@@ -45,16 +45,16 @@
     void onCommitted(const WritePtr &write, backend::WriteOutcome outcome);
     void onFailed(const WritePtr &write, const backend::WriteOutcome &outcome);
     void onConfirmed(const WritePtr &write, ConfirmationOutcome outcome);
-    void onRefused(const WritePtr &write, const LaneRefusal &refusal);
-    void again(const WritePtr &write, Reason why);
-    void settle(const WritePtr &write, const Refusal &refusal);
+    void onRefused(const WritePtr &write, const WorkRefusal &refusal);
+    void retry(const WritePtr &write, Reason retryReason);
+    void resolve(const WritePtr &write, const Refusal &refusal);
     void refuse(const WritePtr &write, Refusal refusal);
-    void forget(const WritePtr &write);
+    void remove(const WritePtr &write);
 
     GroupContext &context_;
     ConfirmationWaits &confirmations_;
     std::map<std::uint64_t, WritePtr> writes_;
-    std::optional<Instant> primaryGoneSince_;
+    std::optional<Instant> primaryLostAt_;
     // Answers that arrive after this object is gone are dropped.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/tests/backend/backendmeasure.cpp
+++ b/tests/backend/backendmeasure.cpp
@@ -42,7 +42,7 @@
     {
         timers_.subscribeAfter(12ms, [callback = std::move(callback)] {
             auto connection = std::make_shared<FakeConnection>();
-            connection->answersAtOnce = true;
+            connection->answersImmediately = true;
             callback(absl::OkStatus(), std::move(connection));
         });
     }
@@ -66,14 +66,14 @@
     std::vector<double> waits;
     double counted = 0;
     int running = 0;
-    const auto ask = [&](Duration hold, int slot) {
-        const Instant asked = timers.now();
+    const auto startRequest = [&](Duration hold, int slot) {
+        const Instant requestedAt = timers.now();
         running += slot;
-        pool->acquire(asked + 5s,
-                      [&, asked, hold, slot](const absl::Status &status, auto connection) {
+        pool->acquire(requestedAt + 5s,
+                      [&, requestedAt, hold, slot](const absl::Status &status, auto connection) {
                           if (!status.ok())
                               return;
-                          waits.push_back(toMilliseconds(timers.now() - asked));
+                          waits.push_back(toMilliseconds(timers.now() - requestedAt));
                           timers.subscribeAfter(hold, [&, connection, slot] {
                               running -= slot;
                               pool->release(connection, true);
@@ -85,9 +85,9 @@
         const bool burst = (i / 1000) % 60 == 59;
         std::exponential_distribution<double> hold(1.0 / 5000);
         if (random() % 1000 < (burst ? 400u : 40u) && running < 3)
-            ask(std::chrono::microseconds(static_cast<int>(hold(random))), 1);
+            startRequest(std::chrono::microseconds(static_cast<int>(hold(random))), 1);
         if (random() % 1000 < (burst ? 20u : 2u))
-            ask(200ms, 0);
+            startRequest(200ms, 0);
         counted += pool->counted();
     }
     const auto waited = std::count_if(waits.begin(), waits.end(), [](double w) { return w > 0; });
@@ -98,7 +98,7 @@
                 static_cast<unsigned long long>(pool->connects()), counted / 600000);
 }
 
-standin::ServerLimits agencyLimits()
+standin::ServerLimits remoteZoneLimits()
 {
     standin::ServerLimits limits;
     limits.clientDelay = 1500us;
@@ -106,7 +106,7 @@
 }
 
 template <typename Function>
-double timed(Function function)
+double measureMilliseconds(Function function)
 {
     const Instant start = BootClock::now();
     function();
@@ -115,21 +115,23 @@
 
 void measureConnects()
 {
-    DatabaseFixture fixture(1, agencyLimits());
+    DatabaseFixture fixture(1, remoteZoneLimits());
     std::vector<double> opened;
     std::vector<double> reset;
     for (int i = 0; i < 20; ++i)
-        opened.push_back(timed([&] { fixture.connect(); }));
+        opened.push_back(measureMilliseconds([&] { fixture.connect(); }));
     const auto connection = fixture.connect();
     for (int i = 0; i < 200; ++i)
-        reset.push_back(timed([&] { fixture.client.run(*connection, {{"DISCARD ALL", {}}}); }));
+        reset.push_back(measureMilliseconds([&] {
+            fixture.client.run(*connection, {{"DISCARD ALL", {}}});
+        }));
     print("open a connection (12 ms, 1.5 ms one way)", opened);
     print("reset a session instead", reset);
 }
 
 void measureWrites(const char *what, const std::string &sql, bool keyed)
 {
-    DatabaseFixture fixture(1, agencyLimits());
+    DatabaseFixture fixture(1, remoteZoneLimits());
     const auto connection = fixture.connect();
     std::vector<double> times;
     for (int i = 0; i < 300; ++i) {
@@ -140,14 +142,14 @@
         request.epoch = 1;
         request.attempt = makeAttemptNumber(1, static_cast<std::uint64_t>(i));
         request.now = WallTime(1800000000s);
-        times.push_back(timed([&] {
+        times.push_back(measureMilliseconds([&] {
             auto done = std::make_shared<std::promise<WriteOutcome>>();
             auto future = done->get_future();
             fixture.client.call([&] {
                 runWrite({connection, {}, {}}, request,
                          [done](WriteOutcome outcome) { done->set_value(std::move(outcome)); });
             });
-            if (DutyClient::wait(future).state != WriteState::Done)
+            if (BlockingClient::wait(future).state != WriteState::Done)
                 std::printf("a write was not done\n");
         }));
     }
@@ -160,7 +162,7 @@
                             "h.tariff WHERE h.municipality = $1 AND t.valid_to > $2 ORDER BY h.id";
     constexpr int count = 200000;
     std::size_t problems = 0;
-    const double time = timed([&] {
+    const double time = measureMilliseconds([&] {
         for (int i = 0; i < count; ++i)
             problems += findSqlProblem(inspectSql(sql), true).empty() ? 0 : 1;
     });
--- a/tests/backend/dutyclient.h
+++ b/tests/backend/blockingclient.h
@@ -12,13 +12,13 @@
 namespace kelptally::backend {
 
 // Drives connections on a duty thread from a test's own thread and waits for their callbacks.
-class DutyClient
+class BlockingClient
 {
 public:
     using Connected = std::pair<absl::Status, std::shared_ptr<Connection>>;
 
-    DutyClient() { thread_.start(); }
-    ~DutyClient() { thread_.stop(); }
+    BlockingClient() { thread_.start(); }
+    ~BlockingClient() { thread_.stop(); }
 
     DutyThread &thread() { return thread_; }
 
--- a/tests/backend/connectionpool_test.cpp
+++ b/tests/backend/connectionpool_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 // What one request for a connection was told.
-struct Taken
+struct AcquireResult
 {
     std::optional<absl::Status> status;
     std::shared_ptr<Connection> connection;
@@ -35,24 +35,25 @@
         return options;
     }
 
-    std::shared_ptr<Taken> take(Duration timeout = seconds(1))
+    std::shared_ptr<AcquireResult> acquireConnection(Duration timeout = seconds(1))
     {
-        auto taken = std::make_shared<Taken>();
-        pool->acquire(timers.now() + timeout,
-                      [taken](const absl::Status &status, std::shared_ptr<Connection> connection) {
-                          REQUIRE_FALSE(taken->status);
-                          taken->status = status;
-                          taken->connection = std::move(connection);
-                      });
-        return taken;
+        auto acquired = std::make_shared<AcquireResult>();
+        pool->acquire(
+            timers.now() + timeout,
+            [acquired](const absl::Status &status, std::shared_ptr<Connection> connection) {
+                REQUIRE_FALSE(acquired->status);
+                acquired->status = status;
+                acquired->connection = std::move(connection);
+            });
+        return acquired;
     }
     // A connection that was just opened.
-    std::shared_ptr<Connection> takeNew()
+    std::shared_ptr<Connection> acquireNewConnection()
     {
-        const auto taken = take();
-        while (!taken->status)
+        const auto acquired = acquireConnection();
+        while (!acquired->status)
             server->accept();
-        return taken->connection;
+        return acquired->connection;
     }
     static void runDone(Connection &connection, FakeConnection &raw, const std::string &sql,
                         bool inTransaction = false)
@@ -73,13 +74,13 @@
 TEST_CASE("a connection is reused once given back")
 {
     PoolFixture fixture;
-    const auto first = fixture.takeNew();
+    const auto first = fixture.acquireNewConnection();
     FakeConnection &raw = *fixture.server->connections.front();
     PoolFixture::runDone(*first, raw, "SELECT 1");
     const std::size_t opened = fixture.server->connections.size();
     fixture.pool->release(first, true);
     CHECK_FALSE(first->open());
-    const auto second = fixture.take();
+    const auto second = fixture.acquireConnection();
     REQUIRE(second->connection);
     CHECK(fixture.server->connections.size() == opened);
     PoolFixture::runDone(*second->connection, raw, "SELECT 2");
@@ -89,15 +90,15 @@
 TEST_CASE("one is opened ahead of the demand, within the limit")
 {
     PoolFixture fixture;
-    const auto first = fixture.takeNew();
+    const auto first = fixture.acquireNewConnection();
     fixture.server->acceptAll();
     CHECK(fixture.pool->idle() == 1);
-    const auto second = fixture.take();
-    const auto third = fixture.take();
+    const auto second = fixture.acquireConnection();
+    const auto third = fixture.acquireConnection();
     CHECK(second->connection);
     fixture.server->acceptAll();
     CHECK(third->connection);
-    const auto fourth = fixture.take();
+    const auto fourth = fixture.acquireConnection();
     CHECK(fixture.server->pending.empty());
     CHECK_FALSE(fourth->status);
     fixture.pool->release(first, true);
@@ -121,13 +122,13 @@
 TEST_CASE("a connection in an unknown state is closed, never reused")
 {
     PoolFixture fixture;
-    const auto connection = fixture.takeNew();
+    const auto connection = fixture.acquireNewConnection();
     const auto raw = fixture.server->connections.front();
 
     SECTION("its batch was cut")
     {
         connection->run({{"SELECT 1", {}}}, [](const BatchResult &) {});
-        raw->lose();
+        raw->loseConnection();
         fixture.pool->release(connection, true);
     }
     SECTION("its batch still runs")
@@ -152,7 +153,7 @@
 TEST_CASE("a batch that hangs for longer than any deadline is cut")
 {
     PoolFixture fixture;
-    const auto connection = fixture.takeNew();
+    const auto connection = fixture.acquireNewConnection();
     std::optional<BatchState> state;
     connection->run({{"SELECT 1", {}}},
                     [&state](const BatchResult &result) { state = result.state; });
@@ -166,7 +167,7 @@
 TEST_CASE("a connection that its user lets go of is closed")
 {
     PoolFixture fixture;
-    auto connection = fixture.takeNew();
+    auto connection = fixture.acquireNewConnection();
     const auto raw = fixture.server->connections.front();
     connection.reset();
     CHECK_FALSE(raw->open());
@@ -176,7 +177,7 @@
 TEST_CASE("an open transaction is rolled back before the next user")
 {
     PoolFixture fixture;
-    const auto connection = fixture.takeNew();
+    const auto connection = fixture.acquireNewConnection();
     const auto raw = fixture.server->connections.front();
     PoolFixture::runDone(*connection, *raw, "BEGIN", true);
     fixture.pool->release(connection, true);
@@ -190,7 +191,7 @@
     }
     SECTION("failed")
     {
-        raw->lose();
+        raw->loseConnection();
         CHECK(fixture.pool->idle() == 0);
     }
 }
@@ -200,7 +201,7 @@
     PoolOptions options = PoolFixture::defaults();
     options.resetStatement = GENERATE(as<std::string> {}, "DISCARD ALL", "");
     PoolFixture fixture(options);
-    const auto connection = fixture.takeNew();
+    const auto connection = fixture.acquireNewConnection();
     const auto raw = fixture.server->connections.front();
     PoolFixture::runDone(*connection, *raw, "SET search_path = x", true);
     fixture.pool->release(connection, true);
@@ -220,7 +221,7 @@
 TEST_CASE("who waits is told at the deadline, or at once when the server is out of reach")
 {
     PoolFixture fixture;
-    const auto waits = fixture.take(milliseconds(50));
+    const auto waits = fixture.acquireConnection(milliseconds(50));
 
     SECTION("deadline")
     {
@@ -234,11 +235,11 @@
             fixture.server->refuse(absl::UnavailableError("refused"));
         REQUIRE(waits->status);
         CHECK(absl::IsUnavailable(*waits->status));
-        const auto next = fixture.take();
+        const auto next = fixture.acquireConnection();
         REQUIRE(next->status);
         CHECK(fixture.server->pending.empty());
         fixture.timers.advance(seconds(1));
-        const auto later = fixture.take();
+        const auto later = fixture.acquireConnection();
         CHECK_FALSE(later->status);
         CHECK_FALSE(fixture.server->pending.empty());
     }
@@ -290,7 +291,7 @@
 TEST_CASE("closing all cancels who waits, cuts what runs and opens nothing by itself")
 {
     PoolFixture fixture;
-    const auto used = fixture.takeNew();
+    const auto used = fixture.acquireNewConnection();
     fixture.server->acceptAll();
     int unknown = 0;
     used->run({{"SELECT 1", {}}}, [&unknown](const BatchResult &result) {
@@ -303,7 +304,7 @@
     fixture.pool->setLimit(0, [&within] { within = true; });
     CHECK(fixture.pool->counted() == 2);
     CHECK_FALSE(within);
-    fixture.server->endCloses();
+    fixture.server->completeCloses();
     CHECK(within);
     CHECK(fixture.pool->counted() == 0);
     fixture.timers.advance(seconds(1));
@@ -313,7 +314,7 @@
 TEST_CASE("a connection lent before closeAll is not reused when given back after it")
 {
     PoolFixture fixture;
-    const auto used = fixture.takeNew();
+    const auto used = fixture.acquireNewConnection();
     fixture.pool->closeAll(false);
     CHECK(used->open());
     fixture.pool->release(used, true);
@@ -328,12 +329,12 @@
     options.limit = 5;
     PoolFixture fixture(options);
     std::vector<std::shared_ptr<Connection>> used;
-    const auto one = [&random](std::size_t size) { return random() % size; };
+    const auto pick = [&random](std::size_t size) { return random() % size; };
     for (int step = 0; step < 4000; ++step) {
-        switch (one(8)) {
+        switch (pick(8)) {
         case 0:
         case 1:
-            fixture.pool->acquire(fixture.timers.now() + milliseconds(one(100)),
+            fixture.pool->acquire(fixture.timers.now() + milliseconds(pick(100)),
                                   [&used](const absl::Status &status, auto connection) {
                                       if (status.ok())
                                           used.push_back(std::move(connection));
@@ -342,10 +343,10 @@
         case 2:
         case 3:
             if (!used.empty()) {
-                const auto at = used.begin() + static_cast<std::ptrdiff_t>(one(used.size()));
+                const auto at = used.begin() + static_cast<std::ptrdiff_t>(pick(used.size()));
                 const auto connection = *at;
                 used.erase(at);
-                fixture.pool->release(connection, one(4) != 0);
+                fixture.pool->release(connection, pick(4) != 0);
             }
             break;
         case 4:
@@ -353,14 +354,14 @@
                 fixture.server->accept();
             break;
         case 5:
-            if (!fixture.server->pending.empty() && one(3) == 0)
+            if (!fixture.server->pending.empty() && pick(3) == 0)
                 fixture.server->refuse(absl::UnavailableError("refused"));
             break;
         case 6:
-            fixture.server->endCloses();
+            fixture.server->completeCloses();
             break;
         default:
-            fixture.timers.advance(milliseconds(one(50)));
+            fixture.timers.advance(milliseconds(pick(50)));
         }
         REQUIRE(fixture.server->counted() <= 5);
         REQUIRE(fixture.pool->counted() <= 5);
--- a/tests/backend/databasefixture.h
+++ b/tests/backend/databasefixture.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "backend/postgresserver.h"
-#include "dutyclient.h"
+#include "blockingclient.h"
 #include "standin/databasegroup.h"
 
 #include <memory>
@@ -14,7 +14,7 @@
 class DatabaseFixture
 {
 public:
-    explicit DatabaseFixture(int servers = 1, standin::ServerLimits limits = freeLimits())
+    explicit DatabaseFixture(int servers = 1, standin::ServerLimits limits = noCostLimits())
         : group_(settingsFor(servers, limits))
     {
         group_.start();
@@ -26,7 +26,7 @@
         group_.stop();
     }
 
-    static standin::ServerLimits freeLimits()
+    static standin::ServerLimits noCostLimits()
     {
         standin::ServerLimits limits;
         limits.connectionCost = Duration(0);
@@ -64,7 +64,7 @@
         return result.rows.at(0).values.at(0).at(0).value_or("");
     }
 
-    DutyClient client;
+    BlockingClient client;
 
 private:
     static standin::DatabaseGroupSettings settingsFor(int servers,
--- a/tests/backend/fakeserver.h
+++ b/tests/backend/fakeserver.h
@@ -19,7 +19,7 @@
     {
         batches.push_back(std::move(batch));
         callback_ = std::move(callback);
-        if (answersAtOnce)
+        if (answersImmediately)
             answer({});
     }
     bool busy() const override { return callback_ != nullptr; }
@@ -28,14 +28,14 @@
     {
         open_ = false;
         if (callback_)
-            lose();
+            loseConnection();
     }
-    void closeThen(std::function<void()> closed) override
+    void closeAsync(std::function<void()> closed) override
     {
         close();
         closed_ = std::move(closed);
-        if (answersAtOnce)
-            endClose();
+        if (answersImmediately)
+            completeClose();
     }
 
     void answer(BatchResult result)
@@ -44,7 +44,7 @@
             result.state = BatchState::Done;
         std::exchange(callback_, nullptr)(std::move(result));
     }
-    void lose()
+    void loseConnection()
     {
         open_ = false;
         BatchResult result;
@@ -53,14 +53,14 @@
         std::exchange(callback_, nullptr)(std::move(result));
     }
     // The server has closed its side.
-    void endClose()
+    void completeClose()
     {
         if (closed_)
             std::exchange(closed_, nullptr)();
     }
     bool closing() const { return closed_ != nullptr; }
 
-    bool answersAtOnce = false;
+    bool answersImmediately = false;
     std::vector<std::vector<Statement>> batches;
 
 private:
@@ -98,10 +98,10 @@
         pending.pop_front();
         callback(status, nullptr);
     }
-    void endCloses()
+    void completeCloses()
     {
         for (const auto &connection : std::vector<std::shared_ptr<FakeConnection>>(connections))
-            connection->endClose();
+            connection->completeClose();
     }
     // As the server counts them: being opened, open, or not yet closed on its side.
     std::size_t counted() const
--- a/tests/backend/lossyconnection.h
+++ b/tests/backend/lossyconnection.h
@@ -18,8 +18,8 @@
         None,
         // It runs, the answer is lost.
         Answer,
-        // It runs only with runLate(), long after it was given up.
-        Late,
+        // It runs only with runDelayed(), long after it was given up.
+        Delayed,
     };
 
     LossyConnection(std::shared_ptr<Connection> inner, Loss loss, std::size_t lostBatch = 0)
@@ -37,7 +37,7 @@
         if (loss_ == Loss::Answer)
             return inner_->run(std::move(batch),
                                [callback, unknown](const BatchResult &) { callback(unknown); });
-        late_ = std::move(batch);
+        delayed_ = std::move(batch);
         callback(unknown);
     }
     bool busy() const override { return inner_->busy(); }
@@ -45,10 +45,10 @@
     void close() override { inner_->close(); }
 
     // Whether the server was given no batch yet of what was held up.
-    bool holdsLate() const { return !late_.empty(); }
-    void runLate(BatchCallback callback)
+    bool hasDelayedBatch() const { return !delayed_.empty(); }
+    void runDelayed(BatchCallback callback)
     {
-        inner_->run(std::exchange(late_, {}), std::move(callback));
+        inner_->run(std::exchange(delayed_, {}), std::move(callback));
     }
 
 private:
@@ -56,7 +56,7 @@
     const Loss loss_;
     const std::size_t lostBatch_;
     std::size_t batches_ = 0;
-    std::vector<Statement> late_;
+    std::vector<Statement> delayed_;
 };
 
 } // namespace kelptally::backend
--- a/tests/backend/poolstandin_test.cpp
+++ b/tests/backend/poolstandin_test.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-struct PoolOnStandin : DatabaseFixture
+struct StandinPoolFixture : DatabaseFixture
 {
-    explicit PoolOnStandin(standin::ServerLimits limits = freeLimits()) : DatabaseFixture(1, limits)
+    explicit StandinPoolFixture(standin::ServerLimits limits = noCostLimits())
+        : DatabaseFixture(1, limits)
     { }
-    ~PoolOnStandin()
+    ~StandinPoolFixture()
     {
         client.call([&] { pools_.clear(); });
     }
@@ -32,9 +33,9 @@
         return pool;
     }
 
-    std::future<DutyClient::Connected> ask(ConnectionPool &pool)
+    std::future<BlockingClient::Connected> startAcquire(ConnectionPool &pool)
     {
-        auto promise = std::make_shared<std::promise<DutyClient::Connected>>();
+        auto promise = std::make_shared<std::promise<BlockingClient::Connected>>();
         auto future = promise->get_future();
         client.call([&] {
             pool.acquire(client.thread().timers().now() + seconds(60),
@@ -44,14 +45,14 @@
         });
         return future;
     }
-    std::shared_ptr<Connection> take(ConnectionPool &pool)
+    std::shared_ptr<Connection> acquireConnection(ConnectionPool &pool)
     {
-        auto future = ask(pool);
-        auto [status, connection] = DutyClient::wait(future);
+        auto future = startAcquire(pool);
+        auto [status, connection] = BlockingClient::wait(future);
         REQUIRE(status.ok());
         return connection;
     }
-    void give(ConnectionPool &pool, const std::shared_ptr<Connection> &connection)
+    void returnConnection(ConnectionPool &pool, const std::shared_ptr<Connection> &connection)
     {
         client.call([&] { pool.release(connection, true); });
     }
@@ -64,7 +65,7 @@
             pool.closeAll(true);
             pool.setLimit(0, [&closed] { closed.set_value(); });
         });
-        DutyClient::wait(future);
+        BlockingClient::wait(future);
     }
     int peakConnections()
     {
@@ -83,22 +84,22 @@
 TEST_CASE("connections stay within the count while one owner's pool follows another's")
 {
     // The server itself would allow many more.
-    PoolOnStandin fixture;
+    StandinPoolFixture fixture;
     constexpr int limit = 4;
     for (int owner = 0; owner < 25; ++owner) {
         const auto pool = fixture.makePool(limit);
-        std::vector<std::future<DutyClient::Connected>> asked;
+        std::vector<std::future<BlockingClient::Connected>> acquisitions;
         for (int i = 0; i < limit + 2; ++i)
-            asked.push_back(fixture.ask(*pool));
+            acquisitions.push_back(fixture.startAcquire(*pool));
         std::vector<std::shared_ptr<Connection>> used;
         for (int i = 0; i < limit; ++i)
-            used.push_back(DutyClient::wait(asked[static_cast<std::size_t>(i)]).second);
+            used.push_back(BlockingClient::wait(acquisitions[static_cast<std::size_t>(i)]).second);
         // Some are given back, some cut in the middle of a batch.
-        fixture.give(*pool, used.back());
-        used.push_back(DutyClient::wait(asked[limit]).second);
+        fixture.returnConnection(*pool, used.back());
+        used.push_back(BlockingClient::wait(acquisitions[limit]).second);
         auto running = fixture.client.start(*used.front(), {{"SELECT 1", {}}});
         fixture.closeAndWait(*pool);
-        DutyClient::wait(running);
+        BlockingClient::wait(running);
         fixture.client.call([&] { used.clear(); });
     }
     CHECK(fixture.peakConnections() == limit);
@@ -106,29 +107,29 @@
 
 TEST_CASE("who asks a full server waits for its next connection")
 {
-    standin::ServerLimits limits = DatabaseFixture::freeLimits();
+    standin::ServerLimits limits = DatabaseFixture::noCostLimits();
     limits.connections = 1;
-    PoolOnStandin fixture(limits);
+    StandinPoolFixture fixture(limits);
     const auto other = fixture.connect();
     const auto pool = fixture.makePool(3);
-    auto asked = fixture.ask(*pool);
-    CHECK(asked.wait_for(std::chrono::milliseconds(100)) == std::future_status::timeout);
+    auto acquisitions = fixture.startAcquire(*pool);
+    CHECK(acquisitions.wait_for(std::chrono::milliseconds(100)) == std::future_status::timeout);
     fixture.client.call([&] { other->close(); });
-    const auto connection = DutyClient::wait(asked).second;
+    const auto connection = BlockingClient::wait(acquisitions).second;
     REQUIRE(connection);
     CHECK(fixture.client.run(*connection, {{"SELECT 1", {}}}).state == BatchState::Done);
-    fixture.give(*pool, connection);
+    fixture.returnConnection(*pool, connection);
 }
 
 TEST_CASE("nothing of one user's session or transaction reaches the next")
 {
-    PoolOnStandin fixture;
+    StandinPoolFixture fixture;
     const auto pool = fixture.makePool(1);
-    const auto first = fixture.take(*pool);
+    const auto first = fixture.acquireConnection(*pool);
     fixture.client.run(*first, {{"SET search_path = 'north'", {}}});
     fixture.client.run(*first, {{"BEGIN", {}}, {"INSERT INTO decision (amount) VALUES (1)", {}}});
-    fixture.give(*pool, first);
-    const auto second = fixture.take(*pool);
+    fixture.returnConnection(*pool, first);
+    const auto second = fixture.acquireConnection(*pool);
     const BatchResult result = fixture.client.run(
         *second, {{"SHOW search_path", {}}, {"SELECT count(*) FROM decision", {}}});
     REQUIRE(result.state == BatchState::Done);
@@ -136,14 +137,14 @@
     CHECK(result.rows[1].values[0][0] == Value("0"));
     // The same connection was used: it was reset, not opened anew.
     CHECK(fixture.client.call([&] { return pool->connects(); }) == 1);
-    fixture.give(*pool, second);
+    fixture.returnConnection(*pool, second);
 }
 
 TEST_CASE("a batch on a server that hangs ends when its connection is closed, which stays counted")
 {
-    PoolOnStandin fixture;
+    StandinPoolFixture fixture;
     const auto pool = fixture.makePool(1);
-    const auto connection = fixture.take(*pool);
+    const auto connection = fixture.acquireConnection(*pool);
     const auto setPaused = [&](bool paused) {
         fixture.server().callAndWait(
             [paused](standin::DatabaseServer &server) { server.setPaused(paused); });
@@ -152,10 +153,10 @@
     auto running = fixture.client.start(*connection, {{"SELECT 1", {}}});
     CHECK(running.wait_for(std::chrono::milliseconds(50)) == std::future_status::timeout);
     fixture.client.call([&] { pool->release(connection, false); });
-    CHECK(DutyClient::wait(running).state == BatchState::Unknown);
+    CHECK(BlockingClient::wait(running).state == BatchState::Unknown);
     CHECK(fixture.client.call([&] { return pool->counted(); }) == 1);
-    auto next = fixture.ask(*pool);
+    auto next = fixture.startAcquire(*pool);
     setPaused(false);
-    CHECK(DutyClient::wait(next).first.ok());
+    CHECK(BlockingClient::wait(next).first.ok());
     CHECK(fixture.peakConnections() == 1);
 }
--- a/tests/backend/postgresserver_test.cpp
+++ b/tests/backend/postgresserver_test.cpp
@@ -1,6 +1,6 @@
 #include "backend/postgresserver.h"
 
-#include "dutyclient.h"
+#include "blockingclient.h"
 #include "scriptedserver.h"
 
 #include <catch2/catch.hpp>
@@ -30,7 +30,7 @@
 
 TEST_CASE("a connect is refused where nothing listens")
 {
-    DutyClient client;
+    BlockingClient client;
     int port = 0;
     {
         boost::asio::io_context context;
@@ -47,7 +47,7 @@
 TEST_CASE("a connect to a server that hangs ends at the timeout")
 {
     ScriptedServer peer([](Socket &socket) { ScriptedServer::drain(socket); });
-    DutyClient client;
+    BlockingClient client;
     const auto server = makePostgresServer(client.thread(), peer.endpoint());
     const auto [status, connection] = client.connect(*server, std::chrono::milliseconds(50));
     CHECK(absl::IsDeadlineExceeded(status));
@@ -56,7 +56,7 @@
 
 TEST_CASE("a connect tells a full server from another refusal")
 {
-    DutyClient client;
+    BlockingClient client;
     const auto refusedWith = [&](const std::string &state) {
         ScriptedServer peer([&](Socket &socket) {
             ScriptedServer::send(socket, ScriptedServer::error("FATAL", state));
@@ -72,7 +72,7 @@
 {
     ScriptedServer peer(
         answerBatch(ScriptedServer::emptyAnswer() + ScriptedServer::emptyAnswer() + ready, false));
-    DutyClient client;
+    BlockingClient client;
     const auto server = makePostgresServer(client.thread(), peer.endpoint());
     const auto [status, connection] = client.connect(*server);
     REQUIRE(status.ok());
@@ -87,7 +87,7 @@
 {
     ScriptedServer peer(answerBatch(
         ScriptedServer::emptyAnswer() + ScriptedServer::error("ERROR", "KF001") + ready, false));
-    DutyClient client;
+    BlockingClient client;
     const auto server = makePostgresServer(client.thread(), peer.endpoint());
     const auto connection = client.connect(*server).second;
     const BatchResult result =
@@ -105,7 +105,7 @@
     const std::string answer = GENERATE(std::string(), ScriptedServer::emptyAnswer(),
                                         ScriptedServer::error("FATAL", "57P01"));
     ScriptedServer peer(answerBatch(answer, true));
-    DutyClient client;
+    BlockingClient client;
     const auto server = makePostgresServer(client.thread(), peer.endpoint());
     const auto connection = client.connect(*server).second;
     const BatchResult result = client.run(*connection, {{"SET a", {}}});
@@ -121,7 +121,7 @@
 TEST_CASE("closing a connection ends its running batch as unknown")
 {
     ScriptedServer peer(answerBatch("", false));
-    DutyClient client;
+    BlockingClient client;
     const auto server = makePostgresServer(client.thread(), peer.endpoint());
     auto connection = client.connect(*server).second;
     auto running = client.start(*connection, {{"SET a", {}}});
@@ -137,7 +137,7 @@
     {
         client.call([&] { connection.reset(); });
     }
-    CHECK(DutyClient::wait(running).state == BatchState::Unknown);
+    CHECK(BlockingClient::wait(running).state == BatchState::Unknown);
 }
 
 TEST_CASE("an idle connection sees that its server closed it")
@@ -148,7 +148,7 @@
         socket.close();
         closed.set_value();
     });
-    DutyClient client;
+    BlockingClient client;
     const auto server = makePostgresServer(client.thread(), peer.endpoint());
     const auto [status, connection] = client.connect(*server);
     REQUIRE(status.ok());
@@ -161,7 +161,7 @@
 TEST_CASE("text that libpq would cut at a NUL is refused and the connection stays")
 {
     ScriptedServer peer(answerBatch("", false));
-    DutyClient client;
+    BlockingClient client;
     const auto server = makePostgresServer(client.thread(), peer.endpoint());
     const auto connection = client.connect(*server).second;
     const BatchResult result =
--- a/tests/backend/writeflow_test.cpp
+++ b/tests/backend/writeflow_test.cpp
@@ -51,33 +51,33 @@
             flow(context, request,
                  [promise](WriteOutcome outcome) { promise->set_value(std::move(outcome)); });
         });
-        return DutyClient::wait(future);
+        return BlockingClient::wait(future);
     }
     WriteOutcome write(const WriteRequest &request) { return run(runWrite, connect(), request); }
-    WriteOutcome settle(const WriteRequest &request)
+    WriteOutcome resolve(const WriteRequest &request)
     {
-        return run(settleUnknown, connect(), request);
+        return run(resolveUnknown, connect(), request);
     }
 
     std::shared_ptr<LossyConnection> lossy(Loss loss, std::size_t batch = 0)
     {
         return std::make_shared<LossyConnection>(connect(), loss, batch);
     }
-    BatchResult runLate(LossyConnection &connection)
+    BatchResult runDelayed(LossyConnection &connection)
     {
         auto promise = std::make_shared<std::promise<BatchResult>>();
         auto future = promise->get_future();
         client.call([&] {
-            connection.runLate(
+            connection.runDelayed(
                 [promise](const BatchResult &result) { promise->set_value(result); });
         });
-        return DutyClient::wait(future);
+        return BlockingClient::wait(future);
     }
     // What was held up arrives, or is lost for good; then its connection is gone.
-    void endLate(LossyConnection &connection, bool arrives)
+    void deliverOrDrop(LossyConnection &connection, bool arrives)
     {
-        if (arrives && connection.holdsLate())
-            runLate(connection);
+        if (arrives && connection.hasDelayedBatch())
+            runDelayed(connection);
         client.call([&] { connection.close(); });
     }
     std::string decisions() { return queryValue("SELECT count(*) FROM decision"); }
@@ -162,7 +162,7 @@
     WriteFixture fixture;
     fixture.query("SELECT kelptally_raise_fence(6)");
     CHECK(fixture.write(fixture.request(sql)).state == WriteState::Fenced);
-    CHECK(fixture.settle(fixture.request(sql)).state == WriteState::Fenced);
+    CHECK(fixture.resolve(fixture.request(sql)).state == WriteState::Fenced);
     CHECK(fixture.decisions() == "0");
     CHECK(fixture.records() == "0");
 }
@@ -208,7 +208,7 @@
     }
     SECTION("by settling it")
     {
-        CHECK(fixture.settle(fixture.request(example.sql)).state == WriteState::Replayed);
+        CHECK(fixture.resolve(fixture.request(example.sql)).state == WriteState::Replayed);
     }
     CHECK(fixture.decisions() == "1");
 }
@@ -227,29 +227,29 @@
 TEST_CASE("an attempt that was settled as not run never commits, however late it arrives")
 {
     WriteFixture fixture;
-    const auto first = fixture.lossy(Loss::Late);
+    const auto first = fixture.lossy(Loss::Delayed);
     REQUIRE(fixture.run(runWrite, first, fixture.request(insertOne)).state == WriteState::Unknown);
-    REQUIRE(fixture.settle(fixture.request(insertOne)).state == WriteState::NotRun);
+    REQUIRE(fixture.resolve(fixture.request(insertOne)).state == WriteState::NotRun);
 
     SECTION("it arrives then")
     {
-        CHECK(fixture.runLate(*first).sqlState == uniqueViolationState);
+        CHECK(fixture.runDelayed(*first).sqlState == uniqueViolationState);
         CHECK(fixture.decisions() == "0");
         CHECK(fixture.write(fixture.request(insertOne)).state == WriteState::Done);
     }
     SECTION("it arrives after a later attempt was done")
     {
         CHECK(fixture.write(fixture.request(insertOne)).state == WriteState::Done);
-        CHECK(fixture.runLate(*first).sqlState == uniqueViolationState);
+        CHECK(fixture.runDelayed(*first).sqlState == uniqueViolationState);
     }
     SECTION("so does a later attempt that replaces the void record")
     {
-        const auto second = fixture.lossy(Loss::Late, 2);
+        const auto second = fixture.lossy(Loss::Delayed, 2);
         REQUIRE(fixture.run(runWrite, second, fixture.request(insertOne)).state
                 == WriteState::Unknown);
-        REQUIRE(fixture.settle(fixture.request(insertOne)).state == WriteState::NotRun);
-        CHECK(fixture.runLate(*second).sqlState == uniqueViolationState);
-        CHECK(fixture.runLate(*first).sqlState == uniqueViolationState);
+        REQUIRE(fixture.resolve(fixture.request(insertOne)).state == WriteState::NotRun);
+        CHECK(fixture.runDelayed(*second).sqlState == uniqueViolationState);
+        CHECK(fixture.runDelayed(*first).sqlState == uniqueViolationState);
         CHECK(fixture.decisions() == "0");
         CHECK(fixture.write(fixture.request(insertOne)).state == WriteState::Done);
     }
@@ -261,7 +261,7 @@
 {
     WriteFixture fixture;
     const WriteRequest old = fixture.request(insertOne);
-    REQUIRE(fixture.settle(fixture.request(insertOne)).state == WriteState::NotRun);
+    REQUIRE(fixture.resolve(fixture.request(insertOne)).state == WriteState::NotRun);
     CHECK(fixture.write(old).state == WriteState::Unknown);
     CHECK(fixture.decisions() == "0");
 }
@@ -287,11 +287,11 @@
     {
         auto lossy = std::make_shared<LossyConnection>(begin(), Loss::Answer);
         CHECK(fixture.run(runCommit, lossy, commit).state == WriteState::Unknown);
-        CHECK(fixture.settle(fixture.request("commit")).state == WriteState::Replayed);
+        CHECK(fixture.resolve(fixture.request("commit")).state == WriteState::Replayed);
     }
     SECTION("one that was given up can be done again")
     {
-        REQUIRE(fixture.settle(commit).state == WriteState::NotRun);
+        REQUIRE(fixture.resolve(commit).state == WriteState::NotRun);
         CHECK(fixture.run(runCommit, begin(), fixture.request("commit")).state == WriteState::Done);
     }
     SECTION("without a key")
@@ -333,40 +333,40 @@
     std::mt19937 random(GENERATE(range(1u, 31u)));
     const std::string sql = random() % 2 == 0 ? insertOne : insertReturning;
     std::vector<std::shared_ptr<LossyConnection>> late;
-    bool toldDone = false;
+    bool acknowledged = false;
     for (int step = 0; step < 14; ++step) {
         const std::string before = fixture.decisions();
         const auto loss = static_cast<Loss>(random() % 3);
         // Two batches of a write, or those that look up and replace a void record.
         const auto connection = fixture.lossy(loss, random() % 4);
-        const bool settles = random() % 3 == 0;
+        const bool resolves = random() % 3 == 0;
         const WriteOutcome outcome =
-            fixture.run(settles ? settleUnknown : runWrite, connection, fixture.request(sql));
+            fixture.run(resolves ? resolveUnknown : runWrite, connection, fixture.request(sql));
         switch (outcome.state) {
         case WriteState::Done:
         case WriteState::Replayed:
-            toldDone = true;
+            acknowledged = true;
             CHECK(fixture.decisions() == "1");
             break;
         case WriteState::NotRun:
             // Settled: what is still under way must not commit any more. Else only this attempt.
-            if (settles) {
-                CHECK_FALSE(toldDone);
+            if (resolves) {
+                CHECK_FALSE(acknowledged);
                 for (const auto &each : late)
-                    fixture.endLate(*each, true);
+                    fixture.deliverOrDrop(*each, true);
             }
-            CHECK(fixture.decisions() == (settles ? "0" : before));
+            CHECK(fixture.decisions() == (resolves ? "0" : before));
             break;
         default:
             CHECK(outcome.state == WriteState::Unknown);
         }
         // An open transaction keeps later attempts waiting until it ends; a whole write does not.
-        if (connection->holdsLate() && sql == insertOne)
+        if (connection->hasDelayedBatch() && sql == insertOne)
             late.push_back(connection);
         else
-            fixture.endLate(*connection, random() % 2 == 0);
+            fixture.deliverOrDrop(*connection, random() % 2 == 0);
         if (!late.empty() && random() % 2 == 0)
-            fixture.endLate(*late[random() % late.size()], true);
+            fixture.deliverOrDrop(*late[random() % late.size()], true);
         CHECK((fixture.decisions() == "0" || fixture.decisions() == "1"));
     }
 }
--- a/tests/owner/atmostonce_test.cpp
+++ b/tests/owner/atmostonce_test.cpp
@@ -67,15 +67,15 @@
     }
 
     // False when no outcome was had within the time.
-    bool carryOut(Operation &operation)
+    bool run(Operation &operation)
     {
         const Instant end = BootClock::now() + 40s;
-        certain_ = true;
+        notExecuted_ = true;
         while (BootClock::now() < end) {
             const Executed executed = attempt(operation);
             operation.done = executed == Executed::Yes;
-            certain_ = certain_ && executed == Executed::No;
-            if (operation.done || (certain_ && random_() % 4 == 0))
+            notExecuted_ = notExecuted_ && executed == Executed::No;
+            if (operation.done || (notExecuted_ && random_() % 4 == 0))
                 return true;
             std::this_thread::sleep_for(5ms);
         }
@@ -87,7 +87,7 @@
         const bool single = operation.kind != Operation::Kind::Transaction;
         const auto step = single ? StatementStep::Single : StatementStep::Commit;
         for (int i = 0; i < 2000; ++i) {
-            const inner::ExecuteResult result = ask(operation.request(step));
+            const inner::ExecuteResult result = send(operation.request(step));
             if (result.reason == Reason::None)
                 return result.replayed;
             std::this_thread::sleep_for(5ms);
@@ -97,7 +97,7 @@
 
 private:
     // Through any entry, at the owner as far as known. No answer is an unknown outcome.
-    inner::ExecuteResult ask(const inner::Execute &execute)
+    inner::ExecuteResult send(const inner::Execute &execute)
     {
         const auto answer = entries_[random_() % entries_.size()]->tryOnce(owner_, execute);
         inner::ExecuteResult result = answer.value_or(inner::ExecuteResult {});
@@ -114,13 +114,13 @@
     Executed attempt(Operation &operation)
     {
         if (operation.kind != Operation::Kind::Transaction)
-            return ask(operation.request(StatementStep::Single)).executed;
+            return send(operation.request(StatementStep::Single)).executed;
         operation.transaction.clear();
-        const inner::ExecuteResult begun = ask(operation.request(StatementStep::Begin));
+        const inner::ExecuteResult begun = send(operation.request(StatementStep::Begin));
         if (begun.reason != Reason::None)
             return Executed::No;
         operation.transaction = begun.transaction;
-        if (ask(operation.request(StatementStep::InTransaction)).reason != Reason::None)
+        if (send(operation.request(StatementStep::InTransaction)).reason != Reason::None)
             return Executed::No;
         return commit(operation);
     }
@@ -129,7 +129,7 @@
     Executed commit(const Operation &operation)
     {
         for (int i = 0; i < 2000; ++i) {
-            const inner::ExecuteResult result = ask(operation.request(StatementStep::Commit));
+            const inner::ExecuteResult result = send(operation.request(StatementStep::Commit));
             if (result.reason == Reason::None)
                 return Executed::Yes;
             if (result.reason == Reason::TransactionEnded && result.executed == Executed::No)
@@ -143,7 +143,7 @@
     std::mt19937 random_;
     std::array<std::unique_ptr<TestEntry>, 2> entries_;
     std::string owner_ = owners_.front();
-    bool certain_ = true;
+    bool notExecuted_ = true;
 };
 
 // Kills and pauses primaries and crashes owners for a while, and heals everything at the end.
@@ -193,7 +193,7 @@
 }
 
 constexpr int callerCount = 4;
-constexpr int leastOperations = 20;
+constexpr int minOperations = 20;
 
 } // namespace
 
@@ -206,7 +206,7 @@
                       "INSERT INTO offer(id, amount) VALUES ('" + std::to_string(i) + "', 0)");
 
     std::atomic<bool> faulty {true};
-    std::atomic<int> stuck {0};
+    std::atomic<int> unresolved {0};
     std::array<std::vector<Operation>, callerCount> operations;
     std::vector<std::unique_ptr<Caller>> callers;
     std::vector<std::thread> threads;
@@ -214,12 +214,12 @@
         callers.push_back(std::make_unique<Caller>(cluster, 100u + static_cast<unsigned>(i)));
     for (std::size_t i = 0; i < callerCount; ++i) {
         threads.emplace_back([&, i] {
-            for (int n = 0; (faulty || n < leastOperations) && n < 400; ++n) {
+            for (int n = 0; (faulty || n < minOperations) && n < 400; ++n) {
                 Operation operation;
                 operation.kind = static_cast<Operation::Kind>(n % 3);
                 operation.row = std::to_string(i);
                 operation.key = operation.row + "." + std::to_string(n);
-                stuck += callers[i]->carryOut(operation) ? 0 : 1;
+                unresolved += callers[i]->run(operation) ? 0 : 1;
                 operations[i].push_back(operation);
                 std::this_thread::sleep_for(10ms);
             }
@@ -230,7 +230,7 @@
     faulty = false;
     for (std::thread &thread : threads)
         thread.join();
-    CHECK(stuck == 0);
+    CHECK(unresolved == 0);
 
     const auto check = [&] {
         const auto deposits = countByKey(cluster, "SELECT key, count(*) FROM deposit GROUP BY key");
@@ -255,7 +255,7 @@
         for (Operation &operation : operations[i])
             if (operation.done && ++repeated % 7 == 0)
                 CHECK(callers[i]->isReplayed(operation));
-    CHECK(repeated > callerCount * leastOperations / 2);
+    CHECK(repeated > callerCount * minOperations / 2);
     check();
 }
 
--- a/tests/owner/ownermeasure.cpp
+++ b/tests/owner/ownermeasure.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-standin::ServerLimits agencyLimits()
+standin::ServerLimits remoteZoneLimits()
 {
     standin::ServerLimits limits;
     limits.connectionCost = 12ms;
@@ -33,7 +33,7 @@
 struct Acknowledged
 {
     Instant at;
-    Duration took {0};
+    Duration elapsed {0};
     ServerName server;
 };
 
@@ -56,7 +56,7 @@
             {
                 const std::lock_guard<std::mutex> lock(mutex_);
                 for (const Acknowledged &one : acknowledged_)
-                    if (one.at > instant && one.server != avoided_)
+                    if (one.at > instant && one.server != ignoredServer_)
                         return one;
             }
             std::this_thread::sleep_for(1ms);
@@ -64,15 +64,15 @@
     }
 
     // Answers of this server do not count.
-    void avoid(const ServerName &server)
+    void ignoreServer(const ServerName &server)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        avoided_ = server;
+        ignoredServer_ = server;
         acknowledged_.clear();
     }
 
     // The longest time between two acknowledgements since avoid().
-    Duration longestPause()
+    Duration longestGap()
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         Duration longest {0};
@@ -107,7 +107,7 @@
     std::atomic<std::uint64_t> failed_ {0};
     std::mutex mutex_;
     std::vector<Acknowledged> acknowledged_;
-    ServerName avoided_;
+    ServerName ignoredServer_;
     std::thread thread_;
 };
 
@@ -123,14 +123,14 @@
 
 void measureFailover(int count, bool hang)
 {
-    OwnerCluster cluster(3, agencyLimits());
+    OwnerCluster cluster(3, remoteZoneLimits());
     Writer writer(cluster);
     writer.firstAfter(BootClock::now());
     std::vector<double> gaps;
     for (int i = 0; i < count; ++i) {
         std::this_thread::sleep_for(300ms);
         const ServerName primary = cluster.primary();
-        writer.avoid(primary);
+        writer.ignoreServer(primary);
         const Instant began = BootClock::now();
         if (hang)
             cluster.pauseServer(primary, true);
@@ -148,7 +148,7 @@
 
 void measureCrash(int count)
 {
-    OwnerCluster cluster(3, agencyLimits());
+    OwnerCluster cluster(3, remoteZoneLimits());
     Writer writer(cluster);
     writer.firstAfter(BootClock::now());
     std::vector<double> gaps;
@@ -157,7 +157,7 @@
         std::this_thread::sleep_for(1s);
         const Instant began = BootClock::now();
         cluster.crash(owner);
-        writer.avoid("");
+        writer.ignoreServer("");
         gaps.push_back(toMilliseconds(writer.firstAfter(began).at - began));
         cluster.restart(owner);
     }
@@ -166,7 +166,7 @@
 
 void measureHandOver(int count)
 {
-    OwnerCluster cluster(3, agencyLimits());
+    OwnerCluster cluster(3, remoteZoneLimits());
     Writer writer(cluster);
     writer.firstAfter(BootClock::now());
     std::vector<double> pauses;
@@ -176,16 +176,16 @@
         // Successors are listed and have their connections open by then.
         std::this_thread::sleep_for(4s);
         cluster.entry().takeRefusals();
-        writer.avoid("");
+        writer.ignoreServer("");
         std::this_thread::sleep_for(200ms);
-        usual.push_back(toMilliseconds(writer.longestPause()));
-        writer.avoid("");
+        usual.push_back(toMilliseconds(writer.longestGap()));
+        writer.ignoreServer("");
         inner::OperatorRequest drain;
         drain.command = inner::OperatorCommand::Drain;
         drain.group = testGroup;
         cluster.entry().operate(owner, drain);
         std::this_thread::sleep_for(500ms);
-        pauses.push_back(toMilliseconds(writer.longestPause()));
+        pauses.push_back(toMilliseconds(writer.longestGap()));
         for (const Reason reason : cluster.entry().takeRefusals())
             if (reason != Reason::NotOwner)
                 std::cout << "refused: " << reasonInfo(reason).name << std::endl;
@@ -232,13 +232,13 @@
         options.peerKey = testPeerKey;
         links_ = std::move(*inner::makePeerLinks(options, *this));
         links_->connect(owner_);
-        while (!up_)
+        while (!connected_)
             std::this_thread::sleep_for(1ms);
     }
 
-    void start(int inProgress)
+    void start(int inFlight)
     {
-        for (int i = 0; i < inProgress; ++i)
+        for (int i = 0; i < inFlight; ++i)
             send();
     }
 
@@ -247,7 +247,7 @@
     std::uint64_t done() const { return done_; }
     std::uint64_t refused() const { return refused_; }
 
-    void onPeerUp(inner::LinkId, const inner::Hello &) override { up_ = true; }
+    void onPeerUp(inner::LinkId, const inner::Hello &) override { connected_ = true; }
     void onPeerMessage(inner::LinkId, inner::Message message) override
     {
         const auto *result = std::get_if<inner::ExecuteResult>(&message);
@@ -272,14 +272,14 @@
     const std::string owner_;
     const inner::Execute execute_;
     std::unique_ptr<inner::PeerLinks> links_;
-    std::atomic<bool> up_ {false};
+    std::atomic<bool> connected_ {false};
     std::atomic<bool> ended_ {false};
     std::atomic<std::uint64_t> lastId_ {0};
     std::atomic<std::uint64_t> done_ {0};
     std::atomic<std::uint64_t> refused_ {0};
 };
 
-void measureLoad(const std::string &what, const inner::Execute &execute, int inProgress)
+void measureLoad(const std::string &what, const inner::Execute &execute, int inFlight)
 {
     standin::ServerLimits limits = OwnerCluster::noCost();
     limits.slots = 16;
@@ -290,7 +290,7 @@
     cluster.install(2, inventory);
     const std::string owner = cluster.serving();
     Load load(owner, execute);
-    load.start(inProgress);
+    load.start(inFlight);
     std::this_thread::sleep_for(1s);
     const std::uint64_t before = load.done();
     const double groups = threadSeconds("groups");
--- a/tests/owner/testentry.cpp
+++ b/tests/owner/testentry.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr Duration answerWait = 20s;
-constexpr Duration overallWait = 30s;
-constexpr Duration pause = 5ms;
+constexpr Duration answerTimeout = 20s;
+constexpr Duration executeTimeout = 30s;
+constexpr Duration retryDelay = 5ms;
 
 } // namespace
 
@@ -47,7 +47,7 @@
 {
     std::unique_lock<std::mutex> lock(mutex_);
     const inner::RequestId id = ++lastId_;
-    const int downs = downs_[owner];
+    const int downs = disconnects_[owner];
     execute.requestId = id;
     lock.unlock();
     if (!links_->sendTo(owner, std::move(execute)).ok()) {
@@ -56,8 +56,8 @@
         return unsent;
     }
     lock.lock();
-    arrived_.wait_for(lock, answerWait,
-                      [&] { return results_.count(id) != 0 || downs_[owner] != downs; });
+    arrived_.wait_for(lock, answerTimeout,
+                      [&] { return results_.count(id) != 0 || disconnects_[owner] != downs; });
     const auto found = results_.find(id);
     if (found == results_.end())
         return std::nullopt;
@@ -66,7 +66,7 @@
 
 inner::ExecuteResult TestEntry::execute(inner::Execute execute)
 {
-    const Instant end = BootClock::now() + overallWait;
+    const Instant end = BootClock::now() + executeTimeout;
     std::size_t next = 0;
     inner::ExecuteResult last;
     while (BootClock::now() < end) {
@@ -85,7 +85,7 @@
             lastOwner_ = answer->ownerHint;
         else
             lastOwner_ = owners_[next++ % owners_.size()];
-        std::this_thread::sleep_for(pause);
+        std::this_thread::sleep_for(retryDelay);
     }
     return last;
 }
@@ -105,7 +105,7 @@
     if (!links_->sendTo(owner, std::move(request)).ok())
         return std::nullopt;
     lock.lock();
-    arrived_.wait_for(lock, answerWait, [&] { return operatorAnswers_.count(id) != 0; });
+    arrived_.wait_for(lock, answerTimeout, [&] { return operatorAnswers_.count(id) != 0; });
     const auto found = operatorAnswers_.find(id);
     if (found == operatorAnswers_.end())
         return std::nullopt;
@@ -127,7 +127,7 @@
 void TestEntry::onPeerDown(inner::LinkId, const std::string &address, const absl::Status &)
 {
     const std::lock_guard<std::mutex> lock(mutex_);
-    ++downs_[address];
+    ++disconnects_[address];
     arrived_.notify_all();
 }
 
--- a/tests/owner/testentry.h
+++ b/tests/owner/testentry.h
@@ -43,7 +43,7 @@
     std::condition_variable arrived_;
     std::map<inner::RequestId, inner::ExecuteResult> results_;
     std::map<inner::RequestId, inner::OperatorAnswer> operatorAnswers_;
-    std::map<std::string, int> downs_;
+    std::map<std::string, int> disconnects_;
     std::vector<Reason> refusals_;
     inner::RequestId lastId_ = 0;
     const std::vector<std::string> owners_;
