--- a/src/backend/backendserver.h
+++ b/src/backend/backendserver.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-// The port to the servers of a database group.
+// Interface to the servers of a database group.
 namespace kelptally::backend {
 
 // A statement with its parameters ($1, $2, ...).
@@ -20,22 +20,22 @@
     std::vector<Value> parameters;
 };
 
-// How far the work of a batch is known to have got.
+// What is known of the execution of a batch.
 enum class BatchState {
     // The server answered each statement and the batch is committed.
     Done,
-    // The server answered an error; nothing of the batch is in force.
+    // The server reported an error; nothing of the batch takes effect.
     Failed,
     // Nothing was sent.
     NotSent,
-    // Sent, but the connection was lost before the end of the answer.
+    // Sent, but the connection was lost before the answer was complete.
     Unknown,
 };
 
 struct BatchResult
 {
     BatchState state = BatchState::NotSent;
-    // One for each statement that was answered.
+    // One entry for each answered statement.
     std::vector<Rows> rows;
     // Index of the statement that failed, with its SQLSTATE and message.
     std::size_t failedStatement = 0;
@@ -43,28 +43,29 @@
     std::string message;
     // The connection is in an unknown state and must be closed.
     bool connectionLost = false;
-    // An explicit transaction, whole or failed, is open after the batch.
+    // An explicit transaction, possibly a failed one, is open after the batch.
     bool inTransaction = false;
 };
 
 using BatchCallback = std::function<void(BatchResult)>;
 
-// One connection to one server. All calls and callbacks are on the backend thread. Closing or
-// losing it ends the running batch with Unknown (or NotSent); each callback is called exactly once.
+// One connection to one server. Calls and callbacks run on the backend thread. Closing or losing
+// the connection ends the running batch as Unknown or NotSent. Each callback is called exactly
+// once.
 class Connection
 {
 public:
     virtual ~Connection() = default;
 
     // Sends all statements in one pipeline that ends in one sync. Outside a transaction block the
-    // server runs the batch as one transaction. Only one batch at a time.
+    // server runs the batch as one transaction. Only one batch may run at a time.
     virtual void run(std::vector<Statement> batch, BatchCallback callback) = 0;
     virtual bool busy() const = 0;
     virtual bool open() const = 0;
     virtual void close() = 0;
 
-    // Closes, and calls back once the server has closed its side too, or cannot be waited for any
-    // longer: until then the server may still count the connection.
+    // Closes, and calls back once the server has closed its side or a timeout has passed: until
+    // then the server may still count the connection.
     virtual void closeAsync(std::function<void()> closed)
     {
         close();
@@ -80,11 +81,11 @@
 public:
     virtual ~BackendServer() = default;
 
-    // Opens a connection; gives up at the timeout. Calls back exactly once.
+    // Opens a connection within the timeout. Calls back exactly once.
     virtual void connect(Duration timeout, ConnectCallback callback) = 0;
 };
 
-// Where a server listens and how to log in.
+// Address and login of a server.
 struct ServerEndpoint
 {
     std::string host;
--- a/src/backend/connectionpool.cpp
+++ b/src/backend/connectionpool.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-// The peak of demand is that of this window and of the one before; chosen, not measured.
+// Length of a demand window; the peak is taken over the current and the previous one.
 constexpr Duration demandWindow = std::chrono::seconds(5);
-// Pauses after failed connects: doubled each time, half of it drawn at random. The shortest is
-// about one connect, the longest bounds how late a server that is back is found.
+// Exponential backoff with jitter after failed connects. The maximum bounds how late a recovered
+// server is found.
 constexpr Duration minConnectDelay = std::chrono::milliseconds(10);
 constexpr Duration maxConnectDelay = std::chrono::milliseconds(500);
 constexpr int maxBackoffDoublings = 6;
 
 } // namespace
 
-// What a pool lends: watches what its user does to the session.
+// Connection as handed out by a pool: tracks changes to the session.
 class PooledConnection : public Connection
 {
 public:
@@ -70,7 +70,7 @@
 private:
     friend class ConnectionPool;
 
-    // Outlives the connection while a batch runs.
+    // Shared with the running batch, which may outlive this object.
     struct Session
     {
         bool leavesState = false;
@@ -79,7 +79,7 @@
     };
 
     std::weak_ptr<ConnectionPool> pool_;
-    // Nothing once given back.
+    // Null once returned.
     std::shared_ptr<Connection> raw_;
     const std::uint64_t generation_;
     const std::shared_ptr<Session> session_ = std::make_shared<Session>();
@@ -111,7 +111,7 @@
 ConnectionPool::RequestId ConnectionPool::acquire(Instant deadline, ConnectCallback callback)
 {
     const RequestId id = ++lastRequest_;
-    // 1. An idle connection that is still open.
+    // 1. Use an idle connection that is still open.
     while (!idle_.empty()) {
         const RawConnection connection = std::move(idle_.back().connection);
         idle_.pop_back();
@@ -120,12 +120,12 @@
             return id;
         }
     }
-    // 2. A server that is out of reach is said so at once.
+    // 2. Fail at once while the server is unreachable.
     if (nextConnectAt_ > timers_.now() && !absl::IsResourceExhausted(lastConnectError_)) {
         callback(lastConnectError_, nullptr);
         return id;
     }
-    // 3. Wait for the next one that is free.
+    // 3. Wait for a free connection.
     const TimerId timer = timers_.subscribeAt(deadline, [this, id] {
         const auto found = std::find_if(waiting_.begin(), waiting_.end(),
                                         [id](const Waiter &waiter) { return waiter.id == id; });
@@ -187,7 +187,7 @@
     openMissing();
 }
 
-// Runs the statements, last one first, each in a batch of its own.
+// Runs the statements in reverse order, each in its own batch.
 void ConnectionPool::reset(const RawConnection &connection, std::vector<Statement> statements)
 {
     if (statements.empty())
@@ -211,7 +211,7 @@
     connection->run({std::move(next)}, std::move(done));
 }
 
-// A clean connection: to the first who waits, else idle.
+// Hands a clean connection to the first waiting request, or keeps it idle.
 void ConnectionPool::addIdle(RawConnection connection)
 {
     if (counted() >= options_.limit)
@@ -247,7 +247,7 @@
     });
 }
 
-// The demand seen lately and a spare one, but at least what is in use or waited for now.
+// Recent peak demand and spare connections, but at least the current demand.
 int ConnectionPool::targetSize() const
 {
     const int demand = std::max({peakDemand_, previousPeakDemand_, inUse() + waiting()});
@@ -302,7 +302,7 @@
     nextConnectAt_ = timers_.now() + nextConnectDelay();
     timers_.cancel(retryTimer_);
     retryTimer_ = timers_.subscribeAt(nextConnectAt_, [this] { openMissing(); });
-    // A full server may have room soon; one that is out of reach is no use to wait for.
+    // A full server may free a connection soon; waiting for an unreachable one is of no use.
     if (!absl::IsResourceExhausted(status) && opening_ == 0)
         failWaiting(status);
 }
@@ -380,8 +380,8 @@
     peakDemand_ = std::max(peakDemand_, inUse() + waiting());
 }
 
-// 1. Idle connections that their server closed are no longer counted. 2. The window of demand moves
-// on. 3. Surplus closes, what hangs is cut, what is missing opens.
+// Drops idle connections that the server has closed, advances the demand window, closes surplus
+// connections, aborts overlong batches and opens missing connections.
 void ConnectionPool::onTick()
 {
     const auto closed = std::remove_if(idle_.begin(), idle_.end(), [](const IdleConnection &idle) {
--- a/src/backend/connectionpool.h
+++ b/src/backend/connectionpool.h
@@ -15,34 +15,31 @@
 
 class PooledConnection;
 
-// How a pool is sized and how it deals with a server that refuses.
+// Sizes and timeouts of a pool.
 struct PoolOptions
 {
-    // Most connections counted at one time: in use, idle, being opened and being closed.
+    // Maximum number of connections: in use, idle, being opened and being closed.
     int limit = 1;
-    // Connections that are kept open when nothing is asked.
+    // Minimum number of connections kept open without demand.
     int minOpen = 0;
-    // Connections kept ready above the demand seen lately; see docs/design/pools.md.
+    // Connections kept ready above the recent demand; see docs/design/pools.md.
     int spare = 1;
     Duration connectTimeout {std::chrono::seconds(1)};
-    // A batch that runs for longer is cut with its connection: its server may be gone without a
-    // word. Longer than any request's deadline; chosen, not measured.
+    // Maximum run time of a batch, after which it is aborted with its connection, as the server may
+    // be unreachable. Must exceed any request's deadline.
     Duration maxBatchTime {std::chrono::seconds(60)};
-    // Idle connections above what the last demand needed close after this time.
+    // Idle connections above the target size are closed after this time.
     Duration maxIdleTime {std::chrono::seconds(30)};
-    // Brings a session back to its first state after a user that changed it; when empty, or when it
-    // fails, the connection is closed instead.
+    // Resets a session that its user changed. If it is empty or fails, the connection is closed.
     std::string resetStatement = "DISCARD ALL";
-    // Draws the jitter of the pauses between failed connects.
+    // Seed of the jitter of connect delays.
     std::uint64_t seed = 1;
 };
 
-// The connections of this process to one server, for one purpose. Opens them ahead of the demand it
-// has seen, since a new one costs milliseconds, and never counts more than its limit. A connection
-// is used by one user at a time: until it is given back it is pinned. One in an unknown state is
-// closed and never reused; one given back within a transaction is rolled back, and one whose
-// session was changed by its user (see SqlTraits::leavesState) is reset, before the next user gets
-// it. Used on one thread.
+// Pool of connections to one server. Opens connections ahead of the demand, up to its limit. A
+// connection belongs to one user until it is released. Before the next use an open transaction is
+// rolled back and a session that was changed (see SqlTraits::leavesState) is reset; a connection in
+// an unknown state is closed. Used on one thread.
 class ConnectionPool : public std::enable_shared_from_this<ConnectionPool>
 {
 public:
@@ -55,34 +52,34 @@
     ConnectionPool(const ConnectionPool &) = delete;
     ConnectionPool &operator=(const ConnectionPool &) = delete;
 
-    // Gives a connection, at once (before this returns) when one is idle. Otherwise calls back once
-    // one is free, with DeadlineExceeded at the deadline, with Unavailable as soon as the server is
-    // found to be out of reach, or with Cancelled at closeAll(). While the server refuses for want
-    // of connections the request goes on waiting. Exactly one call, or none after cancel().
+    // Calls back with a connection: before it returns if one is idle, otherwise once one is free.
+    // Fails with DeadlineExceeded at the deadline, with Unavailable when the server cannot be
+    // reached, or with Cancelled at closeAll(). A request waits while the server refuses for lack
+    // of connections. Calls back exactly once, or never after cancel().
     RequestId acquire(Instant deadline, ConnectCallback callback);
-    // Forgets a request that waits; false when it has been answered.
+    // Removes a waiting request; returns false if it has been answered.
     bool cancel(RequestId request);
 
-    // Ends the use of a connection; without reusable it is closed. One that its user just lets go
-    // of is closed too. May call back those who wait.
+    // Returns a connection; it is closed unless reusable. A connection that its user destroys
+    // without a release is closed too. May call back waiting requests.
     void release(const std::shared_ptr<Connection> &connection, bool reusable);
 
-    // A lower limit closes idle connections now and those in use when they are given back. The
-    // notice comes once no more are counted than the limit allows.
+    // Sets the limit. Surplus idle connections are closed now, those in use on release. Calls
+    // withinLimit once the number of connections is within the limit.
     void setLimit(int limit, WithinLimitCallback withinLimit = {});
-    // Keeps so many open from now on, within the limit.
+    // Keeps at least this many connections open, within the limit.
     void warm(int minOpen);
-    // Closes all: idle ones now, those in use when given back or, when told so, at once (their
-    // batches end as Unknown). Requests that wait are cancelled.
+    // Closes idle connections now, and connections in use on release or, with abortRunning, at
+    // once: their batches end as Unknown. Waiting requests are cancelled.
     void closeAll(bool abortRunning);
 
-    // Counted against the limit: in use, idle, being opened or closed.
+    // Number of connections counted against the limit.
     int counted() const;
     int inUse() const { return static_cast<int>(borrowed_.size()); }
     int idle() const { return static_cast<int>(idle_.size()); }
     int closing() const { return closing_; }
     int waiting() const { return static_cast<int>(waiting_.size()); }
-    // All connects that were begun since the start.
+    // Number of connects begun.
     std::uint64_t connects() const { return connects_; }
 
     static constexpr Duration tickPeriod = std::chrono::milliseconds(100);
@@ -127,18 +124,18 @@
     PoolOptions options_;
     std::mt19937_64 random_;
 
-    // Most recently used last, so that surplus ones grow old at the front.
+    // Ordered by time of release, so that surplus connections expire at the front.
     std::deque<IdleConnection> idle_;
     std::unordered_map<PooledConnection *, RawConnection> borrowed_;
     std::deque<Waiter> waiting_;
     int opening_ = 0;
     int resetting_ = 0;
     int closing_ = 0;
-    // Goes up with closeAll(): older connections are not reused.
+    // Incremented by closeAll(): connections of earlier generations are not reused.
     std::uint64_t generation_ = 0;
     std::vector<WithinLimitCallback> withinLimitCallbacks_;
 
-    // Most connections asked for at one time in this window and in the one before.
+    // Peak demand in the current and in the previous window.
     int peakDemand_ = 0;
     int previousPeakDemand_ = 0;
     Instant windowStart_;
--- a/src/backend/postgresserver.cpp
+++ b/src/backend/postgresserver.cpp
@@ -22,13 +22,12 @@
 namespace kelptally::backend {
 namespace {
 
-// libpq may write to the socket once it holds 8192 bytes; half of that leaves room for the
-// protocol's own bytes.
+// Batches shorter than this stay in libpq's buffer until the flush: libpq may write at 8192 bytes,
+// and the rest leaves room for protocol overhead.
 constexpr std::size_t maxBufferedBytes = 4096;
-// The protocol counts parameters in 16 bits.
+// Limit of the protocol's 16-bit parameter count.
 constexpr std::size_t maxParameters = 65535;
-// How long a closed connection is taken to be counted by a server that does not close its side;
-// chosen, not measured.
+// Time to wait for a server to close its side of a closed connection.
 constexpr Duration lingerTimeout = std::chrono::seconds(10);
 
 constexpr const char *tooManyArgumentsState = "54023";
@@ -64,7 +63,7 @@
         {"application_name", "kelptally"},
         {"sslmode", "disable"},
         {"gssencmode", "disable"},
-        // No file of passwords is read.
+        // Disables the password file.
         {"passfile", "/dev/null/none"},
     }};
     std::array<const char *, parameters.size() + 1> keywords {};
@@ -74,7 +73,7 @@
     return ConnectionPtr(PQconnectStartParams(keywords.data(), values.data(), 0));
 }
 
-// libpq's message as one line, for logs.
+// Formats libpq's message as one line, for logs.
 std::string trimmedError(const PGconn *connection)
 {
     std::string message = PQerrorMessage(connection);
@@ -83,7 +82,7 @@
     return std::string(absl::StripAsciiWhitespace(message));
 }
 
-// With verbose errors a refusal reads "FATAL:  SQLSTATE: text".
+// With verbose errors a refusal has the form "FATAL:  SQLSTATE: text".
 absl::Status connectError(const PGconn *connection)
 {
     const std::string message = trimmedError(connection);
@@ -144,7 +143,8 @@
     return length;
 }
 
-// What libpq could not send whole: text ends at a NUL there. Nothing when the batch is fine.
+// Returns the failure of a batch that libpq cannot send, such as text with a NUL byte, at which
+// libpq would truncate it.
 std::optional<BatchResult> findUnsendable(const std::vector<Statement> &batch)
 {
     for (std::size_t i = 0; i < batch.size(); ++i) {
@@ -165,7 +165,7 @@
     return std::nullopt;
 }
 
-// Waits on a socket that was shut down until the server has closed its side.
+// Waits until the server has closed its side of a socket that was shut down.
 class LingeringSocket : public std::enable_shared_from_this<LingeringSocket>
 {
 public:
@@ -212,7 +212,8 @@
     std::array<char, 1024> buffer_ {};
 };
 
-// One connection. The descriptor only waits for libpq's socket: libpq owns and closes it.
+// A connection through libpq. The descriptor only waits on libpq's socket, which libpq owns and
+// closes.
 class PostgresConnection : public Connection,
                            public std::enable_shared_from_this<PostgresConnection>
 {
@@ -226,7 +227,7 @@
     void run(std::vector<Statement> batch, BatchCallback callback) override;
     bool busy() const override { return callback_ != nullptr; }
     bool open() const override { return open_; }
-    void close() override { end("closed by its user"); }
+    void close() override { end("closed by the user of the connection"); }
     void closeAsync(std::function<void()> closed) override;
 
 private:
@@ -244,9 +245,9 @@
     void processResults();
     void processResult(const PGresult *result);
     void finishBatch();
-    // Drops the connection; the running batch ends with what is known of it.
+    // Closes the connection and ends the running batch as Unknown or NotSent.
     void end(const std::string &reason);
-    // Calls back later, on the thread's own turn.
+    // Calls back from the event loop, never from within the caller.
     void postResult(BatchCallback callback, BatchResult result);
 
     DutyThread &thread_;
@@ -259,7 +260,7 @@
 
     BatchCallback callback_;
     BatchResult result_;
-    // Whether any byte of the batch may have reached the socket.
+    // Whether a part of the batch may have reached the socket.
     bool maybeWritten_ = false;
     bool waitsForOutput_ = false;
 };
@@ -284,7 +285,7 @@
     waitToConnect(Descriptor::wait_write);
 }
 
-// libpq may change its socket between two polls, so the descriptor is taken anew for each wait.
+// libpq may change its socket between two polls, so the descriptor is reassigned for each wait.
 void PostgresConnection::waitToConnect(Descriptor::wait_type direction)
 {
     error_code ignored;
@@ -335,7 +336,7 @@
 {
     if (busy()) {
         BatchResult result;
-        result.message = "another batch runs on this connection";
+        result.message = "another batch is running on this connection";
         return postResult(std::move(callback), std::move(result));
     }
     if (auto refused = findUnsendable(batch))
@@ -344,13 +345,13 @@
     callback_ = std::move(callback);
     result_ = {};
     maybeWritten_ = false;
-    // 1. See whether the server has closed an idle connection: then nothing is sent.
+    // 1. If the server has closed the idle connection, nothing is sent.
     if (!open_ || PQconsumeInput(connection_.get()) == 0)
         return end(open_ ? trimmedError(connection_.get()) : "the connection is closed");
-    // 2. Queue the statements and the sync that ends them.
+    // 2. Queue the statements and the final sync.
     if (!queue(batch))
         return end(trimmedError(connection_.get()));
-    // 3. Write; the answers come through waitForInput().
+    // 3. Write; waitForInput() receives the answers.
     flush();
 }
 
@@ -397,7 +398,7 @@
                            });
 }
 
-// Always pending while the connection is open, so that a close by the server is seen when idle.
+// Always pending while the connection is open, so that a close by the server is noticed when idle.
 void PostgresConnection::waitForInput()
 {
     descriptor_.async_wait(Descriptor::wait_read,
@@ -408,7 +409,7 @@
                            });
 }
 
-// What arrived before a close is still taken.
+// Results that arrived before a close are still processed.
 void PostgresConnection::onInput()
 {
     const bool consumed = PQconsumeInput(connection_.get()) == 1;
@@ -420,7 +421,7 @@
     waitForInput();
 }
 
-// libpq gives the results of one statement, a null, the next statement's, and at last the sync.
+// libpq returns the results of each statement followed by a null, and finally the sync.
 void PostgresConnection::processResults()
 {
     int nulls = 0;
@@ -430,7 +431,7 @@
             nulls = 0;
             processResult(result.get());
         } else if (++nulls > 1) {
-            return end("the server's answers do not match the batch");
+            return end("unexpected number of results from the server");
         }
     }
 }
@@ -457,11 +458,11 @@
             end(trimmedError(connection_.get()));
         return;
     default:
-        end("a statement asked for COPY, which a batch cannot carry");
+        end("COPY is not supported in a batch");
     }
 }
 
-// The sync's answer proves that the batch has ended, with or without an error.
+// The answer to the sync confirms that the batch has ended, with or without an error.
 void PostgresConnection::finishBatch()
 {
     result_.state = result_.sqlState.empty() ? BatchState::Done : BatchState::Failed;
@@ -485,7 +486,8 @@
     postResult(std::exchange(callback_, nullptr), std::exchange(result_, {}));
 }
 
-// libpq says goodbye and closes its descriptor; the copy shows when the server has done the same.
+// libpq terminates the session and closes its descriptor; the duplicate shows when the server has
+// closed its side.
 void PostgresConnection::closeAsync(std::function<void()> closed)
 {
     const int copy = open_ ? ::dup(PQsocket(connection_.get())) : -1;
--- a/src/backend/requestrecord.h
+++ b/src/backend/requestrecord.h
@@ -7,9 +7,8 @@
 #include <optional>
 #include <string>
 
-// The record that makes a request with an idempotency key run at most once: one row of the table
-// kelptally_request, written in the transaction of the request's work. See
-// docs/design/atmostonce.md.
+// Record of a request with an idempotency key, which makes it run at most once: a row of the table
+// kelptally_request, written in the same transaction as the work. See docs/design/atmostonce.md.
 namespace kelptally::backend {
 
 using WallTime = std::chrono::system_clock::time_point;
@@ -17,33 +16,33 @@
 enum class RecordState {
     // The work is committed; the record holds its answer.
     Done,
-    // An attempt was given up before it committed: as long as the record stands it never can.
+    // An attempt was abandoned before it committed and can never commit while the record exists.
     Void,
 };
 
-// What the column `outcome` holds, as JSON.
+// Content of the column `outcome`, as JSON.
 struct RequestRecord
 {
     RecordState state = RecordState::Done;
-    // Answer of the work, for a record that is done.
+    // Answer of completed work.
     Rows rows;
-    // Whether the rows were too large to be kept.
+    // The rows were too large to be recorded.
     bool rowsMissing = false;
 };
 
-// Rows over this many bytes are not kept: their count of changes is.
+// Larger answers are recorded without their rows.
 constexpr std::size_t maxRecordedBytes = 64u << 10;
 
 std::string recordToText(const RequestRecord &record);
-// Nothing when the text is not a record.
+// Returns nothing if the text is not a valid record.
 std::optional<RequestRecord> recordFromText(const std::string &text);
 
-// The time that a key carries, either as a UUID of version 7 (RFC 9562) or as
-// "<Unix time in seconds, 10 digits>-<anything>"; nothing for other keys.
+// Returns the time encoded in a key, either as a UUID of version 7 (RFC 9562) or as "<Unix time in
+// seconds, 10 digits>-<anything>"; nothing for other keys.
 std::optional<WallTime> keyTime(const std::string &key);
 
-// Whether a key is older than its record is kept for. A key without a time never is: its record is
-// kept for good.
+// Whether a key is older than the retention of its record. A key without a time never expires: its
+// record is kept forever.
 bool isKeyExpired(const std::string &key, WallTime now, Duration retention);
 
 } // namespace kelptally::backend
--- a/src/backend/sqltraits.cpp
+++ b/src/backend/sqltraits.cpp
@@ -10,24 +10,24 @@
 
 namespace {
 
-// What a word can mean, as bits.
+// Meanings of a word, as bits.
 enum WordMeaning : unsigned {
-    // As the first word: begins, ends or marks a transaction.
+    // As the first word: begins or ends a transaction or sets a savepoint.
     TransactionVerb = 1u << 0,
-    // As the first word: leaves nothing behind in the session, as far as the other words do not say
-    // otherwise. Transaction control leaves an open transaction, which the pool sees by itself.
+    // As the first word: leaves no state in the session, unless another word does. The pool detects
+    // an open transaction itself.
     CleanVerb = 1u << 1,
     // As the first word: reads.
     ReadVerb = 1u << 2,
     // Anywhere, also as a quoted name: leaves state in the session.
     LeavesState = 1u << 3,
-    // Function whose answer depends on what the connection did before.
+    // Function whose result depends on earlier statements of the connection.
     SessionFunction = 1u << 4,
-    // Makes a statement write although its first word reads.
+    // The statement writes, whatever its first word.
     Writes = 1u << 5,
-    // After FOR: takes locks.
+    // After FOR: takes row locks.
     LocksAfterFor = 1u << 6,
-    // An INSERT with this word may change any number of rows, or give rows.
+    // An INSERT with this word may insert any number of rows or return rows.
     ManyRows = 1u << 7,
 };
 
@@ -93,7 +93,7 @@
 
 constexpr std::string_view internalPrefix = "KELPTALLY_";
 
-// Known words are shorter than this.
+// All known words are shorter.
 constexpr std::size_t maxWordLength = 32;
 
 char toUpper(char c)
@@ -101,7 +101,8 @@
     return c >= 'a' && c <= 'z' ? static_cast<char>(c - 'a' + 'A') : c;
 }
 
-// For each first letter, the lengths of the known words as bits: most words are told apart by this.
+// Lengths of the known words as bits, by first letter: rules out most other words without a
+// look-up.
 std::array<std::uint32_t, 26> lengthsOfKnownWords()
 {
     std::array<std::uint32_t, 26> lengths {};
@@ -142,8 +143,8 @@
     return isWordStart(c) || (c >= '0' && c <= '9') || c == '$';
 }
 
-// One piece of a statement: a word, a quoted name without its quotes, or a single sign. Strings
-// appear as the sign '.
+// A word, a quoted name without its quotes, or a single character. A string is represented by the
+// character '.
 struct Token
 {
     std::string_view text;
@@ -151,13 +152,13 @@
     bool word = false;
 };
 
-// Takes the pieces of a statement apart.
+// Splits a statement into tokens.
 class Scanner
 {
 public:
     explicit Scanner(std::string_view sql) : sql_(sql) { }
 
-    // False at the end.
+    // Returns false at the end.
     bool next(Token &token)
     {
         skipBlanks();
@@ -209,7 +210,7 @@
         position_ = end == std::string_view::npos ? sql_.size() : end + 2;
     }
 
-    // E'...' is a string in which a backslash escapes.
+    // A string E'...' has backslash escapes.
     void readWord(Token &token)
     {
         const std::size_t start = position_;
@@ -231,7 +232,7 @@
         position_ = std::min(sql_.size(), last + 1);
     }
 
-    // A doubled quote just starts the next string.
+    // A doubled quote ends one string and starts the next, which is equivalent here.
     void readString(Token &token, bool backslashEscapes)
     {
         token = {"'", false, false};
@@ -244,7 +245,7 @@
         position_ = std::min(sql_.size(), position_ + 1);
     }
 
-    // $tag$ ... $tag$; false for a parameter such as $1.
+    // Reads $tag$ ... $tag$; returns false for a parameter such as $1.
     bool readDollarString()
     {
         std::size_t end = position_ + 1;
@@ -266,7 +267,7 @@
     bool ambiguous_ = false;
 };
 
-// Follows the pieces of a statement for the traits that depend on more than one word.
+// Derives the traits of a statement from its tokens.
 class TraitsParser
 {
 public:
@@ -327,7 +328,7 @@
 
     SqlTraits &traits_;
     unsigned verbMeaning_ = 0;
-    // What the piece before was.
+    // About the previous token.
     bool afterSessionFunction_ = false;
     bool afterFor_ = false;
     bool afterInsert_ = false;
@@ -358,21 +359,21 @@
 std::string findSqlProblem(const SqlTraits &traits, bool readOnly)
 {
     if (traits.ambiguous)
-        return "a comment, string or quoted name does not end, or a comment holds another";
+        return "unterminated comment, string or quoted name, or nested comment";
     if (traits.verb.empty())
         return "the statement is empty";
     if (traits.multipleStatements)
         return "only one statement is allowed in a request";
     if (traits.transactionControl)
-        return traits.verb + " is not allowed: use the requests for transactions";
+        return traits.verb + " is not allowed: use the transaction requests";
     if (traits.usesCopy)
         return "COPY is not supported";
     if (traits.readsSessionState)
-        return "a function that tells of the connection's last work is not allowed: use RETURNING";
+        return "functions that read the session's last statement are not allowed: use RETURNING";
     if (traits.referencesInternals)
-        return "the tables and functions of kelptally itself are not for callers";
+        return "access to kelptally's own tables and functions is not allowed";
     if (readOnly && !traits.readsOnly)
-        return "a request of a reading kind may only read";
+        return "a read-only request cannot write";
     return {};
 }
 
--- a/src/backend/sqltraits.h
+++ b/src/backend/sqltraits.h
@@ -5,42 +5,42 @@
 
 namespace kelptally::backend {
 
-// What the words of one statement tell about it. Strings, quoted names and comments are skipped; no
-// grammar is known, so a function that hides what it does is not seen through.
+// Properties of a statement, found by its words alone. Strings, quoted names and comments are
+// skipped. There is no SQL parser, so effects of called functions are not seen.
 struct SqlTraits
 {
-    // First word in capitals; empty when there is none.
+    // First word in upper case; empty if there is none.
     std::string verb;
     // Text follows a semicolon.
     bool multipleStatements = false;
-    // A comment, string or quoted name does not end, or a comment holds another: servers disagree
-    // on where that ends.
+    // A comment, string or quoted name is not terminated, or comments are nested: servers disagree
+    // on where such a comment ends.
     bool ambiguous = false;
-    // Begins, ends or marks a transaction.
+    // Begins or ends a transaction or sets a savepoint.
     bool transactionControl = false;
-    // Waits for data on the connection, which a batch cannot carry.
+    // COPY, which transfers data over the connection and is not supported in a batch.
     bool usesCopy = false;
-    // Runs code that may end the transaction around it: CALL and DO.
+    // CALL and DO, whose code may end the enclosing transaction.
     bool runsCode = false;
-    // Leaves something in the session that its next user would see: settings, temporary tables,
-    // prepared statements, cursors, listening, advisory locks; also every statement whose first
-    // word is not known to leave nothing.
+    // Leaves state in the session that its next user would see: settings, temporary tables,
+    // prepared statements, cursors, LISTEN, advisory locks. Also set for each statement whose first
+    // word is not known to leave none.
     bool leavesState = false;
-    // Calls a function that tells what was last done on the connection, by whomever: LASTVAL,
-    // CURRVAL, LAST_INSERT_ROWID, CHANGES.
+    // Calls a function that returns state of the connection's earlier statements: LASTVAL, CURRVAL,
+    // LAST_INSERT_ROWID, CHANGES.
     bool readsSessionState = false;
-    // Names something that begins with "kelptally_": the proxy's own tables and functions.
+    // Refers to the proxy's own tables or functions, which begin with "kelptally_".
     bool referencesInternals = false;
-    // Only reads, as far as words tell.
+    // Only reads, as far as its words show.
     bool readsOnly = false;
-    // An INSERT of exactly one row of values, without conflict clause and returned rows.
+    // An INSERT of exactly one row of values, without a conflict clause or RETURNING.
     bool insertsOneRow = false;
 };
 
 SqlTraits inspectSql(std::string_view sql);
 
-// Why a caller's statement is refused before it is run: nothing, or the problem in words. Read-only
-// requests may only read; a transaction is begun and ended by its own requests.
+// Returns why a caller's statement must be refused before it runs; empty if it is allowed.
+// Read-only requests may only read, and transactions are controlled by their own requests.
 std::string findSqlProblem(const SqlTraits &traits, bool readOnly);
 
 } // namespace kelptally::backend
--- a/src/backend/writebatch.cpp
+++ b/src/backend/writebatch.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// How far the clocks of two owners may be apart: a record outlives its key by this.
+// Maximum difference of two owners' clocks: records are kept this much longer than their keys.
 constexpr Duration maxClockDifference = std::chrono::hours(1);
 
 constexpr const char *insertSql =
@@ -31,7 +31,7 @@
     return std::chrono::duration_cast<std::chrono::seconds>(time.time_since_epoch()).count();
 }
 
-// The time of the key itself; no value for a key without one, whose record is never purged.
+// The time encoded in the key; null for a key without one, whose record is never purged.
 Value recordTime(const WriteRequest &request)
 {
     const auto time = keyTime(request.key);
@@ -45,7 +45,7 @@
     return record;
 }
 
-// The answer of an INSERT of one row.
+// The answer to an INSERT of one row.
 RequestRecord makeOneRowRecord()
 {
     RequestRecord record;
@@ -53,7 +53,7 @@
     return record;
 }
 
-// Puts batches together, part by part.
+// Builds a batch statement by statement.
 class BatchBuilder
 {
 public:
@@ -117,8 +117,8 @@
     return request.key.empty() || inspectSql(request.statement.sql).insertsOneRow;
 }
 
-// Code that could end the transaction around it gets an explicit one, in which the server refuses
-// that; other work shares the transaction that the server makes of a batch.
+// Code that could end the enclosing transaction runs in an explicit one, in which the server
+// refuses that. Other work runs in the batch's implicit transaction.
 WriteBatch makeSingleBatch(const settings::GroupStatements &statements, const WriteRequest &request,
                            VoidRecord voidRecord)
 {
@@ -204,7 +204,7 @@
     const auto &row = rows.values.front();
     FoundRecord found;
     found.digest = row[0].value_or("");
-    // A record that cannot be read stands for work that was done.
+    // An unreadable record counts as completed work.
     RequestRecord unreadable;
     unreadable.rowsMissing = true;
     found.record = recordFromText(row[1].value_or("")).value_or(unreadable);
--- a/src/backend/writebatch.h
+++ b/src/backend/writebatch.h
@@ -9,44 +9,44 @@
 #include <string>
 #include <vector>
 
-// The batches that a write is made of.
+// Builds the batches of a write.
 namespace kelptally::backend {
 
-// Orders the attempts at requests of one group, over all its owners.
+// Orders all attempts in one group, across its owners.
 using AttemptNumber = std::uint64_t;
 
 constexpr int attemptEpochShift = 36;
 
-// The nth attempt that the owner of an epoch makes.
+// Number of the nth attempt of an owner in an epoch.
 constexpr AttemptNumber makeAttemptNumber(OwnerEpoch epoch, std::uint64_t nth)
 {
     return (epoch << attemptEpochShift) | nth;
 }
 
-// One write at the primary.
+// A write to run at the primary.
 struct WriteRequest
 {
     Statement statement;
-    // Idempotency key of the caller and the team it belongs to; no key: the write is not recorded.
+    // The caller's idempotency key and team. Without a key the write is not recorded.
     std::string key;
     TeamName team;
-    // Digest of the request that the key stands for.
+    // Digest of the request, to detect a key reused for another request.
     std::string keyDigest;
-    // Epoch of the owner that sends it; the fence row refuses older ones.
+    // Epoch of the sending owner; the server's fence rejects older epochs.
     OwnerEpoch epoch = 0;
-    // Number of this attempt, higher than that of each attempt before it (see makeAttemptNumber).
+    // Higher than that of all earlier attempts (see makeAttemptNumber).
     AttemptNumber attempt = 0;
-    // Time of day, against the time that the key carries, and how long records are kept.
+    // Time of day and retention of records, to detect expired keys.
     WallTime now;
     Duration keyRetention {std::chrono::hours(24)};
 };
 
-// SQLSTATEs that a write looks for.
+// SQLSTATEs handled by writes.
 constexpr const char *uniqueViolationState = "23505";
 constexpr const char *fencedState = "KF001";
 constexpr const char *readOnlyState = "25006";
 
-// A batch and the places of its parts.
+// A batch and the indexes of its statements.
 struct WriteBatch
 {
     std::vector<Statement> statements;
@@ -55,44 +55,44 @@
     std::optional<std::size_t> offsetIndex;
 };
 
-// Whether the whole write goes out in one batch: it is not recorded, or its answer is known before
-// it runs (an INSERT of one row). Else its transaction takes two: the work, and then its recorded
-// answer with the commit.
+// Whether the write takes a single batch: it is not recorded, or its answer is known in advance (an
+// INSERT of one row). Otherwise its transaction takes two: the work, then the recorded answer and
+// the commit.
 bool fitsSingleBatch(const WriteRequest &request);
 
-// Whether a void record in the place of the key is taken away first, when an earlier attempt left
-// it. One that is newer than this attempt stays, and the batch fails on it.
+// Whether an earlier attempt's void record of the key is deleted first. A void record newer than
+// this attempt stays, and the batch fails on it.
 enum class VoidRecord {
     Keep,
     Replace,
 };
 
-// The whole write, committed at its end.
+// The whole write, including its commit.
 WriteBatch makeSingleBatch(const settings::GroupStatements &statements, const WriteRequest &request,
                            VoidRecord voidRecord);
-// Begins a transaction and does the work in it.
+// Begins a transaction and runs the work in it.
 WriteBatch makeWorkBatch(const settings::GroupStatements &statements, const WriteRequest &request,
                          VoidRecord voidRecord);
 // Records the answer and commits.
 WriteBatch makeRecordBatch(const settings::GroupStatements &statements, const WriteRequest &request,
                            const Rows &answer);
-// Commits a caller's transaction, recorded when there is a key.
+// Commits a caller's transaction, with a record if there is a key.
 WriteBatch makeCommitBatch(const settings::GroupStatements &statements,
                            const WriteRequest &request);
-// Corrects the recorded answer of a write that is committed.
+// Replaces the recorded answer of a committed write.
 WriteBatch makeCorrectionBatch(const settings::GroupStatements &statements,
                                const WriteRequest &request, const Rows &answer);
-// Records that no attempt up to this one can ever commit.
+// Writes a void record: no attempt up to this one can commit any more.
 WriteBatch makeVoidBatch(const settings::GroupStatements &statements, const WriteRequest &request);
-// Reads the record of the key, after the end of a failed transaction when there is one.
+// Reads the record of the key; first rolls back a failed transaction, if any.
 WriteBatch makeLookupBatch(const settings::GroupStatements &statements, const WriteRequest &request,
                            bool inTransaction);
-// Deletes records whose keys have expired for more than the clocks of two owners may differ, at
-// most so many.
+// Deletes, up to the limit, records whose keys have expired for longer than the clocks of two
+// owners may differ.
 std::vector<Statement> makePurgeBatch(const settings::GroupStatements &statements, OwnerEpoch epoch,
                                       WallTime now, Duration keyRetention, int limit);
 
-// The record as the lookup found it.
+// A record as read by a lookup.
 struct FoundRecord
 {
     std::string digest;
@@ -100,7 +100,7 @@
 };
 std::optional<FoundRecord> findRecord(const WriteBatch &batch, const BatchResult &result);
 
-// The log offset that the batch read; 0 when it did not.
+// Returns the log offset that the batch read; 0 if it read none.
 LogOffset offsetOf(const WriteBatch &batch, const BatchResult &result);
 
 } // namespace kelptally::backend
--- a/src/backend/writeflow.cpp
+++ b/src/backend/writeflow.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Attempts that a lookup may cause: a record can only vanish or change between by other attempts.
+// Limit of attempts after lookups; a record is only deleted or replaced by concurrent attempts.
 constexpr int maxFlowAttempts = 4;
 
-// One request on its way through its batches; keeps itself alive until it calls back.
+// Runs the batches of one request; keeps itself alive until it calls back.
 class WriteFlow : public std::enable_shared_from_this<WriteFlow>
 {
 public:
@@ -45,7 +45,7 @@
     void lookUp(bool inTransaction);
     void onLookUp(BatchResult result);
     void onRecord(const FoundRecord &found, LogOffset offset);
-    // Whether the batch failed or was lost, and the request is dealt with.
+    // Handles a batch that failed or was lost; returns false if it succeeded.
     bool handleFailure(const BatchResult &result, bool commitSent);
     bool isKeyConflict(const BatchResult &result) const;
 
@@ -60,7 +60,7 @@
     WriteCallback callback_;
 
     WriteBatch batch_;
-    // What the work gave, for the end.
+    // Result of the work.
     WriteOutcome outcome_;
     VoidRecord voidRecord_ = VoidRecord::Keep;
     int attemptCount_ = 0;
@@ -69,7 +69,7 @@
 void WriteFlow::attempt()
 {
     if (++attemptCount_ > maxFlowAttempts)
-        return finish(WriteState::Unknown, "other attempts with the same key are under way");
+        return finish(WriteState::Unknown, "other attempts with the same key are in progress");
     if (purpose_ == Purpose::Commit)
         run(makeCommitBatch(context_.statements, request_), &WriteFlow::onSingleBatch);
     else if (purpose_ == Purpose::Resolve)
@@ -89,7 +89,8 @@
                              });
 }
 
-// The batch held the commit: the request is done unless the answer was not the recorded one.
+// The batch included the commit: the request is done unless its answer differs from the recorded
+// one.
 void WriteFlow::onSingleBatch(BatchResult result)
 {
     if (handleFailure(result, true))
@@ -106,13 +107,13 @@
     run(makeCorrectionBatch(context_.statements, request_, outcome_.rows), &WriteFlow::onCorrected);
 }
 
-// Without the commit nothing is in force, so a loss here is not an unknown outcome.
+// Nothing takes effect without the commit, so a lost connection means that the work did not run.
 void WriteFlow::onWork(BatchResult result)
 {
     if (handleFailure(result, false))
         return;
     if (context_.mayCommit && !context_.mayCommit())
-        return finish(WriteState::NotRun, "the lease lapsed before the commit");
+        return finish(WriteState::NotRun, "the lease expired before the commit");
     outcome_.rows = std::move(result.rows[*batch_.workIndex]);
     run(makeRecordBatch(context_.statements, request_, outcome_.rows), &WriteFlow::onRecorded);
 }
@@ -126,7 +127,7 @@
     finish(std::move(outcome_));
 }
 
-// The work is committed already: a failure here only leaves the expected count in the record.
+// The work is already committed: a failure here only leaves the expected count in the record.
 void WriteFlow::onCorrected(BatchResult result)
 {
     if (result.state == BatchState::Done)
@@ -177,7 +178,7 @@
         return finish(WriteState::Unknown, result);
     if (const auto found = findRecord(batch_, result))
         return onRecord(*found, offsetOf(batch_, result));
-    // The attempt that stood in the way was rolled back, or there never was one.
+    // The conflicting attempt was rolled back, or there was none.
     if (isKeyExpired(request_.key, request_.now, request_.keyRetention))
         return finish(WriteState::KeyExpired, result);
     if (purpose_ == Purpose::Commit)
@@ -203,9 +204,10 @@
         outcome.state = WriteState::KeyExpired;
         return finish(std::move(outcome));
     }
-    // The commit that failed on it had rolled the transaction back.
+    // The failed commit has rolled the transaction back.
     if (purpose_ == Purpose::Commit)
-        return finish(WriteState::NotRun, "this attempt was given up; begin the transaction again");
+        return finish(WriteState::NotRun,
+                      "this attempt was abandoned; begin the transaction again");
     voidRecord_ = VoidRecord::Replace;
     attempt();
 }
--- a/src/backend/writeflow.h
+++ b/src/backend/writeflow.h
@@ -8,24 +8,24 @@
 
 namespace kelptally::backend {
 
-// What is known of a write at its end.
+// Final state of a write.
 enum class WriteState {
-    // Committed by this attempt. To be acknowledged once its offset is confirmed.
+    // Committed by this attempt. Must not be acknowledged before its offset is confirmed.
     Done,
-    // An earlier attempt with the same key is committed; the answer is the recorded one. To be
-    // acknowledged once the offset is confirmed, as the earlier attempt may not have been.
+    // An earlier attempt with the same key is committed; the answer is the recorded one. Must not
+    // be acknowledged before the offset is confirmed.
     Replayed,
-    // Nothing is in force, and nothing of this attempt can come into force.
+    // Nothing took effect, and nothing of this attempt can.
     NotRun,
-    // The server refused the statement; nothing is in force.
+    // The server refused the statement; nothing took effect.
     Failed,
-    // The key stands for another request; nothing was run.
+    // The key belongs to another request; nothing ran.
     KeyReused,
-    // The key is older than records are kept and has none; nothing was run.
+    // The key is older than the retention and has no record; nothing ran.
     KeyExpired,
-    // A newer owner has raised the fence; nothing is in force.
+    // A newer owner has raised the fence; nothing took effect.
     Fenced,
-    // The server does not take writes; nothing is in force.
+    // The server does not accept writes; nothing took effect.
     NotPrimary,
     // The connection was lost after the commit was sent, or while an earlier attempt was looked up.
     Unknown,
@@ -35,9 +35,9 @@
 {
     WriteState state = WriteState::NotRun;
     Rows rows;
-    // The recorded answer had more rows than are kept.
+    // The answer's rows were too large to be recorded.
     bool rowsMissing = false;
-    // Log offset that holds the work, the replayed record or the void record.
+    // Log offset that covers the work, the replayed record or the void record.
     LogOffset offset = 0;
     std::string sqlState;
     std::string message;
@@ -46,29 +46,27 @@
 
 using WriteCallback = std::function<void(WriteOutcome)>;
 
-// How a write is run.
+// Connection and settings for a write.
 struct WriteContext
 {
     std::shared_ptr<Connection> connection;
     settings::GroupStatements statements;
-    // Asked again before a commit that follows an earlier answer: the owner's lease may have
-    // lapsed.
+    // Checked before a commit in a second batch, as the owner's lease may have expired since.
     std::function<bool()> mayCommit;
 };
 
-// Runs one write on a connection to the primary that no transaction uses. With a key it runs at
-// most once, whatever was lost before: it finds the record of an earlier attempt and gives its
-// answer. Calls back exactly once. Afterwards the connection can be given back; the pool ends a
-// transaction that is left open.
+// Runs a write on a connection to the primary with no open transaction. With a key it runs at most
+// once, also after lost answers: it returns the answer recorded by an earlier attempt. Calls back
+// exactly once. The connection can be released afterwards; the pool rolls back an open transaction.
 void runWrite(WriteContext context, WriteRequest request, WriteCallback callback);
 
-// Commits the caller's transaction that is open on the connection. With a key, an earlier commit
-// of the same request is replayed and this transaction is rolled back.
+// Commits the caller's open transaction on the connection. With a key, an earlier commit of the
+// same request is replayed and this transaction is rolled back.
 void runCommit(WriteContext context, WriteRequest request, WriteCallback callback);
 
-// Settles a request with a key of which an attempt's outcome is unknown, without running it:
-// Replayed when it was done; NotRun when it was not and, once the offset is confirmed, never will
-// be. A later attempt with the same key may still run: its attempt number is higher.
+// Resolves a request with a key and an unknown outcome without running it: Replayed if it was
+// committed, otherwise NotRun; once the offset is confirmed, earlier attempts can no longer commit.
+// A later attempt with the same key, which has a higher number, may still run.
 void resolveUnknown(WriteContext context, WriteRequest request, WriteCallback callback);
 
 } // namespace kelptally::backend
--- a/src/owner/confirmationwaits.cpp
+++ b/src/owner/confirmationwaits.cpp
@@ -10,7 +10,7 @@
 {
     const decision::WriteId id = ++lastId_;
     waits_.emplace(id, Wait {position, context_.now(), std::move(callback)});
-    // Committed at a primary that has been replaced meanwhile, or before its successor is known.
+    // The primary has been replaced since, or its successor is not known yet.
     if (position.term != term_)
         checkHistory(id, term_);
     else
@@ -41,7 +41,7 @@
         checkHistory(id, term);
 }
 
-// The records up to the start of this term are those of its history, at the same offsets.
+// Records up to the start of this term have the same offsets in its history.
 void ConfirmationWaits::checkHistory(decision::WriteId id, Term term)
 {
     const auto found = waits_.find(id);
@@ -74,7 +74,7 @@
         all.push_back(id);
     for (const decision::WriteId id : all)
         finish(id, ConfirmationOutcome::Unresolved);
-    // The term stays: when a lapsed lease comes back, the primary is still the one it was.
+    // Keeps the term: when a lapsed lease is regained, the primary is unchanged.
     confirmation_ = decision::Confirmation();
     confirmation_.onTerm(term_, serverCount_);
 }
--- a/src/owner/confirmationwaits.h
+++ b/src/owner/confirmationwaits.h
@@ -9,38 +9,38 @@
 
 namespace kelptally::owner {
 
-// What became of committed work whose answer is held back.
+// Outcome of the wait for a majority.
 enum class ConfirmationOutcome {
-    // A majority of the servers holds it in the current term.
+    // A majority of the servers holds the work in the current term.
     Confirmed,
-    // The term ended and the new primary's history does not hold it: it did not happen.
+    // The new primary's history does not contain the work, so it did not happen.
     Lost,
-    // This process stopped before it was known.
+    // The process stopped before the outcome was known.
     Unresolved,
 };
 using ConfirmationCallback = std::function<void(ConfirmationOutcome)>;
 
-// Committed writes of one group on their way to a majority. A failover does not end the wait: a
+// Committed writes of one group that wait for a majority. A failover does not end the wait: a
 // position that is part of the new history waits for a majority in the new term.
 class ConfirmationWaits
 {
 public:
     explicit ConfirmationWaits(GroupContext &context) : context_(context) { }
 
-    // Returns a number for forget().
+    // Returns an id for remove().
     decision::WriteId add(Position position, ConfirmationCallback callback);
-    // The same for work that was sent at this time and has just been committed there: the replicas
-    // are asked for it at once.
+    // As add(), for work that has just been committed at the primary; also requests positions from
+    // the replicas at once.
     decision::WriteId addCommitted(Instant sentAt, Position position,
                                    ConfirmationCallback callback);
     void remove(decision::WriteId id) { waits_.erase(id); }
 
     void onReport(const ServerName &server, const decision::ServerReport &report);
     void onPrimaryReady(Term term, std::size_t serverCount);
-    // Ends every wait as open.
+    // Ends all waits as unresolved.
     void stop();
 
-    // Whether the servers should be asked for their positions at once.
+    // Whether any write waits, so that servers should be sampled at once.
     bool waiting() const { return confirmation_.waiting(); }
 
 private:
--- a/src/owner/heldrequests.h
+++ b/src/owner/heldrequests.h
@@ -7,17 +7,17 @@
 
 namespace kelptally::owner {
 
-// Requests that wait for their group to begin or to be handed over; bounded.
+// Bounded queue of requests that wait until their group starts or is handed over.
 class HeldRequests
 {
 public:
     explicit HeldRequests(Responder &responder) : responder_(responder) { }
 
-    // Refuses the request when as many are held as may be.
+    // Refuses the request when the limit is reached.
     void hold(const RequestPtr &request, std::size_t limit);
 
-    // Gives each request that need not be held any longer to the function, in order, and refuses
-    // those whose time is up.
+    // Releases, in order, the requests that need not be held any longer, and refuses those that
+    // were cancelled or are past their deadline.
     using MustHold = std::function<bool(const RequestPtr &)>;
     using Release = std::function<void(const RequestPtr &)>;
     void update(Instant now, const MustHold &mustHold, const Release &release);
--- a/src/owner/readrunner.cpp
+++ b/src/owner/readrunner.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-// Allowance for an answer's way from owner to entry; chosen from the sites' one-way delays of 0.5
-// and 1.5 ms between zones, with room for a busy thread.
+// Upper bound of an answer's transit time from the owner to the entry; it is part of the data's
+// age.
 constexpr Duration entryTransitAllowance = std::chrono::milliseconds(5);
-// A read that fails or turns out too old this often is refused.
+// Attempts after which a read is refused.
 constexpr int maxAttempts = 5;
-// Time given to a replica to catch up before asking again when the route names none.
+// Delay before routing again when the route names none.
 constexpr Duration defaultReplicaWait = std::chrono::milliseconds(2);
 constexpr Duration retryAfterRefusal = std::chrono::milliseconds(200);
 
@@ -31,13 +31,13 @@
     int attempts = 0;
     bool queued = false;
     TimerId timer = 0;
-    // Of the attempt under way.
+    // State of the current attempt.
     ServerName server;
     PrimaryCause cause = PrimaryCause::None;
     decision::Work work;
     Term term = 0;
     Instant sentAt;
-    // The data is no older than this.
+    // Time at which the data is known to be current.
     std::optional<Instant> asOf;
     std::optional<Position> position;
 };
@@ -76,7 +76,7 @@
     return reads_.size();
 }
 
-// Reasons for which no server at all may answer now.
+// Refuses the read and returns false when no server may answer it at present.
 bool ReadRunner::admit(const ReadPtr &read)
 {
     if (!context_.ownership.holdsLease()) {
@@ -187,8 +187,7 @@
             route(read);
         return;
     }
-    // The bound is of what the server is known to hold when the statement is sent; it may only hold
-    // more when the statement runs.
+    // A lower bound: the server may have applied more by the time the statement runs.
     const decision::Failover *failover = context_.failover.decision();
     read->term = failover ? failover->term() : 0;
     read->sentAt = now;
@@ -204,7 +203,8 @@
     });
 }
 
-// A function called by a read might write; a replica refuses that by itself.
+// At the primary a read-only transaction keeps functions from writing; a replica refuses writes
+// itself.
 std::vector<backend::Statement> ReadRunner::makeBatch(const Read &read)
 {
     backend::Statement statement {read.request->execute.sql, read.request->execute.parameters};
@@ -234,7 +234,8 @@
     retry(read, Reason::NoPrimary);
 }
 
-// Whether the answer may still be given: same primary or same term, and within the age.
+// Whether the answer may be returned: the term is unchanged, the primary too if it answered, and
+// the data is still within the stated age.
 bool ReadRunner::isStillValid(const Read &read) const
 {
     const decision::Failover *failover = context_.failover.decision();
--- a/src/owner/readrunner.h
+++ b/src/owner/readrunner.h
@@ -7,8 +7,8 @@
 
 namespace kelptally::owner {
 
-// Runs the single reads of one group: chooses a server by session position and stated age, and
-// checks both again once the answer is there.
+// Runs the single-statement reads of one group. Chooses a server that satisfies the session
+// position and the stated age, and checks both again before the answer is returned.
 class ReadRunner
 {
 public:
@@ -17,11 +17,11 @@
 
     void run(const RequestPtr &request);
 
-    // Reads that wait for a replica look again, as after new reports.
+    // Routes the reads that wait for a replica again after new server reports.
     void onReports();
-    // A new configuration may have changed the share of reads that the primary takes.
+    // Applies the configured share of reads that the primary takes.
     void configure();
-    // Ends everything that has not been answered: nothing of a read was executed.
+    // Refuses all unanswered reads as not executed.
     void stop(const Refusal &refusal);
     // Refuses the reads whose deadline has passed.
     void expire();
@@ -49,7 +49,7 @@
     GroupContext &context_;
     std::unique_ptr<decision::Routing> routing_;
     std::map<std::uint64_t, ReadPtr> reads_;
-    // Answers that arrive after this object is gone are dropped.
+    // Guards callbacks that arrive after this object is destroyed.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/owner/request.h
+++ b/src/owner/request.h
@@ -9,7 +9,7 @@
 
 namespace kelptally::owner {
 
-// One request of an entry from its arrival to its only answer.
+// A request of an entry, from its arrival until it is answered.
 struct Request
 {
     inner::LinkId link = 0;
@@ -17,10 +17,10 @@
     Instant arrived;
     Instant deadline;
     settings::RequestClass requestClass = settings::RequestClass::Write;
-    // Number of this request among all of this process.
+    // Unique within this process.
     std::uint64_t number = 0;
     bool answered = false;
-    // The caller no longer waits: whatever has not been sent yet is dropped.
+    // The caller no longer waits; work that has not been sent yet is dropped.
     bool cancelled = false;
 };
 
--- a/src/owner/responder.cpp
+++ b/src/owner/responder.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// What the entry is told should no message hold the answer; lacks the detail.
+// Makes the answer to send when the result exceeds the message size; the caller sets its detail.
 inner::ExecuteResult makeOversizeResult(const inner::ExecuteResult &whole)
 {
     inner::ExecuteResult result;
--- a/src/owner/responder.h
+++ b/src/owner/responder.h
@@ -7,7 +7,7 @@
 
 namespace kelptally::owner {
 
-// A refusal or failure before it is made an answer.
+// A refusal or failure to be sent as an answer.
 struct Refusal
 {
     Reason reason = Reason::Internal;
@@ -17,8 +17,8 @@
     std::string ownerHint;
 };
 
-// Gives each request its one answer: completes the fields that are the same for all answers, counts
-// refusals by reason and sends on the link that the request came from.
+// Sends exactly one answer for each request on the link that it came from, fills in the common
+// fields and counts refusals by reason.
 class Responder
 {
 public:
@@ -27,7 +27,7 @@
     void answer(Request &request, inner::ExecuteResult result);
     void refuse(Request &request, const Refusal &refusal);
 
-    // Called after each answer.
+    // Sets a function that is called after each answer.
     void setObserver(std::function<void(const Request &)> observer);
 
 private:
--- a/src/owner/serverexecutor.cpp
+++ b/src/owner/serverexecutor.cpp
@@ -71,7 +71,7 @@
     pool_->release(connection, reusable);
 }
 
-// Callbacks may submit or finish work; that is taken up here, without recursion.
+// Callbacks may submit or finish work; the loop handles that without recursion.
 void ServerExecutor::dispatch()
 {
     dispatchAgain_ = true;
--- a/src/owner/serverexecutor.h
+++ b/src/owner/serverexecutor.h
@@ -14,27 +14,28 @@
 
 using ConnectionPtr = std::shared_ptr<backend::Connection>;
 
-// Why work left a lane without having started.
+// Why work was refused before it started.
 struct WorkRefusal
 {
     Reason reason = Reason::None;
     Duration retryAfter {0};
     std::string detail;
-    // No connection to the server could be had; another server may do.
+    // No connection to the server could be opened; another server may answer.
     bool unreachable = false;
 };
 
-// Work for one server: exactly one of its functions is called, unless it is cancelled.
+// Work for one server. Exactly one of the functions is called, unless the work is cancelled.
 struct ExecutorWork
 {
     decision::Work work;
-    // A transaction's own connection; nothing: one of the pool.
+    // Connection of a transaction; null to take one from the pool.
     ConnectionPtr pinned;
     std::function<void(ConnectionPtr)> start;
     std::function<void(const WorkRefusal &)> refused;
 };
 
-// The way to one server: its queue and slots, and the pool of connections under them.
+// Runs work on one server: queues it, admits it to a limited number of slots and supplies pooled
+// connections.
 class ServerExecutor : public std::enable_shared_from_this<ServerExecutor>
 {
 public:
@@ -42,23 +43,23 @@
                    const settings::Limits &limits, OwnerPorts &ports);
 
     void submit(ExecutorWork work);
-    // Takes waiting work away; false when it has started or is unknown.
+    // Removes queued work; returns false if it has started or is unknown.
     bool cancel(decision::WorkId id);
 
-    // Ends the use of a slot that start() began; without a service time nothing was run.
+    // Frees the slot that start() took. No service time means that nothing was run.
     void finished(const decision::Work &work, std::optional<Duration> serviceTime);
-    // Gives a connection back to the pool, or closes it when its state is not known to be clean.
+    // Returns a connection to the pool, which closes it unless it is reusable.
     void release(const ConnectionPtr &connection, bool reusable);
 
-    // Refuses everything that waits.
+    // Refuses all queued work.
     void refuseAll(const WorkRefusal &refusal);
-    // Closes idle connections now and those in use when given back; those in use are cut at once
-    // when told so.
+    // Closes idle connections now, and connections in use when they are released or, with
+    // abortRunning, at once.
     void closeConnections(bool abortRunning);
-    // Refuses what can no longer be done in time.
+    // Refuses queued work that can no longer meet its deadline.
     void expire();
 
-    // The notice comes once no more connections are counted than the limit allows.
+    // Calls withinLimit once the number of connections is within the limit.
     void setConnectionLimit(int limit, std::function<void()> withinLimit = {});
     void configure(const settings::Server &server, const std::vector<settings::Team> &teams);
     void warm(int connections);
@@ -80,7 +81,7 @@
     struct PendingWork
     {
         ExecutorWork queued;
-        // Waits for a connection with its slot taken.
+        // Holds a slot and waits for a connection.
         bool hasSlot = false;
         backend::ConnectionPool::RequestId request = 0;
     };
--- a/src/owner/statementerror.h
+++ b/src/owner/statementerror.h
@@ -4,11 +4,11 @@
 
 namespace kelptally::owner {
 
-// Whether the server refused because it stops or just starts (SQLSTATE class 57P), so that nothing
-// is wrong with the statement itself.
+// Whether the server refused because it is starting or stopping (SQLSTATE class 57P), so that the
+// statement itself may be valid.
 bool isServerStopping(const std::string &sqlState);
 
-// SQLSTATE and message of the database, for callers.
+// Formats the database's message and SQLSTATE for callers.
 std::string describeError(const std::string &sqlState, const std::string &message);
 
 } // namespace kelptally::owner
--- a/src/owner/transactionrunner.cpp
+++ b/src/owner/transactionrunner.cpp
@@ -14,7 +14,7 @@
 
 constexpr Duration retryAfterRefusal = std::chrono::milliseconds(300);
 
-// Ids of transactions must not be guessed.
+// Transaction ids must not be guessable.
 std::uint64_t randomSeed()
 {
     std::random_device source;
@@ -85,9 +85,9 @@
     }
     step->id = transactions_->begin(context_.now(), step->request->execute.team);
     if (!step->id) {
-        refuse(step,
-               {Reason::QueueFull, "as many transactions are open as may be", Executed::No,
-                retryAfterRefusal, ""});
+        refuse(
+            step,
+            {Reason::QueueFull, "too many open transactions", Executed::No, retryAfterRefusal, ""});
         return;
     }
     transactions_->enter(context_.now(), *step->id, step->request->execute.team);
@@ -120,7 +120,7 @@
     submit(step, *executor, pinned->second.connection);
 }
 
-// A commit that is repeated is told its outcome as far as it is remembered.
+// Answers a repeated commit from its remembered outcome, and resolves it by its key otherwise.
 void TransactionRunner::onEnterRefused(const StepPtr &step, Reason reason)
 {
     const bool commit = step->kind() == StatementStep::Commit;
@@ -322,7 +322,7 @@
     refuse(step, refusal);
 }
 
-// The connection is free, and the answer waits for a majority.
+// Releases the connection; the answer waits for a majority.
 void TransactionRunner::onCommitted(const StepPtr &step, backend::WriteOutcome outcome)
 {
     releaseConnection(*step->id, !outcome.connectionLost);
@@ -363,7 +363,7 @@
     answer(step, std::move(step->result));
 }
 
-// What was not committed is rolled back with its connection.
+// Closing the connection rolls back uncommitted work.
 void TransactionRunner::onLost(const StepPtr &step, const backend::BatchResult &result)
 {
     const bool failed = result.state == backend::BatchState::Failed;
@@ -436,14 +436,14 @@
         end(*id, Reason::TransactionEnded, true);
 }
 
-// The lane closes the connections; steps under way are told by their batches.
+// The executors close their connections, which ends the running batches.
 void TransactionRunner::onPrimaryGone()
 {
     endAllPinned();
 }
 
-// Transactions that only wait for confirmation of their commit have no connection any more and go
-// on waiting.
+// Transactions that wait for confirmation of their commit have released their connection and
+// continue to wait.
 void TransactionRunner::endAllPinned()
 {
     std::vector<TransactionId> ids;
--- a/src/owner/transactionrunner.h
+++ b/src/owner/transactionrunner.h
@@ -16,20 +16,20 @@
     TransactionRunner(GroupContext &context, ConfirmationWaits &confirmations, WriteRunner &writes);
     ~TransactionRunner();
 
-    // A new time as owner begins; ids name its epoch.
+    // Starts with a new ownership epoch, which is part of the transaction ids.
     void start(OwnerEpoch epoch);
     void run(const RequestPtr &request);
-    // The caller of this transaction has gone: it is rolled back.
+    // Rolls back the transaction of a caller that has disconnected.
     void cancel(const std::string &transaction);
 
     void onPrimaryGone();
-    // Ends every transaction and refuses what runs or waits.
+    // Ends all transactions and refuses all requests.
     void stop(const Refusal &refusal);
-    // Ends those idle for too long and refuses what can no longer be done in time.
+    // Ends transactions past their idle limit and refuses requests past their deadline.
     void expire();
 
     std::size_t openCount() const { return transactions_ ? transactions_->openCount() : 0; }
-    // Requests that have been neither answered nor refused.
+    // Number of unanswered requests.
     std::size_t waiting() const { return steps_.size(); }
 
 private:
@@ -40,7 +40,7 @@
     void begin(const StepPtr &step);
     void enter(const StepPtr &step);
     void onEnterRefused(const StepPtr &step, Reason reason);
-    // The outcome of a commit is not known: its key tells.
+    // Resolves a commit of unknown outcome by its key.
     void resolveCommit(const StepPtr &step, const Refusal &refusal);
     void submit(const StepPtr &step, ServerExecutor &executor, ConnectionPtr pinned);
     void start(const StepPtr &step, const ConnectionPtr &connection);
@@ -58,7 +58,7 @@
     void onLost(const StepPtr &step, const backend::BatchResult &result);
     void onRefused(const StepPtr &step, const WorkRefusal &refusal);
 
-    // Ends the transaction and gives its connection back, which rolls back what is open.
+    // Ends the transaction and returns its connection to the pool, which rolls back open work.
     void end(const decision::TransactionId &id, Reason endReason, bool reusable);
     void releaseConnection(const decision::TransactionId &id, bool reusable);
     void endAllPinned();
@@ -70,9 +70,9 @@
     WriteRunner &writes_;
     std::unique_ptr<decision::Transactions> transactions_;
     std::map<std::uint64_t, StepPtr> steps_;
-    // By the number of the transaction.
+    // By transaction number.
     std::map<std::uint64_t, PinnedTransaction> pinned_;
-    // Answers that arrive after this object is gone are dropped.
+    // Guards callbacks that arrive after this object is destroyed.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/owner/writerunner.cpp
+++ b/src/owner/writerunner.cpp
@@ -9,14 +9,13 @@
 
 namespace {
 
-// How long a failover may take before writes are refused instead of held: its measured 99th
-// percentile lies below.
+// Time without a primary after which writes are refused instead of held.
 constexpr Duration maxFailoverTime = std::chrono::milliseconds(1500);
-// Time a write is expected to need once there is a primary; chosen, not measured.
+// Time that a write needs once there is a primary.
 constexpr Duration expectedWriteTime = std::chrono::milliseconds(30);
 constexpr Duration retryAfterRefusal = std::chrono::milliseconds(300);
 constexpr int maxAttempts = 6;
-// Between attempts after the first two.
+// Delay between attempts after the first two.
 constexpr Duration writeRetryDelay = std::chrono::milliseconds(20);
 
 } // namespace
@@ -33,18 +32,18 @@
     RequestPtr request;
     State state = State::WaitsForPrimary;
     int attempts = 0;
-    // Some attempt was sent and its outcome is not known.
+    // An attempt was sent and its outcome is unknown.
     bool maybeExecuted = false;
-    // Of the attempt under way.
+    // State of the current attempt.
     ServerName server;
     Term term = 0;
     decision::Work work;
     Instant sentAt;
     decision::WriteId confirmation = 0;
     inner::ExecuteResult result;
-    // Set once the write is only settled: what to say when it has never run.
+    // Set while the outcome of an earlier attempt is resolved: the answer if the write never ran.
     std::optional<Refusal> refusal;
-    // What waits for confirmation is the record that it never runs.
+    // A void record, which stops earlier attempts, waits for confirmation.
     bool confirmsVoidRecord = false;
     TimerId timer = 0;
 };
@@ -103,7 +102,7 @@
     executor->submit(std::move(work));
 }
 
-// A write is held only while a new primary can be expected before its deadline.
+// Writes are held only while a new primary can be expected before their deadline.
 bool WriteRunner::mayWaitForPrimary(const Write &write) const
 {
     const Instant now = context_.now();
@@ -189,7 +188,7 @@
     }
 }
 
-// Committed at the primary, or a record that the write will never run; a majority must have it.
+// Waits until a majority holds the committed work or the void record.
 void WriteRunner::onCommitted(const WritePtr &write, backend::WriteOutcome outcome)
 {
     write->state = Write::State::Confirming;
@@ -211,7 +210,7 @@
                                     });
 }
 
-// The server itself says that nothing of this attempt is in force.
+// Handles an error reported by the server: this attempt has no effect.
 void WriteRunner::onFailed(const WritePtr &write, const backend::WriteOutcome &outcome)
 {
     if (isServerStopping(outcome.sqlState)) {
@@ -241,8 +240,8 @@
     refuse(write, refusal);
 }
 
-// An earlier attempt may still come into force: a void record in the place of its key stops it, so
-// that "not run" stays true.
+// Writes a void record under the key, so that a delayed earlier attempt cannot commit after the
+// request is answered as not executed.
 void WriteRunner::resolve(const WritePtr &write, const Refusal &refusal)
 {
     write->refusal = refusal;
@@ -254,8 +253,8 @@
     if (write->request->answered)
         return;
     if (outcome == ConfirmationOutcome::Lost) {
-        // It is not part of the new primary's log, so this attempt did not happen; but of what an
-        // earlier attempt did only the reading of its record may be lost.
+        // The position is not in the new primary's log, so this attempt did not happen. If it was a
+        // replay, the original record may still exist there.
         write->state = Write::State::WaitsForPrimary;
         write->maybeExecuted |= write->result.replayed;
         retry(write, Reason::Unconfirmed);
@@ -292,8 +291,8 @@
     refuse(write, {refusal.reason, refusal.detail, Executed::No, refusal.retryAfter, ""});
 }
 
-// Runs the write again at the primary of the moment. Only a write that may be repeated, or whose
-// key finds what an earlier attempt has done, gets here.
+// Runs the write again at the current primary. Only called for writes that may be repeated or whose
+// key finds the record of an earlier attempt.
 void WriteRunner::retry(const WritePtr &write, Reason retryReason)
 {
     if (++write->attempts >= maxAttempts) {
@@ -316,7 +315,7 @@
     });
 }
 
-// Says that the work may have run when an attempt was sent and nothing has settled it since.
+// Reports the execution as unknown when an attempt was sent and its outcome has not been resolved.
 void WriteRunner::refuse(const WritePtr &write, Refusal refusal)
 {
     const bool outcomeUnknown = write->maybeExecuted || write->state == Write::State::Running
--- a/src/owner/writerunner.h
+++ b/src/owner/writerunner.h
@@ -7,9 +7,10 @@
 
 namespace kelptally::owner {
 
-// Runs the single writes of one group at its primary. A write is answered once a majority of the
-// servers holds it. One whose outcome a lost connection or a failover left open runs again: by its
-// key it finds its own record, and one without a key may be repeated.
+// Runs the single-statement writes of one group at its primary. A write is answered once a majority
+// of the servers holds it. A write whose outcome is unknown after a lost connection or a failover
+// runs again: with a key it finds the record of the earlier attempt, and without a key it may be
+// repeated.
 class WriteRunner
 {
 public:
@@ -17,16 +18,17 @@
     ~WriteRunner();
 
     void run(const RequestPtr &request);
-    // Settles a request with a key of which an earlier attempt may have been committed, without
-    // running it: answers from the record, or refuses once no attempt can be committed any more.
+    // Resolves a request with a key whose earlier attempt may have been committed, without running
+    // it: answers from the record, or refuses once no attempt can be committed any more.
     void resolve(const RequestPtr &request, const Refusal &refusal);
 
     void onPrimaryGone();
-    // Starts what waited for a primary.
+    // Submits the writes that wait for a primary.
     void onPrimaryReady();
-    // Ends everything with what is known of its execution.
+    // Refuses all writes and reports what is known of their execution.
     void stop(const Refusal &refusal);
-    // Refuses what can no longer be done in time.
+    // Refuses writes that are past their deadline, were cancelled, or can no longer wait for a
+    // primary.
     void expire();
 
     std::size_t waiting() const { return writes_.size(); }
@@ -55,7 +57,7 @@
     ConfirmationWaits &confirmations_;
     std::map<std::uint64_t, WritePtr> writes_;
     std::optional<Instant> primaryLostAt_;
-    // Answers that arrive after this object is gone are dropped.
+    // Guards callbacks that arrive after this object is destroyed.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
