--- a/src/backend/connectionpool.cpp
+++ b/src/backend/connectionpool.cpp
@@ -42,7 +42,7 @@
     {
         if (!raw_) {
             BatchResult result;
-            result.message = "the connection was given back";
+            result.message = "the connection was already released";
             result.connectionLost = true;
             callback(std::move(result));
             return;
@@ -131,7 +131,7 @@
                                         [id](const Waiter &waiter) { return waiter.id == id; });
         const ConnectCallback late = std::move(found->callback);
         waiting_.erase(found);
-        late(absl::DeadlineExceededError("no connection was free in time"), nullptr);
+        late(absl::DeadlineExceededError("no free connection before the deadline"), nullptr);
     });
     waiting_.push_back({id, std::move(callback), timer});
     updatePeakDemand();
@@ -362,7 +362,7 @@
         for (const auto &[lent, raw] : borrowed)
             close(raw);
     }
-    failWaiting(absl::CancelledError("the pool closes its connections"));
+    failWaiting(absl::CancelledError("the pool is closing its connections"));
 }
 
 void ConnectionPool::notifyIfWithinLimit()
--- a/src/owner/readrunner.cpp
+++ b/src/owner/readrunner.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Upper bound of an answer's transit time from the owner to the entry; it is part of the data's
+// Upper bound of an answer's transit time from the owner to the entry, deducted from the stated
 // age.
 constexpr Duration entryTransitAllowance = std::chrono::milliseconds(5);
 // Attempts after which a read is refused.
@@ -37,7 +37,7 @@
     decision::Work work;
     Term term = 0;
     Instant sentAt;
-    // Time at which the data is known to be current.
+    // The data is at least as recent as this.
     std::optional<Instant> asOf;
     std::optional<Position> position;
 };
@@ -89,7 +89,7 @@
         return true;
     if (failover->term() < position->term) {
         refuse(read,
-               {Reason::PositionNotReached, "the position is of a later term", Executed::No,
+               {Reason::PositionNotReached, "the position belongs to a later term", Executed::No,
                 retryAfterRefusal, ""});
         return false;
     }
--- a/src/owner/serverexecutor.h
+++ b/src/owner/serverexecutor.h
@@ -46,7 +46,7 @@
     // Removes queued work; returns false if it has started or is unknown.
     bool cancel(decision::WorkId id);
 
-    // Frees the slot that start() took. No service time means that nothing was run.
+    // Frees the slot of started work. No service time means that nothing ran.
     void finished(const decision::Work &work, std::optional<Duration> serviceTime);
     // Returns a connection to the pool, which closes it unless it is reusable.
     void release(const ConnectionPtr &connection, bool reusable);
--- a/src/owner/transactionrunner.cpp
+++ b/src/owner/transactionrunner.cpp
@@ -363,7 +363,7 @@
     answer(step, std::move(step->result));
 }
 
-// Closing the connection rolls back uncommitted work.
+// Releasing the connection rolls back uncommitted work.
 void TransactionRunner::onLost(const StepPtr &step, const backend::BatchResult &result)
 {
     const bool failed = result.state == backend::BatchState::Failed;
--- a/src/owner/writerunner.cpp
+++ b/src/owner/writerunner.cpp
@@ -198,7 +198,7 @@
     write->result.rows = std::move(outcome.rows);
     write->result.replayed = outcome.state == backend::WriteState::Replayed;
     if (outcome.rowsMissing)
-        write->result.detail = "the recorded answer had more rows than are kept";
+        write->result.detail = "the answer's rows were too large to be recorded";
     write->result.server = write->server;
     write->result.position = Position {write->term, outcome.offset};
     std::weak_ptr<bool> alive = alive_;
--- a/tests/backend/backendmeasure.cpp
+++ b/tests/backend/backendmeasure.cpp
@@ -9,7 +9,7 @@
 #include <cstdio>
 #include <random>
 
-// Prints the figures of docs/design/pools.md and docs/design/atmostonce.md. Not a test: run by
+// Prints the figures of docs/design/pools.md and docs/design/atmostonce.md. Not a test; run by
 // hand.
 
 using namespace kelptally;
@@ -51,9 +51,9 @@
     TimerService &timers_;
 };
 
-// Work arrives at random, 40 statements a second with one second in each minute ten times as many,
-// and holds a connection for 5 ms on average; at most three at a time, as slots allow, beside
-// transactions of 200 ms, two a second and ten times as many in that second.
+// Random load: 40 statements a second holding a connection for 5 ms on average, at most three at a
+// time, and two transactions a second of 200 ms. In one second of each minute ten times as much
+// arrives.
 void measureSpare(int spare)
 {
     ManualTimerService timers;
@@ -126,7 +126,7 @@
             fixture.client.run(*connection, {{"DISCARD ALL", {}}});
         }));
     print("open a connection (12 ms, 1.5 ms one way)", opened);
-    print("reset a session instead", reset);
+    print("reset a session", reset);
 }
 
 void measureWrites(const char *what, const std::string &sql, bool keyed)
@@ -150,7 +150,7 @@
                          [done](WriteOutcome outcome) { done->set_value(std::move(outcome)); });
             });
             if (BlockingClient::wait(future).state != WriteState::Done)
-                std::printf("a write was not done\n");
+                std::printf("a write failed\n");
         }));
     }
     print(what, times);
@@ -166,13 +166,13 @@
         for (int i = 0; i < count; ++i)
             problems += findSqlProblem(inspectSql(sql), true).empty() ? 0 : 1;
     });
-    std::printf("look at a statement of %zu bytes: %.0f ns (%zu problems)\n", sql.size(),
+    std::printf("inspect a statement of %zu bytes: %.0f ns (%zu problems)\n", sql.size(),
                 time * 1e6 / count, problems);
 }
 
 } // namespace
 
-// Catch2 runs the checks of the fixtures only within a test case.
+// The fixtures' checks need a Catch2 test case.
 TEST_CASE("figures")
 {
     for (int spare : {0, 1, 2, 4})
--- a/tests/backend/blockingclient.h
+++ b/tests/backend/blockingclient.h
@@ -11,7 +11,7 @@
 
 namespace kelptally::backend {
 
-// Drives connections on a duty thread from a test's own thread and waits for their callbacks.
+// Runs connections on a duty thread and blocks the test's thread until their callbacks.
 class BlockingClient
 {
 public:
@@ -22,7 +22,7 @@
 
     DutyThread &thread() { return thread_; }
 
-    // Runs a function there and gives its result.
+    // Runs a function on the duty thread and returns its result.
     template <typename Function>
     auto call(Function function)
     {
@@ -45,7 +45,7 @@
         return wait(future);
     }
 
-    // A second callback throws in the duty thread and so ends the test program.
+    // A second callback throws on the duty thread, which ends the test program.
     std::future<BatchResult> start(Connection &connection, std::vector<Statement> batch)
     {
         auto promise = std::make_shared<std::promise<BatchResult>>();
--- a/tests/backend/connectionpool_test.cpp
+++ b/tests/backend/connectionpool_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// What one request for a connection was told.
+// Outcome of one request for a connection.
 struct AcquireResult
 {
     std::optional<absl::Status> status;
@@ -47,7 +47,7 @@
             });
         return acquired;
     }
-    // A connection that was just opened.
+    // Opens a new connection.
     std::shared_ptr<Connection> acquireNewConnection()
     {
         const auto acquired = acquireConnection();
@@ -71,7 +71,7 @@
 
 } // namespace
 
-TEST_CASE("a connection is reused once given back")
+TEST_CASE("a released connection is reused")
 {
     PoolFixture fixture;
     const auto first = fixture.acquireNewConnection();
@@ -87,7 +87,7 @@
     CHECK(raw.batches.size() == 2);
 }
 
-TEST_CASE("one is opened ahead of the demand, within the limit")
+TEST_CASE("a spare connection is opened ahead of demand, within the limit")
 {
     PoolFixture fixture;
     const auto first = fixture.acquireNewConnection();
@@ -105,7 +105,7 @@
     CHECK(fourth->connection);
 }
 
-TEST_CASE("a warm pool opens by itself and replaces what its server closes")
+TEST_CASE("a warm pool opens connections without demand and replaces closed ones")
 {
     PoolOptions options = PoolFixture::defaults();
     options.minOpen = 2;
@@ -125,7 +125,7 @@
     const auto connection = fixture.acquireNewConnection();
     const auto raw = fixture.server->connections.front();
 
-    SECTION("its batch was cut")
+    SECTION("its batch was aborted")
     {
         connection->run({{"SELECT 1", {}}}, [](const BatchResult &) {});
         raw->loseConnection();
@@ -141,7 +141,7 @@
         fixture.pool->release(connection, true);
         CHECK(calls == 1);
     }
-    SECTION("its user says so")
+    SECTION("its user releases it as not reusable")
     {
         fixture.pool->release(connection, false);
     }
@@ -150,7 +150,7 @@
     CHECK(fixture.pool->idle() == 0);
 }
 
-TEST_CASE("a batch that hangs for longer than any deadline is cut")
+TEST_CASE("a batch that exceeds the maximum run time is aborted")
 {
     PoolFixture fixture;
     const auto connection = fixture.acquireNewConnection();
@@ -164,7 +164,7 @@
     CHECK(*state == BatchState::Unknown);
 }
 
-TEST_CASE("a connection that its user lets go of is closed")
+TEST_CASE("a connection that its user destroys is closed")
 {
     PoolFixture fixture;
     auto connection = fixture.acquireNewConnection();
@@ -218,7 +218,7 @@
     CHECK(fixture.pool->idle() == 1);
 }
 
-TEST_CASE("who waits is told at the deadline, or at once when the server is out of reach")
+TEST_CASE("a waiting request ends at the deadline, or at once when the server is unreachable")
 {
     PoolFixture fixture;
     const auto waits = fixture.acquireConnection(milliseconds(50));
@@ -229,7 +229,7 @@
         REQUIRE(waits->status);
         CHECK(absl::IsDeadlineExceeded(*waits->status));
     }
-    SECTION("out of reach, also for the next one, until the pause is over")
+    SECTION("unreachable, also for later requests until the connect delay is over")
     {
         while (!fixture.server->pending.empty())
             fixture.server->refuse(absl::UnavailableError("refused"));
@@ -243,7 +243,7 @@
         CHECK_FALSE(later->status);
         CHECK_FALSE(fixture.server->pending.empty());
     }
-    SECTION("a full server is tried again meanwhile")
+    SECTION("a full server is retried while the request waits")
     {
         while (!fixture.server->pending.empty())
             fixture.server->refuse(absl::ResourceExhaustedError("53300"));
@@ -253,7 +253,7 @@
         fixture.server->accept();
         CHECK(waits->connection);
     }
-    SECTION("not after it was cancelled")
+    SECTION("no callback after a cancel")
     {
         PoolFixture other;
         int calls = 0;
@@ -267,7 +267,7 @@
     }
 }
 
-TEST_CASE("the pauses between failed connects grow and stay within half a second")
+TEST_CASE("connect delays grow after failures, up to half a second")
 {
     PoolOptions options = PoolFixture::defaults();
     options.limit = 1;
@@ -288,7 +288,7 @@
     CHECK(*std::max_element(pauses.begin(), pauses.end()) <= milliseconds(501));
 }
 
-TEST_CASE("closing all cancels who waits, cuts what runs and opens nothing by itself")
+TEST_CASE("closeAll cancels waiting requests, aborts running batches and opens no connection")
 {
     PoolFixture fixture;
     const auto used = fixture.acquireNewConnection();
@@ -311,7 +311,7 @@
     CHECK(fixture.server->pending.empty());
 }
 
-TEST_CASE("a connection lent before closeAll is not reused when given back after it")
+TEST_CASE("a connection acquired before closeAll is not reused when released after it")
 {
     PoolFixture fixture;
     const auto used = fixture.acquireNewConnection();
@@ -322,7 +322,7 @@
     CHECK(fixture.pool->closing() >= 1);
 }
 
-TEST_CASE("no more are counted than the limit at any moment")
+TEST_CASE("the number of connections never exceeds the limit")
 {
     std::mt19937 random(GENERATE(1, 2, 3, 4, 5, 6, 7, 8));
     PoolOptions options = PoolFixture::defaults();
--- a/tests/backend/databasefixture.h
+++ b/tests/backend/databasefixture.h
@@ -10,7 +10,7 @@
 
 namespace kelptally::backend {
 
-// A database group of the stand-in within the test, and connections to it.
+// A simulated database group within the test process, and connections to it.
 class DatabaseFixture
 {
 public:
@@ -49,14 +49,14 @@
         return connection;
     }
 
-    // Runs one statement on a connection of its own.
+    // Runs one statement on a separate connection.
     BatchResult query(const std::string &sql)
     {
         if (!query_)
             query_ = connect();
         return client.run(*query_, {{sql, {}}});
     }
-    // The only value of the only row.
+    // Returns the only value of the only row.
     std::string queryValue(const std::string &sql)
     {
         const BatchResult result = query(sql);
--- a/tests/backend/fakeserver.h
+++ b/tests/backend/fakeserver.h
@@ -11,7 +11,7 @@
 
 namespace kelptally::backend {
 
-// A connection whose answers the test gives.
+// A connection whose answers the test supplies.
 class FakeConnection : public Connection
 {
 public:
@@ -52,7 +52,7 @@
         result.connectionLost = true;
         std::exchange(callback_, nullptr)(std::move(result));
     }
-    // The server has closed its side.
+    // The server closes its side.
     void completeClose()
     {
         if (closed_)
@@ -103,7 +103,7 @@
         for (const auto &connection : std::vector<std::shared_ptr<FakeConnection>>(connections))
             connection->completeClose();
     }
-    // As the server counts them: being opened, open, or not yet closed on its side.
+    // Connections counted by a server: being opened, open, or not yet closed on its side.
     std::size_t counted() const
     {
         return pending.size()
--- a/tests/backend/lossyconnection.h
+++ b/tests/backend/lossyconnection.h
@@ -9,16 +9,16 @@
 
 namespace kelptally::backend {
 
-// A connection whose answers get lost as the test says: the batch still runs at the server, at once
-// or, as one that was held up on the way, when the test lets it.
+// A connection that loses the answer of one batch. The server still runs that batch, either at once
+// or, like a delayed packet, when the test releases it.
 class LossyConnection : public Connection
 {
 public:
     enum class Loss {
         None,
-        // It runs, the answer is lost.
+        // The batch runs; its answer is lost.
         Answer,
-        // It runs only with runDelayed(), long after it was given up.
+        // The batch runs only at runDelayed(), after it was abandoned.
         Delayed,
     };
 
@@ -44,7 +44,7 @@
     bool open() const override { return inner_->open(); }
     void close() override { inner_->close(); }
 
-    // Whether the server was given no batch yet of what was held up.
+    // Whether a delayed batch has not been sent to the server yet.
     bool hasDelayedBatch() const { return !delayed_.empty(); }
     void runDelayed(BatchCallback callback)
     {
--- a/tests/backend/poolstandin_test.cpp
+++ b/tests/backend/poolstandin_test.cpp
@@ -56,7 +56,7 @@
     {
         client.call([&] { pool.release(connection, true); });
     }
-    // Closes the pool and waits until the server counts none of its connections.
+    // Closes the pool and waits until the server has closed all its connections.
     void closeAndWait(ConnectionPool &pool)
     {
         std::promise<void> closed;
@@ -81,9 +81,10 @@
 
 } // namespace
 
-TEST_CASE("connections stay within the count while one owner's pool follows another's")
+TEST_CASE(
+    "connections stay within the limit when the pools of successive owners replace each other")
 {
-    // The server itself would allow many more.
+    // The server's own limit is higher.
     StandinPoolFixture fixture;
     constexpr int limit = 4;
     for (int owner = 0; owner < 25; ++owner) {
@@ -94,7 +95,7 @@
         std::vector<std::shared_ptr<Connection>> used;
         for (int i = 0; i < limit; ++i)
             used.push_back(BlockingClient::wait(acquisitions[static_cast<std::size_t>(i)]).second);
-        // Some are given back, some cut in the middle of a batch.
+        // Some connections are released, some are aborted within a batch.
         fixture.returnConnection(*pool, used.back());
         used.push_back(BlockingClient::wait(acquisitions[limit]).second);
         auto running = fixture.client.start(*used.front(), {{"SELECT 1", {}}});
@@ -105,7 +106,7 @@
     CHECK(fixture.peakConnections() == limit);
 }
 
-TEST_CASE("who asks a full server waits for its next connection")
+TEST_CASE("a request to a full server waits for its next connection")
 {
     standin::ServerLimits limits = DatabaseFixture::noCostLimits();
     limits.connections = 1;
@@ -121,7 +122,7 @@
     fixture.returnConnection(*pool, connection);
 }
 
-TEST_CASE("nothing of one user's session or transaction reaches the next")
+TEST_CASE("session state and open transactions do not leak to the next user")
 {
     StandinPoolFixture fixture;
     const auto pool = fixture.makePool(1);
@@ -135,12 +136,12 @@
     REQUIRE(result.state == BatchState::Done);
     CHECK(result.rows[0].values[0][0] == Value(""));
     CHECK(result.rows[1].values[0][0] == Value("0"));
-    // The same connection was used: it was reset, not opened anew.
+    // The same connection was reset and reused.
     CHECK(fixture.client.call([&] { return pool->connects(); }) == 1);
     fixture.returnConnection(*pool, second);
 }
 
-TEST_CASE("a batch on a server that hangs ends when its connection is closed, which stays counted")
+TEST_CASE("a batch on a hung server ends when its connection is closed, which still counts")
 {
     StandinPoolFixture fixture;
     const auto pool = fixture.makePool(1);
--- a/tests/backend/postgresserver_test.cpp
+++ b/tests/backend/postgresserver_test.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Logs in, reads one whole batch, sends the given answer and then waits for the client or closes.
+// Logs in, reads one whole batch, sends the answer and then closes or waits for the client to
+// close.
 ScriptedServer::Script answerBatch(std::string answer, bool thenClose)
 {
     return [answer = std::move(answer), thenClose](Socket &socket) {
@@ -44,7 +45,7 @@
     CHECK(connection == nullptr);
 }
 
-TEST_CASE("a connect to a server that hangs ends at the timeout")
+TEST_CASE("a connect to a hung server ends at the timeout")
 {
     ScriptedServer peer([](Socket &socket) { ScriptedServer::drain(socket); });
     BlockingClient client;
@@ -54,7 +55,7 @@
     CHECK(connection == nullptr);
 }
 
-TEST_CASE("a connect tells a full server from another refusal")
+TEST_CASE("a connect distinguishes a full server from other refusals")
 {
     BlockingClient client;
     const auto refusedWith = [&](const std::string &state) {
@@ -83,7 +84,7 @@
     client.call([&, connection = connection] { connection->close(); });
 }
 
-TEST_CASE("a server's error is failed with its SQLSTATE and place")
+TEST_CASE("a server error fails the batch with its SQLSTATE and statement index")
 {
     ScriptedServer peer(answerBatch(
         ScriptedServer::emptyAnswer() + ScriptedServer::error("ERROR", "KF001") + ready, false));
@@ -100,7 +101,7 @@
     client.call([&] { connection->close(); });
 }
 
-TEST_CASE("a batch whose answer is cut is unknown")
+TEST_CASE("a batch whose answer is incomplete is unknown")
 {
     const std::string answer = GENERATE(std::string(), ScriptedServer::emptyAnswer(),
                                         ScriptedServer::error("FATAL", "57P01"));
@@ -112,7 +113,7 @@
     CHECK(result.state == BatchState::Unknown);
     CHECK(result.connectionLost);
     CHECK_FALSE(client.call([&] { return connection->open(); }));
-    // Later batches were never sent.
+    // Later batches are not sent.
     const BatchResult later = client.run(*connection, {{"SET b", {}}});
     CHECK(later.state == BatchState::NotSent);
     CHECK(later.connectionLost);
@@ -126,21 +127,21 @@
     auto connection = client.connect(*server).second;
     auto running = client.start(*connection, {{"SET a", {}}});
 
-    SECTION("a second batch meanwhile is not sent")
+    SECTION("a second concurrent batch is not sent")
     {
         const BatchResult second = client.run(*connection, {{"SET b", {}}});
         CHECK(second.state == BatchState::NotSent);
         CHECK_FALSE(second.connectionLost);
         client.call([&] { connection->close(); });
     }
-    SECTION("so does letting go of it")
+    SECTION("dropping the last reference")
     {
         client.call([&] { connection.reset(); });
     }
     CHECK(BlockingClient::wait(running).state == BatchState::Unknown);
 }
 
-TEST_CASE("an idle connection sees that its server closed it")
+TEST_CASE("an idle connection notices that its server closed it")
 {
     std::promise<void> closed;
     ScriptedServer peer([&](Socket &socket) {
@@ -158,7 +159,7 @@
     CHECK(result.connectionLost);
 }
 
-TEST_CASE("text that libpq would cut at a NUL is refused and the connection stays")
+TEST_CASE("text with a NUL byte is refused and the connection stays open")
 {
     ScriptedServer peer(answerBatch("", false));
     BlockingClient client;
--- a/tests/backend/requestrecord_test.cpp
+++ b/tests/backend/requestrecord_test.cpp
@@ -23,7 +23,7 @@
     CHECK_FALSE(read->rowsMissing);
 }
 
-TEST_CASE("rows over the limit are left out and that is told")
+TEST_CASE("rows over the limit are left out and marked as missing")
 {
     RequestRecord record;
     record.rows.columns = {"text"};
@@ -38,7 +38,7 @@
     CHECK(read->rows.affected == 1);
 }
 
-TEST_CASE("text that is no record is told from one")
+TEST_CASE("text that is not a record is rejected")
 {
     for (const char *text :
          {"", "x", "[]", "{}", "{\"state\":\"done\"}", "{\"state\":\"done\",\"affected\":\"x\"}"}) {
@@ -47,7 +47,7 @@
     }
 }
 
-TEST_CASE("the time of a key")
+TEST_CASE("the time encoded in a key")
 {
     CHECK(keyTime("1800000000-x") == WallTime(seconds(1800000000)));
     // Example of RFC 9562, appendix A.6: 2022-02-22 14:22:22.00 -05:00.
@@ -61,7 +61,7 @@
     }
 }
 
-TEST_CASE("a key expires after the time its record is kept, one without a time never")
+TEST_CASE("a key expires after the retention, a key without a time never")
 {
     const WallTime then(seconds(1800000000));
     CHECK_FALSE(isKeyExpired("1800000000-x", then + hours(24), hours(24)));
--- a/tests/backend/scriptedserver.h
+++ b/tests/backend/scriptedserver.h
@@ -15,8 +15,8 @@
 
 namespace kelptally::backend {
 
-// A listener that takes one connection, logs it in as PostgreSQL's protocol wants it and then does
-// what the test says: the peer for cuts, hangs and refusals that no well-behaved server shows.
+// A server that accepts one connection, completes PostgreSQL's login and then runs the test's
+// script: simulates aborted connections, hangs and refusals.
 class ScriptedServer
 {
 public:
@@ -34,7 +34,7 @@
         return {"127.0.0.1", acceptor_.local_endpoint().port(), "db", "user", ""};
     }
 
-    // One message: its type, its length and its body.
+    // Formats a message from its type and body.
     static std::string message(char type, const std::string &body)
     {
         const auto length = static_cast<std::uint32_t>(body.size() + 4);
@@ -58,7 +58,7 @@
             + message('C', std::string("SET\0", 4));
     }
 
-    // Reads up to the end of the given message type's first occurrence ("S" ends a batch).
+    // Reads messages up to the first of the given type ("S" ends a batch).
     static void readUntil(Socket &socket, char type)
     {
         for (;;) {
@@ -102,7 +102,7 @@
             readBody(socket, length.data());
             script(socket);
         } catch (const boost::system::system_error &) {
-            // The client went away first.
+            // The client disconnected first.
         }
     }
 
--- a/tests/backend/sqltraits_test.cpp
+++ b/tests/backend/sqltraits_test.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("a statement may not touch the transaction around it")
+TEST_CASE("statements that control the enclosing transaction are refused")
 {
     for (const char *sql :
          {"COMMIT", "  begin", "-- x\nROLLBACK", "/* x */ end", "savepoint a", "START TRANSACTION",
@@ -27,7 +27,7 @@
     }
 }
 
-TEST_CASE("text that only looks like more than one statement is allowed")
+TEST_CASE("separators within strings, names and comments are allowed")
 {
     for (const char *sql :
          {"SELECT 1;", "SELECT 1; -- end", "SELECT ';COMMIT'", "SELECT 'it''s; --'",
@@ -39,7 +39,7 @@
     }
 }
 
-TEST_CASE("a request of a reading kind may only read")
+TEST_CASE("read-only requests cannot write")
 {
     for (const char *sql : {"SELECT 1", "(SELECT 1) UNION SELECT 2", "VALUES (1)", "TABLE a",
                             "WITH a AS (SELECT 'UPDATE') SELECT * FROM a", "EXPLAIN SELECT 1"}) {
@@ -57,7 +57,7 @@
     }
 }
 
-TEST_CASE("statements that change the session are known")
+TEST_CASE("statements that change the session are detected")
 {
     for (const char *sql :
          {"SET a = 1", "set local a = 1", "RESET a", "LISTEN a", "DECLARE a CURSOR FOR SELECT 1",
@@ -77,7 +77,7 @@
     CHECK_FALSE(isAllowed("SELECT \"currval\" ('a')"));
 }
 
-TEST_CASE("the proxy's own tables and functions are not for callers")
+TEST_CASE("callers cannot access the proxy's own tables and functions")
 {
     for (const char *sql :
          {"SELECT kelptally_raise_fence(9)", "DELETE FROM Kelptally_Request",
@@ -88,7 +88,7 @@
     CHECK(isAllowed("SELECT 'kelptally_fence' FROM kelptally"));
 }
 
-TEST_CASE("an insert of exactly one row is known")
+TEST_CASE("an insert of exactly one row is detected")
 {
     CHECK(inspectSql("INSERT INTO a (b, c) VALUES ($1, lower($2))").insertsOneRow);
     for (const char *sql :
--- a/tests/backend/writeflow_test.cpp
+++ b/tests/backend/writeflow_test.cpp
@@ -73,7 +73,7 @@
         });
         return BlockingClient::wait(future);
     }
-    // What was held up arrives, or is lost for good; then its connection is gone.
+    // Delivers or drops a delayed batch and closes its connection.
     void deliverOrDrop(LossyConnection &connection, bool arrives)
     {
         if (arrives && connection.hasDelayedBatch())
@@ -89,7 +89,7 @@
 
 } // namespace
 
-TEST_CASE("a write without a key is done and leaves no record")
+TEST_CASE("a write without a key runs and leaves no record")
 {
     WriteFixture fixture;
     const WriteOutcome outcome = fixture.write(fixture.request(insertReturning, ""));
@@ -118,7 +118,7 @@
     CHECK(fixture.queryValue("SELECT sum(amount) FROM decision") == sum);
 }
 
-TEST_CASE("the record of an insert says what the server did, not what was expected")
+TEST_CASE("the record of an insert holds the actual result, not the expected one")
 {
     WriteFixture fixture;
     fixture.query("CREATE TRIGGER refuse BEFORE INSERT ON decision WHEN new.amount = 100"
@@ -142,7 +142,7 @@
     CHECK(fixture.decisions() == "2");
 }
 
-TEST_CASE("a refused statement leaves no record, so it can be sent again")
+TEST_CASE("a failed statement leaves no record, so it can be retried")
 {
     const std::string sql = GENERATE(as<std::string> {}, "INSERT INTO decision (id) VALUES (7)",
                                      "UPDATE decision SET id = 7 WHERE id = 8");
@@ -156,7 +156,7 @@
     CHECK(fixture.write(fixture.request(sql)).state == WriteState::Done);
 }
 
-TEST_CASE("an owner that was replaced writes nothing")
+TEST_CASE("a fenced owner cannot write")
 {
     const std::string sql = GENERATE(as<std::string> {}, insertOne, insertReturning);
     WriteFixture fixture;
@@ -167,7 +167,7 @@
     CHECK(fixture.records() == "0");
 }
 
-TEST_CASE("a lease that lapses before the commit stops it")
+TEST_CASE("a lease that expires before the commit prevents it")
 {
     WriteFixture fixture;
     const auto connection = fixture.connect();
@@ -179,7 +179,7 @@
     CHECK(fixture.records() == "0");
 }
 
-TEST_CASE("a replica takes no writes")
+TEST_CASE("a replica refuses writes")
 {
     WriteFixture fixture(2);
     const WriteOutcome outcome =
@@ -187,7 +187,7 @@
     CHECK(outcome.state == WriteState::NotPrimary);
 }
 
-TEST_CASE("a lost answer is found again by the key")
+TEST_CASE("the outcome of a lost answer is found by the key")
 {
     struct Case
     {
@@ -202,18 +202,18 @@
     const auto lossy = fixture.lossy(Loss::Answer, example.lostBatch);
     CHECK(fixture.run(runWrite, lossy, request).state == example.first);
 
-    SECTION("by running it again")
+    SECTION("by a retry")
     {
         CHECK(fixture.write(fixture.request(example.sql)).state == WriteState::Replayed);
     }
-    SECTION("by settling it")
+    SECTION("by resolving it")
     {
         CHECK(fixture.resolve(fixture.request(example.sql)).state == WriteState::Replayed);
     }
     CHECK(fixture.decisions() == "1");
 }
 
-TEST_CASE("work whose transaction was cut before the commit did not run")
+TEST_CASE("work whose connection was lost before the commit did not run")
 {
     WriteFixture fixture;
     const auto lossy = fixture.lossy(Loss::Answer, 0);
@@ -224,25 +224,25 @@
     CHECK(fixture.decisions() == "1");
 }
 
-TEST_CASE("an attempt that was settled as not run never commits, however late it arrives")
+TEST_CASE("an attempt resolved as not run never commits, however late it arrives")
 {
     WriteFixture fixture;
     const auto first = fixture.lossy(Loss::Delayed);
     REQUIRE(fixture.run(runWrite, first, fixture.request(insertOne)).state == WriteState::Unknown);
     REQUIRE(fixture.resolve(fixture.request(insertOne)).state == WriteState::NotRun);
 
-    SECTION("it arrives then")
+    SECTION("it arrives after the resolution")
     {
         CHECK(fixture.runDelayed(*first).sqlState == uniqueViolationState);
         CHECK(fixture.decisions() == "0");
         CHECK(fixture.write(fixture.request(insertOne)).state == WriteState::Done);
     }
-    SECTION("it arrives after a later attempt was done")
+    SECTION("it arrives after a later attempt has committed")
     {
         CHECK(fixture.write(fixture.request(insertOne)).state == WriteState::Done);
         CHECK(fixture.runDelayed(*first).sqlState == uniqueViolationState);
     }
-    SECTION("so does a later attempt that replaces the void record")
+    SECTION("a later attempt that replaces the void record is stopped too")
     {
         const auto second = fixture.lossy(Loss::Delayed, 2);
         REQUIRE(fixture.run(runWrite, second, fixture.request(insertOne)).state
@@ -257,7 +257,7 @@
     CHECK(fixture.records() == "1");
 }
 
-TEST_CASE("an attempt older than a void record is not run")
+TEST_CASE("an attempt older than a void record does not run")
 {
     WriteFixture fixture;
     const WriteRequest old = fixture.request(insertOne);
@@ -266,7 +266,7 @@
     CHECK(fixture.decisions() == "0");
 }
 
-TEST_CASE("a transaction is committed once for its key")
+TEST_CASE("a transaction with a key is committed once")
 {
     WriteFixture fixture;
     const auto begin = [&] {
@@ -283,13 +283,13 @@
         CHECK(fixture.run(runCommit, begin(), fixture.request("commit")).state
               == WriteState::Replayed);
     }
-    SECTION("a lost answer is settled")
+    SECTION("a lost answer is resolved")
     {
         auto lossy = std::make_shared<LossyConnection>(begin(), Loss::Answer);
         CHECK(fixture.run(runCommit, lossy, commit).state == WriteState::Unknown);
         CHECK(fixture.resolve(fixture.request("commit")).state == WriteState::Replayed);
     }
-    SECTION("one that was given up can be done again")
+    SECTION("an abandoned commit can be repeated")
     {
         REQUIRE(fixture.resolve(commit).state == WriteState::NotRun);
         CHECK(fixture.run(runCommit, begin(), fixture.request("commit")).state == WriteState::Done);
@@ -318,7 +318,7 @@
     CHECK(fixture.write(late()).state == WriteState::KeyExpired);
     CHECK(fixture.decisions() == "0");
     REQUIRE(fixture.write(fixture.request(insertOne)).state == WriteState::Done);
-    // As long as the record is there it is answered from it.
+    // The record answers repeats as long as it exists.
     purge(std::chrono::hours(25));
     CHECK(fixture.write(late()).state == WriteState::Replayed);
     purge(std::chrono::hours(26));
@@ -327,7 +327,8 @@
     CHECK(fixture.decisions() == "1");
 }
 
-TEST_CASE("whatever is lost or late, a request runs at most once and is told rightly")
+TEST_CASE(
+    "with lost and delayed batches a request runs at most once and its reported outcome is true")
 {
     WriteFixture fixture;
     std::mt19937 random(GENERATE(range(1u, 31u)));
@@ -337,7 +338,8 @@
     for (int step = 0; step < 14; ++step) {
         const std::string before = fixture.decisions();
         const auto loss = static_cast<Loss>(random() % 3);
-        // Two batches of a write, or those that look up and replace a void record.
+        // Loses one of the first four batches: those of the write or those that look up and replace
+        // a void record.
         const auto connection = fixture.lossy(loss, random() % 4);
         const bool resolves = random() % 3 == 0;
         const WriteOutcome outcome =
@@ -349,7 +351,8 @@
             CHECK(fixture.decisions() == "1");
             break;
         case WriteState::NotRun:
-            // Settled: what is still under way must not commit any more. Else only this attempt.
+            // A resolved request is final: delayed attempts must not commit. Otherwise only this
+            // attempt did not run.
             if (resolves) {
                 CHECK_FALSE(acknowledged);
                 for (const auto &each : late)
@@ -360,7 +363,7 @@
         default:
             CHECK(outcome.state == WriteState::Unknown);
         }
-        // An open transaction keeps later attempts waiting until it ends; a whole write does not.
+        // An open transaction would block later attempts; a write in a single batch does not.
         if (connection->hasDelayedBatch() && sql == insertOne)
             late.push_back(connection);
         else
--- a/tests/owner/atmostonce_test.cpp
+++ b/tests/owner/atmostonce_test.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-// What a caller does once, however often it has to ask.
+// One operation of a caller, which may need several attempts.
 struct Operation
 {
     enum class Kind {
-        // One batch at the server, two batches, a transaction.
+        // A write in one batch, a write in two batches, a transaction.
         Insert,
         Update,
         Transaction,
@@ -29,9 +29,10 @@
     Kind kind = Kind::Insert;
     std::string key;
     std::string row;
-    // As the caller was told in the end: done, or given up after answers that all said "not run".
+    // Final outcome reported to the caller: done, or abandoned after all answers reported it as not
+    // run.
     bool done = false;
-    // Transaction whose commit was sent last.
+    // Transaction of the last commit sent.
     std::string transaction;
 
     inner::Execute statement() const
@@ -56,7 +57,8 @@
     }
 };
 
-// One session of a caller that moves between two entries and asks until it has an outcome.
+// A caller session that sends through one of two entries at random and retries until the outcome is
+// known.
 class Caller
 {
 public:
@@ -66,7 +68,7 @@
             entry = std::make_unique<TestEntry>(owners_);
     }
 
-    // False when no outcome was had within the time.
+    // Returns false if the outcome was unknown at the timeout.
     bool run(Operation &operation)
     {
         const Instant end = BootClock::now() + 40s;
@@ -81,7 +83,7 @@
         }
         return false;
     }
-    // Asks again for what is done; gives whether it was answered from the record.
+    // Repeats a completed operation; returns whether it was answered from the record.
     bool isReplayed(Operation &operation)
     {
         const bool single = operation.kind != Operation::Kind::Transaction;
@@ -96,7 +98,7 @@
     }
 
 private:
-    // Through any entry, at the owner as far as known. No answer is an unknown outcome.
+    // Sends through a random entry to the last known owner. A missing answer is an unknown outcome.
     inner::ExecuteResult send(const inner::Execute &execute)
     {
         const auto answer = entries_[random_() % entries_.size()]->tryOnce(owner_, execute);
@@ -125,7 +127,7 @@
         return commit(operation);
     }
 
-    // Until the commit's outcome is known. That the transaction has ended is said for certain.
+    // Repeats the commit until its outcome is known. TransactionEnded with Executed::No is final.
     Executed commit(const Operation &operation)
     {
         for (int i = 0; i < 2000; ++i) {
@@ -146,7 +148,7 @@
     bool notExecuted_ = true;
 };
 
-// Kills and pauses primaries and crashes owners for a while, and heals everything at the end.
+// Kills and pauses primaries and crashes owners at random; each fault is repaired before the next.
 void injectFaults(OwnerCluster &cluster, std::mt19937 &random, int count)
 {
     for (int i = 0; i < count; ++i) {
@@ -197,7 +199,7 @@
 
 } // namespace
 
-TEST_CASE("Each request with a key is done once, through failovers and lost answers")
+TEST_CASE("A request with a key runs once despite failovers and lost answers")
 {
     OwnerCluster cluster(3);
     executeOrFail(cluster, "CREATE TABLE deposit(key TEXT, amount INTEGER)");
@@ -249,7 +251,7 @@
         }
     };
     check();
-    // A repeat of what is done is answered from its record, through whichever entry.
+    // A repeat of a completed operation is answered from its record, through either entry.
     int repeated = 0;
     for (std::size_t i = 0; i < callerCount; ++i)
         for (Operation &operation : operations[i])
@@ -259,7 +261,7 @@
     check();
 }
 
-TEST_CASE("A statement that could end or leave its transaction is not run")
+TEST_CASE("Statements that could end or escape their transaction are refused")
 {
     OwnerCluster cluster(1);
     for (const char *sql : {"COMMIT", "SELECT 1; SELECT 2", "SAVEPOINT a", "SELECT lastval()"}) {
--- a/tests/owner/ownermeasure.cpp
+++ b/tests/owner/ownermeasure.cpp
@@ -12,7 +12,7 @@
 #include <thread>
 #include <unistd.h>
 
-// Measures owners in this process against the stand-ins: owner_measure WHAT [COUNT], WHAT being
+// Measures owners in this process against simulated servers: owner_measure WHAT [COUNT], WHAT being
 // failover, hung, crash, handover or load. docs/design/owner.md records the figures.
 
 using namespace kelptally;
@@ -37,7 +37,7 @@
     ServerName server;
 };
 
-// Writes one row after the other, each with a key, and notes when each was acknowledged.
+// Writes rows one by one, each with a key, and records when each was acknowledged.
 class Writer
 {
 public:
@@ -49,7 +49,7 @@
         thread_.join();
     }
 
-    // First acknowledgement of a write that began after this instant.
+    // Waits for the first acknowledgement after this instant.
     Acknowledged firstAfter(Instant instant)
     {
         for (;;) {
@@ -63,7 +63,7 @@
         }
     }
 
-    // Answers of this server do not count.
+    // Ignores acknowledgements of this server from now on.
     void ignoreServer(const ServerName &server)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -71,7 +71,7 @@
         acknowledged_.clear();
     }
 
-    // The longest time between two acknowledgements since avoid().
+    // Returns the longest time between two acknowledgements since ignoreServer().
     Duration longestGap()
     {
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -142,7 +142,7 @@
         else
             cluster.revive(primary);
     }
-    print(hang ? "gap of a hung primary" : "gap of a killed primary", gaps);
+    print(hang ? "write gap after a hung primary" : "write gap after a killed primary", gaps);
     std::cout << "writes failed: " << writer.failed() << std::endl;
 }
 
@@ -173,7 +173,7 @@
     std::vector<double> usual;
     for (int i = 0; i < count; ++i) {
         const std::string owner = cluster.serving();
-        // Successors are listed and have their connections open by then.
+        // Lets successors be listed and open their connections.
         std::this_thread::sleep_for(4s);
         cluster.entry().takeRefusals();
         writer.ignoreServer("");
@@ -195,7 +195,7 @@
     std::cout << "writes failed: " << writer.failed() << std::endl;
 }
 
-// Processor time of this process's threads of one name.
+// Returns the CPU time of this process's threads of one name.
 double threadSeconds(const std::string &name)
 {
     double total = 0;
@@ -218,7 +218,7 @@
     return total;
 }
 
-// Keeps so many requests in progress at one owner.
+// Keeps a fixed number of requests in flight at one owner.
 class Load : public inner::PeerEvents
 {
 public:
--- a/tests/owner/testentry.h
+++ b/tests/owner/testentry.h
@@ -12,22 +12,22 @@
 
 namespace kelptally::owner {
 
-// Plays an entry: links to owners, sends requests, follows hints and tries again what was not run.
-// Used from any thread but the links' own.
+// Simulates an entry: connects to owners, sends requests, follows owner hints and retries requests
+// that did not run. Used from any thread but the links' own.
 class TestEntry : public inner::PeerEvents
 {
 public:
     explicit TestEntry(std::vector<std::string> owners);
     ~TestEntry() override;
 
-    // One attempt at one owner; nothing when it gave no answer within the time.
+    // Makes one attempt at one owner; returns nothing if there is no answer before the timeout.
     std::optional<inner::ExecuteResult> tryOnce(const std::string &owner, inner::Execute execute);
 
-    // Tries until there is an answer other than a refusal that says "not run" and may be retried,
-    // or half a minute has passed.
+    // Retries until the answer is final, that is, not a retryable refusal of work that did not run,
+    // or until the timeout.
     inner::ExecuteResult execute(inner::Execute execute);
 
-    // Refusals seen by execute() since they were taken last.
+    // Returns the refusals seen by execute() since the last call.
     std::vector<Reason> takeRefusals();
 
     std::optional<inner::OperatorAnswer> operate(const std::string &owner,
