--- a/src/backend/writeflow.cpp
+++ b/src/backend/writeflow.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-// Attempts that a lookup may cause: a record can only vanish or change between by other attempts.
-constexpr int maxRounds = 4;
+// Limit of attempts after lookups; a record is only deleted or replaced by concurrent attempts.
+constexpr int maxFlowAttempts = 4;
 
-// One request on its way through its batches; keeps itself alive until it calls back.
+// Runs the batches of one request; keeps itself alive until it calls back.
 class WriteFlow : public std::enable_shared_from_this<WriteFlow>
 {
 public:
     enum class Purpose {
         Write,
         Commit,
-        Settle,
+        Resolve,
     };
 
     WriteFlow(WriteContext context, WriteRequest request, Purpose purpose, WriteCallback callback)
@@ -38,15 +38,15 @@
     using Step = void (WriteFlow::*)(BatchResult);
 
     void attempt();
-    void onWhole(BatchResult result);
+    void onSingleBatch(BatchResult result);
     void onWork(BatchResult result);
     void onRecorded(BatchResult result);
     void onCorrected(BatchResult result);
     void lookUp(bool inTransaction);
     void onLookUp(BatchResult result);
     void onRecord(const FoundRecord &found, LogOffset offset);
-    // Whether the batch failed or was lost, and the request is dealt with.
-    bool endsWith(const BatchResult &result, bool commitSent);
+    // Handles a batch that failed or was lost; returns false if it succeeded.
+    bool handleFailure(const BatchResult &result, bool commitSent);
     bool isKeyConflict(const BatchResult &result) const;
 
     void run(WriteBatch batch, Step next);
@@ -60,22 +60,22 @@
     WriteCallback callback_;
 
     WriteBatch batch_;
-    // What the work gave, for the end.
-    WriteOutcome done_;
+    // Result of the work.
+    WriteOutcome outcome_;
     VoidRecord voidRecord_ = VoidRecord::Keep;
-    int rounds_ = 0;
+    int attemptCount_ = 0;
 };
 
 void WriteFlow::attempt()
 {
-    if (++rounds_ > maxRounds)
-        return finish(WriteState::Unknown, "other attempts with the same key are under way");
+    if (++attemptCount_ > maxFlowAttempts)
+        return finish(WriteState::Unknown, "other attempts with the same key are in progress");
     if (purpose_ == Purpose::Commit)
-        run(makeCommitBatch(context_.statements, request_), &WriteFlow::onWhole);
-    else if (purpose_ == Purpose::Settle)
-        run(makeVoidBatch(context_.statements, request_), &WriteFlow::onWhole);
-    else if (isOneBatch(request_))
-        run(makeWholeBatch(context_.statements, request_, voidRecord_), &WriteFlow::onWhole);
+        run(makeCommitBatch(context_.statements, request_), &WriteFlow::onSingleBatch);
+    else if (purpose_ == Purpose::Resolve)
+        run(makeVoidBatch(context_.statements, request_), &WriteFlow::onSingleBatch);
+    else if (fitsSingleBatch(request_))
+        run(makeSingleBatch(context_.statements, request_, voidRecord_), &WriteFlow::onSingleBatch);
     else
         run(makeWorkBatch(context_.statements, request_, voidRecord_), &WriteFlow::onWork);
 }
@@ -89,59 +89,60 @@
                              });
 }
 
-// The batch held the commit: the request is done unless the answer was not the recorded one.
-void WriteFlow::onWhole(BatchResult result)
+// The batch included the commit: the request is done unless its answer differs from the recorded
+// one.
+void WriteFlow::onSingleBatch(BatchResult result)
 {
-    if (endsWith(result, true))
+    if (handleFailure(result, true))
         return;
-    if (purpose_ == Purpose::Settle)
+    if (purpose_ == Purpose::Resolve)
         return finish(WriteState::NotRun, result);
-    done_.state = WriteState::Done;
-    done_.offset = offsetOf(batch_, result);
-    if (batch_.workAt)
-        done_.rows = std::move(result.rows[*batch_.workAt]);
-    const bool recordedOther = batch_.keyAt && batch_.workAt && done_.rows.affected != 1;
-    if (!recordedOther)
-        return finish(std::move(done_));
-    run(makeCorrectionBatch(context_.statements, request_, done_.rows), &WriteFlow::onCorrected);
+    outcome_.state = WriteState::Done;
+    outcome_.offset = offsetOf(batch_, result);
+    if (batch_.workIndex)
+        outcome_.rows = std::move(result.rows[*batch_.workIndex]);
+    const bool recordDiffers = batch_.keyIndex && batch_.workIndex && outcome_.rows.affected != 1;
+    if (!recordDiffers)
+        return finish(std::move(outcome_));
+    run(makeCorrectionBatch(context_.statements, request_, outcome_.rows), &WriteFlow::onCorrected);
 }
 
-// Without the commit nothing is in force, so a loss here is not an unknown outcome.
+// Nothing takes effect without the commit, so a lost connection means that the work did not run.
 void WriteFlow::onWork(BatchResult result)
 {
-    if (endsWith(result, false))
+    if (handleFailure(result, false))
         return;
     if (context_.mayCommit && !context_.mayCommit())
-        return finish(WriteState::NotRun, "the lease lapsed before the commit");
-    done_.rows = std::move(result.rows[*batch_.workAt]);
-    run(makeRecordBatch(context_.statements, request_, done_.rows), &WriteFlow::onRecorded);
+        return finish(WriteState::NotRun, "the lease expired before the commit");
+    outcome_.rows = std::move(result.rows[*batch_.workIndex]);
+    run(makeRecordBatch(context_.statements, request_, outcome_.rows), &WriteFlow::onRecorded);
 }
 
 void WriteFlow::onRecorded(BatchResult result)
 {
-    if (endsWith(result, true))
+    if (handleFailure(result, true))
         return;
-    done_.state = WriteState::Done;
-    done_.offset = offsetOf(batch_, result);
-    finish(std::move(done_));
+    outcome_.state = WriteState::Done;
+    outcome_.offset = offsetOf(batch_, result);
+    finish(std::move(outcome_));
 }
 
-// The work is committed already: a failure here only leaves the expected count in the record.
+// The work is already committed: a failure here only leaves the expected count in the record.
 void WriteFlow::onCorrected(BatchResult result)
 {
     if (result.state == BatchState::Done)
-        done_.offset = offsetOf(batch_, result);
-    done_.connectionLost = result.connectionLost;
-    finish(std::move(done_));
+        outcome_.offset = offsetOf(batch_, result);
+    outcome_.connectionLost = result.connectionLost;
+    finish(std::move(outcome_));
 }
 
 bool WriteFlow::isKeyConflict(const BatchResult &result) const
 {
     return result.state == BatchState::Failed && result.sqlState == uniqueViolationState
-        && batch_.keyAt && result.failedStatement == *batch_.keyAt;
+        && batch_.keyIndex && result.failedStatement == *batch_.keyIndex;
 }
 
-bool WriteFlow::endsWith(const BatchResult &result, bool commitSent)
+bool WriteFlow::handleFailure(const BatchResult &result, bool commitSent)
 {
     switch (result.state) {
     case BatchState::Done:
@@ -177,7 +178,7 @@
         return finish(WriteState::Unknown, result);
     if (const auto found = findRecord(batch_, result))
         return onRecord(*found, offsetOf(batch_, result));
-    // The attempt that stood in the way was rolled back, or there never was one.
+    // The conflicting attempt was rolled back, or there was none.
     if (isKeyExpired(request_.key, request_.now, request_.keyRetention))
         return finish(WriteState::KeyExpired, result);
     if (purpose_ == Purpose::Commit)
@@ -203,9 +204,10 @@
         outcome.state = WriteState::KeyExpired;
         return finish(std::move(outcome));
     }
-    // The commit that failed on it had rolled the transaction back.
+    // The failed commit has rolled the transaction back.
     if (purpose_ == Purpose::Commit)
-        return finish(WriteState::NotRun, "this attempt was given up; begin the transaction again");
+        return finish(WriteState::NotRun,
+                      "this attempt was abandoned; begin the transaction again");
     voidRecord_ = VoidRecord::Replace;
     attempt();
 }
@@ -256,9 +258,9 @@
               std::move(callback));
 }
 
-void settleUnknown(WriteContext context, WriteRequest request, WriteCallback callback)
+void resolveUnknown(WriteContext context, WriteRequest request, WriteCallback callback)
 {
-    startFlow(std::move(context), std::move(request), WriteFlow::Purpose::Settle,
+    startFlow(std::move(context), std::move(request), WriteFlow::Purpose::Resolve,
               std::move(callback));
 }
 
--- a/src/owner/groupruntime.cpp
+++ b/src/owner/groupruntime.cpp
@@ -73,7 +73,7 @@
     reads_.expire();
     writes_.expire();
     transactions_.expire();
-    servers_.forEachLane([](ServerLane &lane) { lane.expire(); });
+    servers_.forEachExecutor([](ServerExecutor &executor) { executor.expire(); });
     updateHeldRequests();
     // 4. Hand-over and background work.
     updateReserve();
@@ -159,7 +159,7 @@
     LOG(WARNING) << "event=lease_lapsed group=" << name() << " epoch=" << ownership_.epoch();
     stopRunners({Reason::LeaseLost, "", Executed::No, retryAfterRefusal, ""});
     updateConnectionShare();
-    servers_.forEachLane([](ServerLane &lane) { lane.closeConnections(true); });
+    servers_.forEachExecutor([](ServerExecutor &executor) { executor.closeConnections(true); });
 }
 
 void GroupRuntime::sampleWhenNeeded()
@@ -183,8 +183,8 @@
     OwnerMetrics &metrics = context_.ports.metrics;
     metrics.setLeaseLeft(name(), ownership_.leaseLeft());
     for (const decision::ServerView &view : servers_.views(now())) {
-        metrics.setPool(name(), view.name, servers_.lane(view.name)->openConnections(), view.busy,
-                        view.queued);
+        metrics.setPool(name(), view.name, servers_.executor(view.name)->openConnections(),
+                        view.busy, view.queued);
         if (view.age)
             metrics.setLag(name(), view.name, *view.age);
     }
@@ -236,7 +236,8 @@
     stopRunners(notOwnerRefusal());
     held_.refuseAll(notOwnerRefusal());
     updateConnectionShare();
-    servers_.forEachLane([planned](ServerLane &lane) { lane.closeConnections(!planned); });
+    servers_.forEachExecutor(
+        [planned](ServerExecutor &executor) { executor.closeConnections(!planned); });
 }
 
 void GroupRuntime::onRowChanged()
@@ -289,7 +290,7 @@
     stopRunners(gone);
     held_.refuseAll(gone);
     servers_.setConnectionShare(GroupServers::ConnectionShare::None);
-    servers_.forEachLane([](ServerLane &lane) { lane.closeConnections(true); });
+    servers_.forEachExecutor([](ServerExecutor &executor) { executor.closeConnections(true); });
     failover_.closeConnections();
 }
 
@@ -325,9 +326,9 @@
     servers_.onPrimaryGone();
     writes_.onPrimaryGone();
     transactions_.onPrimaryGone();
-    if (ServerLane *lane = servers_.lane(gone.server)) {
-        lane->refuseAll({Reason::NoPrimary, Duration(0), gone.cause, true});
-        lane->closeConnections(true);
+    if (ServerExecutor *executor = servers_.executor(gone.server)) {
+        executor->refuseAll({Reason::NoPrimary, Duration(0), gone.cause, true});
+        executor->closeConnections(true);
     }
 }
 
--- a/src/owner/readrunner.h
+++ b/src/owner/readrunner.h
@@ -7,8 +7,8 @@
 
 namespace kelptally::owner {
 
-// Runs the single reads of one group: chooses a server by session position and stated age, and
-// checks both again once the answer is there.
+// Runs the single-statement reads of one group. Chooses a server that satisfies the session
+// position and the stated age, and checks both again before the answer is returned.
 class ReadRunner
 {
 public:
@@ -17,11 +17,11 @@
 
     void run(const RequestPtr &request);
 
-    // Reads that wait for a replica look again, as after new reports.
+    // Routes the reads that wait for a replica again after new server reports.
     void onReports();
-    // A new configuration may have changed the share of reads that the primary takes.
+    // Applies the configured share of reads that the primary takes.
     void configure();
-    // Ends everything that has not been answered: nothing of a read was executed.
+    // Refuses all unanswered reads as not executed.
     void stop(const Refusal &refusal);
     // Refuses the reads whose deadline has passed.
     void expire();
@@ -33,23 +33,23 @@
     using ReadPtr = std::shared_ptr<Read>;
 
     void route(const ReadPtr &read);
-    bool admits(const ReadPtr &read);
+    bool admit(const ReadPtr &read);
     void submit(const ReadPtr &read, const decision::Route &route);
     void start(const ReadPtr &read, const ConnectionPtr &connection);
     static std::vector<backend::Statement> makeBatch(const Read &read);
     void onResult(const ReadPtr &read, const ConnectionPtr &connection,
                   backend::BatchResult result);
     void onDone(const ReadPtr &read, Rows rows);
-    bool stillHolds(const Read &read) const;
-    void onRefused(const ReadPtr &read, const LaneRefusal &refusal);
-    void again(const ReadPtr &read, Reason why);
+    bool isStillValid(const Read &read) const;
+    void onRefused(const ReadPtr &read, const WorkRefusal &refusal);
+    void retry(const ReadPtr &read, Reason retryReason);
     void refuse(const ReadPtr &read, Refusal refusal);
-    void forget(const ReadPtr &read);
+    void remove(const ReadPtr &read);
 
     GroupContext &context_;
     std::unique_ptr<decision::Routing> routing_;
     std::map<std::uint64_t, ReadPtr> reads_;
-    // Answers that arrive after this object is gone are dropped.
+    // Guards callbacks that arrive after this object is destroyed.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/owner/recordpurge.cpp
+++ b/src/owner/recordpurge.cpp
@@ -19,19 +19,19 @@
     if (now < nextPurge_ || !context_.primaryTerm())
         return;
     nextPurge_ = now + purgePeriod;
-    ServerLane *lane = context_.servers.lane(*context_.failover.decision()->primary());
-    if (lane && lane->admission().busy() == 0 && context_.ownership.holdsLease())
-        run(*lane);
+    ServerExecutor *executor = context_.servers.executor(*context_.failover.decision()->primary());
+    if (executor && executor->admission().busy() == 0 && context_.ownership.holdsLease())
+        run(*executor);
 }
 
-void RecordPurge::run(ServerLane &lane)
+void RecordPurge::run(ServerExecutor &executor)
 {
-    const ServerName server = lane.server().name;
-    LaneWork work;
+    const ServerName server = executor.server().name;
+    ExecutorWork work;
     work.work.id = purgeWorkId;
     work.work.requestClass = settings::RequestClass::Browse;
     work.work.deadline = context_.now() + purgeTimeout;
-    work.refused = [](const LaneRefusal &) {};
+    work.refused = [](const WorkRefusal &) {};
     std::weak_ptr<bool> alive = alive_;
     work.start = [this, alive, server, workItem = work.work](const ConnectionPtr &connection) {
         if (alive.expired())
@@ -42,15 +42,15 @@
                                                 context_.limits().keyRetention, maxRecordsPerPurge),
                         [this, alive, server, workItem, startedAt,
                          connection](const backend::BatchResult &result) {
-                            ServerLane *currentLane =
-                                alive.expired() ? nullptr : context_.servers.lane(server);
+                            ServerExecutor *currentLane =
+                                alive.expired() ? nullptr : context_.servers.executor(server);
                             if (!currentLane)
                                 return;
                             currentLane->finished(workItem, context_.now() - startedAt);
                             currentLane->release(connection, !result.connectionLost);
                         });
     };
-    lane.submit(std::move(work));
+    executor.submit(std::move(work));
 }
 
 } // namespace kelptally::owner
--- a/tests/backend/connectionpool_test.cpp
+++ b/tests/backend/connectionpool_test.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// What one request for a connection was told.
-struct Taken
+// Outcome of one request for a connection.
+struct AcquireResult
 {
     std::optional<absl::Status> status;
     std::shared_ptr<Connection> connection;
@@ -35,24 +35,25 @@
         return options;
     }
 
-    std::shared_ptr<Taken> take(Duration timeout = seconds(1))
+    std::shared_ptr<AcquireResult> acquireConnection(Duration timeout = seconds(1))
     {
-        auto taken = std::make_shared<Taken>();
-        pool->acquire(timers.now() + timeout,
-                      [taken](const absl::Status &status, std::shared_ptr<Connection> connection) {
-                          REQUIRE_FALSE(taken->status);
-                          taken->status = status;
-                          taken->connection = std::move(connection);
-                      });
-        return taken;
+        auto acquired = std::make_shared<AcquireResult>();
+        pool->acquire(
+            timers.now() + timeout,
+            [acquired](const absl::Status &status, std::shared_ptr<Connection> connection) {
+                REQUIRE_FALSE(acquired->status);
+                acquired->status = status;
+                acquired->connection = std::move(connection);
+            });
+        return acquired;
     }
-    // A connection that was just opened.
-    std::shared_ptr<Connection> takeNew()
+    // Opens a new connection.
+    std::shared_ptr<Connection> acquireNewConnection()
     {
-        const auto taken = take();
-        while (!taken->status)
+        const auto acquired = acquireConnection();
+        while (!acquired->status)
             server->accept();
-        return taken->connection;
+        return acquired->connection;
     }
     static void runDone(Connection &connection, FakeConnection &raw, const std::string &sql,
                         bool inTransaction = false)
@@ -70,41 +71,41 @@
 
 } // namespace
 
-TEST_CASE("a connection is reused once given back")
+TEST_CASE("a released connection is reused")
 {
     PoolFixture fixture;
-    const auto first = fixture.takeNew();
+    const auto first = fixture.acquireNewConnection();
     FakeConnection &raw = *fixture.server->connections.front();
     PoolFixture::runDone(*first, raw, "SELECT 1");
     const std::size_t opened = fixture.server->connections.size();
     fixture.pool->release(first, true);
     CHECK_FALSE(first->open());
-    const auto second = fixture.take();
+    const auto second = fixture.acquireConnection();
     REQUIRE(second->connection);
     CHECK(fixture.server->connections.size() == opened);
     PoolFixture::runDone(*second->connection, raw, "SELECT 2");
     CHECK(raw.batches.size() == 2);
 }
 
-TEST_CASE("one is opened ahead of the demand, within the limit")
+TEST_CASE("a spare connection is opened ahead of demand, within the limit")
 {
     PoolFixture fixture;
-    const auto first = fixture.takeNew();
+    const auto first = fixture.acquireNewConnection();
     fixture.server->acceptAll();
     CHECK(fixture.pool->idle() == 1);
-    const auto second = fixture.take();
-    const auto third = fixture.take();
+    const auto second = fixture.acquireConnection();
+    const auto third = fixture.acquireConnection();
     CHECK(second->connection);
     fixture.server->acceptAll();
     CHECK(third->connection);
-    const auto fourth = fixture.take();
+    const auto fourth = fixture.acquireConnection();
     CHECK(fixture.server->pending.empty());
     CHECK_FALSE(fourth->status);
     fixture.pool->release(first, true);
     CHECK(fourth->connection);
 }
 
-TEST_CASE("a warm pool opens by itself and replaces what its server closes")
+TEST_CASE("a warm pool opens connections without demand and replaces closed ones")
 {
     PoolOptions options = PoolFixture::defaults();
     options.minOpen = 2;
@@ -121,13 +122,13 @@
 TEST_CASE("a connection in an unknown state is closed, never reused")
 {
     PoolFixture fixture;
-    const auto connection = fixture.takeNew();
+    const auto connection = fixture.acquireNewConnection();
     const auto raw = fixture.server->connections.front();
 
-    SECTION("its batch was cut")
+    SECTION("its batch was aborted")
     {
         connection->run({{"SELECT 1", {}}}, [](const BatchResult &) {});
-        raw->lose();
+        raw->loseConnection();
         fixture.pool->release(connection, true);
     }
     SECTION("its batch still runs")
@@ -140,7 +141,7 @@
         fixture.pool->release(connection, true);
         CHECK(calls == 1);
     }
-    SECTION("its user says so")
+    SECTION("its user releases it as not reusable")
     {
         fixture.pool->release(connection, false);
     }
@@ -149,10 +150,10 @@
     CHECK(fixture.pool->idle() == 0);
 }
 
-TEST_CASE("a batch that hangs for longer than any deadline is cut")
+TEST_CASE("a batch that exceeds the maximum run time is aborted")
 {
     PoolFixture fixture;
-    const auto connection = fixture.takeNew();
+    const auto connection = fixture.acquireNewConnection();
     std::optional<BatchState> state;
     connection->run({{"SELECT 1", {}}},
                     [&state](const BatchResult &result) { state = result.state; });
@@ -163,10 +164,10 @@
     CHECK(*state == BatchState::Unknown);
 }
 
-TEST_CASE("a connection that its user lets go of is closed")
+TEST_CASE("a connection that its user destroys is closed")
 {
     PoolFixture fixture;
-    auto connection = fixture.takeNew();
+    auto connection = fixture.acquireNewConnection();
     const auto raw = fixture.server->connections.front();
     connection.reset();
     CHECK_FALSE(raw->open());
@@ -176,7 +177,7 @@
 TEST_CASE("an open transaction is rolled back before the next user")
 {
     PoolFixture fixture;
-    const auto connection = fixture.takeNew();
+    const auto connection = fixture.acquireNewConnection();
     const auto raw = fixture.server->connections.front();
     PoolFixture::runDone(*connection, *raw, "BEGIN", true);
     fixture.pool->release(connection, true);
@@ -190,7 +191,7 @@
     }
     SECTION("failed")
     {
-        raw->lose();
+        raw->loseConnection();
         CHECK(fixture.pool->idle() == 0);
     }
 }
@@ -200,7 +201,7 @@
     PoolOptions options = PoolFixture::defaults();
     options.resetStatement = GENERATE(as<std::string> {}, "DISCARD ALL", "");
     PoolFixture fixture(options);
-    const auto connection = fixture.takeNew();
+    const auto connection = fixture.acquireNewConnection();
     const auto raw = fixture.server->connections.front();
     PoolFixture::runDone(*connection, *raw, "SET search_path = x", true);
     fixture.pool->release(connection, true);
@@ -217,10 +218,10 @@
     CHECK(fixture.pool->idle() == 1);
 }
 
-TEST_CASE("who waits is told at the deadline, or at once when the server is out of reach")
+TEST_CASE("a waiting request ends at the deadline, or at once when the server is unreachable")
 {
     PoolFixture fixture;
-    const auto waits = fixture.take(milliseconds(50));
+    const auto waits = fixture.acquireConnection(milliseconds(50));
 
     SECTION("deadline")
     {
@@ -228,21 +229,21 @@
         REQUIRE(waits->status);
         CHECK(absl::IsDeadlineExceeded(*waits->status));
     }
-    SECTION("out of reach, also for the next one, until the pause is over")
+    SECTION("unreachable, also for later requests until the connect delay is over")
     {
         while (!fixture.server->pending.empty())
             fixture.server->refuse(absl::UnavailableError("refused"));
         REQUIRE(waits->status);
         CHECK(absl::IsUnavailable(*waits->status));
-        const auto next = fixture.take();
+        const auto next = fixture.acquireConnection();
         REQUIRE(next->status);
         CHECK(fixture.server->pending.empty());
         fixture.timers.advance(seconds(1));
-        const auto later = fixture.take();
+        const auto later = fixture.acquireConnection();
         CHECK_FALSE(later->status);
         CHECK_FALSE(fixture.server->pending.empty());
     }
-    SECTION("a full server is tried again meanwhile")
+    SECTION("a full server is retried while the request waits")
     {
         while (!fixture.server->pending.empty())
             fixture.server->refuse(absl::ResourceExhaustedError("53300"));
@@ -252,7 +253,7 @@
         fixture.server->accept();
         CHECK(waits->connection);
     }
-    SECTION("not after it was cancelled")
+    SECTION("no callback after a cancel")
     {
         PoolFixture other;
         int calls = 0;
@@ -266,7 +267,7 @@
     }
 }
 
-TEST_CASE("the pauses between failed connects grow and stay within half a second")
+TEST_CASE("connect delays grow after failures, up to half a second")
 {
     PoolOptions options = PoolFixture::defaults();
     options.limit = 1;
@@ -287,10 +288,10 @@
     CHECK(*std::max_element(pauses.begin(), pauses.end()) <= milliseconds(501));
 }
 
-TEST_CASE("closing all cancels who waits, cuts what runs and opens nothing by itself")
+TEST_CASE("closeAll cancels waiting requests, aborts running batches and opens no connection")
 {
     PoolFixture fixture;
-    const auto used = fixture.takeNew();
+    const auto used = fixture.acquireNewConnection();
     fixture.server->acceptAll();
     int unknown = 0;
     used->run({{"SELECT 1", {}}}, [&unknown](const BatchResult &result) {
@@ -303,17 +304,17 @@
     fixture.pool->setLimit(0, [&within] { within = true; });
     CHECK(fixture.pool->counted() == 2);
     CHECK_FALSE(within);
-    fixture.server->endCloses();
+    fixture.server->completeCloses();
     CHECK(within);
     CHECK(fixture.pool->counted() == 0);
     fixture.timers.advance(seconds(1));
     CHECK(fixture.server->pending.empty());
 }
 
-TEST_CASE("a connection lent before closeAll is not reused when given back after it")
+TEST_CASE("a connection acquired before closeAll is not reused when released after it")
 {
     PoolFixture fixture;
-    const auto used = fixture.takeNew();
+    const auto used = fixture.acquireNewConnection();
     fixture.pool->closeAll(false);
     CHECK(used->open());
     fixture.pool->release(used, true);
@@ -321,19 +322,19 @@
     CHECK(fixture.pool->closing() >= 1);
 }
 
-TEST_CASE("no more are counted than the limit at any moment")
+TEST_CASE("the number of connections never exceeds the limit")
 {
     std::mt19937 random(GENERATE(1, 2, 3, 4, 5, 6, 7, 8));
     PoolOptions options = PoolFixture::defaults();
     options.limit = 5;
     PoolFixture fixture(options);
     std::vector<std::shared_ptr<Connection>> used;
-    const auto one = [&random](std::size_t size) { return random() % size; };
+    const auto pick = [&random](std::size_t size) { return random() % size; };
     for (int step = 0; step < 4000; ++step) {
-        switch (one(8)) {
+        switch (pick(8)) {
         case 0:
         case 1:
-            fixture.pool->acquire(fixture.timers.now() + milliseconds(one(100)),
+            fixture.pool->acquire(fixture.timers.now() + milliseconds(pick(100)),
                                   [&used](const absl::Status &status, auto connection) {
                                       if (status.ok())
                                           used.push_back(std::move(connection));
@@ -342,10 +343,10 @@
         case 2:
         case 3:
             if (!used.empty()) {
-                const auto at = used.begin() + static_cast<std::ptrdiff_t>(one(used.size()));
+                const auto at = used.begin() + static_cast<std::ptrdiff_t>(pick(used.size()));
                 const auto connection = *at;
                 used.erase(at);
-                fixture.pool->release(connection, one(4) != 0);
+                fixture.pool->release(connection, pick(4) != 0);
             }
             break;
         case 4:
@@ -353,14 +354,14 @@
                 fixture.server->accept();
             break;
         case 5:
-            if (!fixture.server->pending.empty() && one(3) == 0)
+            if (!fixture.server->pending.empty() && pick(3) == 0)
                 fixture.server->refuse(absl::UnavailableError("refused"));
             break;
         case 6:
-            fixture.server->endCloses();
+            fixture.server->completeCloses();
             break;
         default:
-            fixture.timers.advance(milliseconds(one(50)));
+            fixture.timers.advance(milliseconds(pick(50)));
         }
         REQUIRE(fixture.server->counted() <= 5);
         REQUIRE(fixture.pool->counted() <= 5);
--- a/tests/backend/databasefixture.h
+++ b/tests/backend/databasefixture.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "backend/postgresserver.h"
-#include "dutyclient.h"
+#include "blockingclient.h"
 #include "standin/databasegroup.h"
 
 #include <memory>
@@ -10,11 +10,11 @@
 
 namespace kelptally::backend {
 
-// A database group of the stand-in within the test, and connections to it.
+// A simulated database group within the test process, and connections to it.
 class DatabaseFixture
 {
 public:
-    explicit DatabaseFixture(int servers = 1, standin::ServerLimits limits = freeLimits())
+    explicit DatabaseFixture(int servers = 1, standin::ServerLimits limits = noCostLimits())
         : group_(settingsFor(servers, limits))
     {
         group_.start();
@@ -26,7 +26,7 @@
         group_.stop();
     }
 
-    static standin::ServerLimits freeLimits()
+    static standin::ServerLimits noCostLimits()
     {
         standin::ServerLimits limits;
         limits.connectionCost = Duration(0);
@@ -49,14 +49,14 @@
         return connection;
     }
 
-    // Runs one statement on a connection of its own.
+    // Runs one statement on a separate connection.
     BatchResult query(const std::string &sql)
     {
         if (!query_)
             query_ = connect();
         return client.run(*query_, {{sql, {}}});
     }
-    // The only value of the only row.
+    // Returns the only value of the only row.
     std::string queryValue(const std::string &sql)
     {
         const BatchResult result = query(sql);
@@ -64,7 +64,7 @@
         return result.rows.at(0).values.at(0).at(0).value_or("");
     }
 
-    DutyClient client;
+    BlockingClient client;
 
 private:
     static standin::DatabaseGroupSettings settingsFor(int servers,
--- a/tests/backend/lossyconnection.h
+++ b/tests/backend/lossyconnection.h
@@ -9,17 +9,17 @@
 
 namespace kelptally::backend {
 
-// A connection whose answers get lost as the test says: the batch still runs at the server, at once
-// or, as one that was held up on the way, when the test lets it.
+// A connection that loses the answer of one batch. The server still runs that batch, either at once
+// or, like a delayed packet, when the test releases it.
 class LossyConnection : public Connection
 {
 public:
     enum class Loss {
         None,
-        // It runs, the answer is lost.
+        // The batch runs; its answer is lost.
         Answer,
-        // It runs only with runLate(), long after it was given up.
-        Late,
+        // The batch runs only at runDelayed(), after it was abandoned.
+        Delayed,
     };
 
     LossyConnection(std::shared_ptr<Connection> inner, Loss loss, std::size_t lostBatch = 0)
@@ -37,18 +37,18 @@
         if (loss_ == Loss::Answer)
             return inner_->run(std::move(batch),
                                [callback, unknown](const BatchResult &) { callback(unknown); });
-        late_ = std::move(batch);
+        delayed_ = std::move(batch);
         callback(unknown);
     }
     bool busy() const override { return inner_->busy(); }
     bool open() const override { return inner_->open(); }
     void close() override { inner_->close(); }
 
-    // Whether the server was given no batch yet of what was held up.
-    bool holdsLate() const { return !late_.empty(); }
-    void runLate(BatchCallback callback)
+    // Whether a delayed batch has not been sent to the server yet.
+    bool hasDelayedBatch() const { return !delayed_.empty(); }
+    void runDelayed(BatchCallback callback)
     {
-        inner_->run(std::exchange(late_, {}), std::move(callback));
+        inner_->run(std::exchange(delayed_, {}), std::move(callback));
     }
 
 private:
@@ -56,7 +56,7 @@
     const Loss loss_;
     const std::size_t lostBatch_;
     std::size_t batches_ = 0;
-    std::vector<Statement> late_;
+    std::vector<Statement> delayed_;
 };
 
 } // namespace kelptally::backend
