--- a/tests/host/faultends.h
+++ b/tests/host/recoveryqueue.h
@@ -9,14 +9,14 @@
 namespace kelptally::model {
 
 // What ends the faults of a schedule, each at its time.
-class FaultEnds
+class RecoveryQueue
 {
 public:
-    explicit FaultEnds(const TimerService &timers) : timers_(timers) { }
+    explicit RecoveryQueue(const TimerService &timers) : timers_(timers) { }
 
-    void after(Duration time, std::function<void()> what)
+    void schedule(Duration time, std::function<void()> action)
     {
-        ends_.emplace_back(timers_.now() + time, std::move(what));
+        recoveries_.emplace_back(timers_.now() + time, std::move(action));
     }
 
     // Those whose time has come.
@@ -24,25 +24,25 @@
     // All of them at once, and what they begin.
     void runAll()
     {
-        while (!ends_.empty())
+        while (!recoveries_.empty())
             run(true);
     }
 
 private:
     void run(bool all)
     {
-        auto due = std::move(ends_);
-        ends_.clear();
-        for (auto &[when, what] : due) {
+        auto pending = std::move(recoveries_);
+        recoveries_.clear();
+        for (auto &[when, action] : pending) {
             if (all || when <= timers_.now())
-                what();
+                action();
             else
-                ends_.emplace_back(when, std::move(what));
+                recoveries_.emplace_back(when, std::move(action));
         }
     }
 
     const TimerService &timers_;
-    std::vector<std::pair<Instant, std::function<void()>>> ends_;
+    std::vector<std::pair<Instant, std::function<void()>>> recoveries_;
 };
 
 } // namespace kelptally::model
--- a/tests/host/regained_test.cpp
+++ b/tests/host/regained_test.cpp
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "modelcluster.h"
 
 #include <catch2/catch.hpp>
 
@@ -25,30 +25,30 @@
 {
     // Service is to be back a second or two after those who can serve are.
     constexpr Duration bound = 2s;
-    constexpr Duration frozenFor = 3s;
-    World world(1, 2);
-    REQUIRE(world.timeToWrite(0, 5s));
-    REQUIRE(world.runUntil(10s, [&] { return world.allKnowOwner(); }));
-    const auto first = std::size_t(world.owner());
+    constexpr Duration freezeDuration = 3s;
+    ModelCluster cluster(1, 2);
+    REQUIRE(cluster.timeToWrite(0, 5s));
+    REQUIRE(cluster.runUntil(10s, [&] { return cluster.allHostsKnowOwner(); }));
+    const auto first = std::size_t(cluster.owner());
     const std::size_t second = 1 - first;
-    const OwnerEpoch epoch = world.epoch();
-    REQUIRE(world.timeToWrite(second, 3s));
+    const OwnerEpoch epoch = cluster.epoch();
+    REQUIRE(cluster.timeToWrite(second, 3s));
 
     // 1. The owner is frozen, so that its links stay open, and the other host claims the group.
-    world.freeze(first, frozenFor);
-    REQUIRE(world.timeToWrite(second, 3s));
-    REQUIRE(world.owner() == int(second));
+    cluster.freeze(first, freezeDuration);
+    REQUIRE(cluster.timeToWrite(second, 3s));
+    REQUIRE(cluster.owner() == int(second));
 
     // 2. The other host is stopped and hands the group to its only peer.
-    world.drain(second);
-    REQUIRE(world.runUntil(2s, [&] { return world.owner() == int(first); }));
-    REQUIRE(world.ownership(first).record(world.group.name())->epoch == epoch);
+    cluster.drain(second);
+    REQUIRE(cluster.runUntil(2s, [&] { return cluster.owner() == int(first); }));
+    REQUIRE(cluster.ownership(first).record(cluster.group.name())->epoch == epoch);
 
     // 3. The first one wakes.
-    world.run(frozenFor);
-    CHECK(world.timeToWrite(first, bound));
-    world.checkRefused();
-    CHECK(world.violations.all == std::vector<std::string>());
+    cluster.run(freezeDuration);
+    CHECK(cluster.timeToWrite(first, bound));
+    cluster.checkStatementResults();
+    CHECK(cluster.violations.all == std::vector<std::string>());
 }
 
 // A host wants an owner for a group as soon as it knows the group's primary. Where the store
@@ -56,13 +56,13 @@
 // server changed.
 TEST_CASE("A group gets its owner without a statement once the store takes calls again")
 {
-    for (const Duration refusedAt : {50ms, 200ms, 320ms, 400ms}) {
-        CAPTURE(toMilliseconds(refusedAt));
-        World world(1);
-        world.run(refusedAt);
-        world.store.down = true;
-        world.run(3s);
-        world.store.down = false;
-        CHECK(world.runUntil(3s, [&] { return world.owner() >= 0; }));
+    for (const Duration outageStart : {50ms, 200ms, 320ms, 400ms}) {
+        CAPTURE(toMilliseconds(outageStart));
+        ModelCluster cluster(1);
+        cluster.run(outageStart);
+        cluster.store.down = true;
+        cluster.run(3s);
+        cluster.store.down = false;
+        CHECK(cluster.runUntil(3s, [&] { return cluster.owner() >= 0; }));
     }
 }
--- a/tests/host/review_test.cpp
+++ b/tests/host/review_test.cpp
@@ -1,5 +1,5 @@
 #include "decision/logholders.h"
-#include "world.h"
+#include "modelcluster.h"
 
 #include <catch2/catch.hpp>
 
@@ -11,77 +11,77 @@
 
 namespace {
 
-constexpr Duration untilGone = 6s;
+constexpr Duration entryRemovalTime = 6s;
 
-void settle(World &world)
+void waitUntilReady(ModelCluster &cluster)
 {
-    REQUIRE(world.timeToWrite(0, 5s));
-    REQUIRE(world.runUntil(10s, [&] { return world.allKnowOwner(); }));
-    world.run(500ms);
+    REQUIRE(cluster.timeToWrite(0, 5s));
+    REQUIRE(cluster.runUntil(10s, [&] { return cluster.allHostsKnowOwner(); }));
+    cluster.run(500ms);
 }
 
-void writeTwenty(World &world, std::size_t host)
+void writeTwenty(ModelCluster &cluster, std::size_t host)
 {
     for (int i = 0; i < 20; ++i) {
-        world.write(host);
-        world.run(10ms);
+        cluster.write(host);
+        cluster.run(10ms);
     }
-    world.run(500ms);
-    REQUIRE(world.violations.all.empty());
+    cluster.run(500ms);
+    REQUIRE(cluster.violations.all.empty());
 }
 
-std::size_t otherThan(int host)
+std::size_t hostOtherThan(int host)
 {
     return host == 0 ? 1 : 0;
 }
 
-void writeUntilPromoted(World &world, std::size_t host, Duration time)
+void writeUntilPromoted(ModelCluster &cluster, std::size_t host, Duration time)
 {
-    const int before = world.group.promotions;
-    const Instant end = world.timers.now() + time;
-    while (world.group.promotions == before && world.timers.now() < end) {
-        world.write(host);
-        world.run(20ms);
+    const int before = cluster.group.promotions;
+    const Instant end = cluster.timers.now() + time;
+    while (cluster.group.promotions == before && cluster.timers.now() < end) {
+        cluster.write(host);
+        cluster.run(20ms);
     }
 }
 
-void checkRight(World &world)
+void checkNoViolations(ModelCluster &cluster)
 {
-    world.checkRefused();
-    CHECK(world.violations.all == std::vector<std::string>());
+    cluster.checkStatementResults();
+    CHECK(cluster.violations.all == std::vector<std::string>());
 }
 
 // The first primary has crashed, and the replica with all writes leads; the lagging one shows its
 // term and has received nothing of what it began with. The store refuses every host from the call
 // until after the lead.
-struct Three
+struct ReplicaRoles
 {
-    ServerName first, whole, lagging;
+    ServerName formerPrimary, complete, lagging;
 };
 
-Three promoteWithoutRow(World &world)
+ReplicaRoles promoteWithoutRow(ModelCluster &cluster)
 {
-    settle(world);
-    Three three;
-    three.first = world.group.primary();
-    for (const auto &[id, server] : world.group.servers())
+    waitUntilReady(cluster);
+    ReplicaRoles roles;
+    roles.formerPrimary = cluster.group.primary();
+    for (const auto &[id, server] : cluster.group.servers())
         if (!server.primary)
-            (three.lagging.empty() ? three.lagging : three.whole) = id;
-    world.group.servers().at(three.lagging).deaf = true;
-    writeTwenty(world, 0);
-    for (auto &[id, server] : world.group.servers())
-        server.showsFollowedTerm = true;
-    ModelServer &lagging = world.group.servers().at(three.lagging);
-    lagging.deaf = false;
-    lagging.behind = true;
-    world.group.crash(three.first);
-    REQUIRE(world.runUntil(3s, [&] { return world.group.isPromoting(); }));
-    world.store.down = true;
-    REQUIRE(world.runUntil(3s, [&] { return world.group.promotions == 1; }));
-    world.run(100ms);
-    REQUIRE(world.group.primary() == three.whole);
+            (roles.lagging.empty() ? roles.lagging : roles.complete) = id;
+    cluster.group.servers().at(roles.lagging).stalled = true;
+    writeTwenty(cluster, 0);
+    for (auto &[id, server] : cluster.group.servers())
+        server.reportsFollowedTerm = true;
+    ModelServer &lagging = cluster.group.servers().at(roles.lagging);
+    lagging.stalled = false;
+    lagging.awaitsLog = true;
+    cluster.group.crash(roles.formerPrimary);
+    REQUIRE(cluster.runUntil(3s, [&] { return cluster.group.isPromoting(); }));
+    cluster.store.down = true;
+    REQUIRE(cluster.runUntil(3s, [&] { return cluster.group.promotions == 1; }));
+    cluster.run(100ms);
+    REQUIRE(cluster.group.primary() == roles.complete);
     REQUIRE(lagging.term == 2);
-    return three;
+    return roles;
 }
 
 } // namespace
@@ -90,41 +90,41 @@
 // dropped from the holders, though it confirms what comes later.
 TEST_CASE("Review: a lapsed replica that is dropped from the holders confirms later commits")
 {
-    World world(201);
-    settle(world);
-    const ServerName primary = world.group.primary();
+    ModelCluster cluster(201);
+    waitUntilReady(cluster);
+    const ServerName primary = cluster.group.primary();
     ServerName other, lapsed;
-    for (const auto &[id, server] : world.group.servers())
+    for (const auto &[id, server] : cluster.group.servers())
         if (!server.primary)
             (other.empty() ? other : lapsed) = id;
-    world.unlist(lapsed);
+    cluster.unlist(lapsed);
     for (int i = 0; i < 400; ++i) {
-        world.write(std::size_t(i % 3));
-        world.run(20ms);
+        cluster.write(std::size_t(i % 3));
+        cluster.run(20ms);
     }
-    REQUIRE(world.group.promotions == 0);
-    world.group.servers().at(other).deaf = true;
-    writeTwenty(world, 0);
-    const std::size_t next = otherThan(world.owner());
-    world.freeze(std::size_t(world.owner()), 25s);
-    world.group.crash(primary);
-    writeUntilPromoted(world, next, 20s);
-    world.relist(lapsed);
-    writeUntilPromoted(world, next, 5s);
-    checkRight(world);
+    REQUIRE(cluster.group.promotions == 0);
+    cluster.group.servers().at(other).stalled = true;
+    writeTwenty(cluster, 0);
+    const std::size_t next = hostOtherThan(cluster.owner());
+    cluster.freeze(std::size_t(cluster.owner()), 25s);
+    cluster.group.crash(primary);
+    writeUntilPromoted(cluster, next, 20s);
+    cluster.relist(lapsed);
+    writeUntilPromoted(cluster, next, 5s);
+    checkNoViolations(cluster);
 }
 
 // The row of the new primary has not been written when that one crashes: the choice takes the
 // beginning of the term from the row, and so that of an earlier term.
 TEST_CASE("Review: what a term began with counts before the row tells it")
 {
-    World world(202);
-    const Three three = promoteWithoutRow(world);
-    world.group.crash(three.whole);
-    world.store.down = false;
-    writeUntilPromoted(world, 0, 3s);
-    CHECK(world.group.promotions == 1);
-    checkRight(world);
+    ModelCluster cluster(202);
+    const ReplicaRoles roles = promoteWithoutRow(cluster);
+    cluster.group.crash(roles.complete);
+    cluster.store.down = false;
+    writeUntilPromoted(cluster, 0, 3s);
+    CHECK(cluster.group.promotions == 1);
+    checkNoViolations(cluster);
 }
 
 // The owner is lost before it has written the row of the new primary. The next one finds that it
@@ -132,24 +132,24 @@
 // be inherited.
 TEST_CASE("Review: a term whose beginning is not known does not begin with nothing")
 {
-    World world(203);
-    const Three three = promoteWithoutRow(world);
-    const std::size_t owner = std::size_t(world.owner());
-    const std::size_t next = otherThan(world.owner());
-    world.kill(owner);
-    world.store.down = false;
+    ModelCluster cluster(203);
+    const ReplicaRoles roles = promoteWithoutRow(cluster);
+    const std::size_t owner = std::size_t(cluster.owner());
+    const std::size_t next = hostOtherThan(cluster.owner());
+    cluster.kill(owner);
+    cluster.store.down = false;
     for (int i = 0; i < 200; ++i) {
-        world.read(next, inner::ReadRule::Newest);
-        world.run(20ms);
+        cluster.read(next, inner::ReadRule::Newest);
+        cluster.run(20ms);
     }
-    REQUIRE(world.owner() != int(owner));
-    REQUIRE(world.group.promotions == 1);
-    world.group.crash(three.whole);
-    world.group.restart(three.first);
-    world.relist(three.first);
-    writeUntilPromoted(world, next, 20s);
-    CHECK(world.group.primary() == three.first);
-    checkRight(world);
+    REQUIRE(cluster.owner() != int(owner));
+    REQUIRE(cluster.group.promotions == 1);
+    cluster.group.crash(roles.complete);
+    cluster.group.restart(roles.formerPrimary);
+    cluster.relist(roles.formerPrimary);
+    writeUntilPromoted(cluster, next, 20s);
+    CHECK(cluster.group.primary() == roles.formerPrimary);
+    checkNoViolations(cluster);
 }
 
 namespace {
@@ -195,41 +195,41 @@
 // The same in a world. The primary is down for a while only, and has everything.
 TEST_CASE("Review: a newcomer with part of the log is promoted while the primary is down")
 {
-    World world(204);
-    settle(world);
-    const ServerName primary = world.group.primary();
-    ServerName lagging, whole;
-    for (const auto &[id, server] : world.group.servers())
+    ModelCluster cluster(204);
+    waitUntilReady(cluster);
+    const ServerName primary = cluster.group.primary();
+    ServerName lagging, complete;
+    for (const auto &[id, server] : cluster.group.servers())
         if (!server.primary)
-            (lagging.empty() ? lagging : whole) = id;
+            (lagging.empty() ? lagging : complete) = id;
     // 1. A change that is given up, or another server's lapse, makes the owner ask all once.
-    world.unlist(lagging);
-    world.run(untilGone);
-    REQUIRE(world.timeToWrite(0, 1s));
-    world.relist(lagging);
-    world.run(500ms);
+    cluster.unlist(lagging);
+    cluster.run(entryRemovalTime);
+    REQUIRE(cluster.timeToWrite(0, 1s));
+    cluster.relist(lagging);
+    cluster.run(500ms);
     // 2. Only one replica confirms, and is lost for good. An empty server at its address has
     // received part of the log.
-    world.group.servers().at(lagging).deaf = true;
-    writeTwenty(world, 0);
-    world.group.lose(whole);
-    world.unlist(whole);
-    const ServerName newcomer = world.group.replace(whole);
-    ModelServer &server = world.group.servers().at(newcomer);
-    server.deaf = true;
-    const auto &log = world.group.servers().at(primary).log;
+    cluster.group.servers().at(lagging).stalled = true;
+    writeTwenty(cluster, 0);
+    cluster.group.destroy(complete);
+    cluster.unlist(complete);
+    const ServerName addedServer = cluster.group.replaceEmpty(complete);
+    ModelServer &server = cluster.group.servers().at(addedServer);
+    server.stalled = true;
+    const auto &log = cluster.group.servers().at(primary).log;
     server.log.assign(log.begin(), log.begin() + 12);
     server.applied = 12;
-    world.relist(newcomer);
-    world.run(untilGone + 2s);
-    REQUIRE(world.group.promotions == 0);
+    cluster.relist(addedServer);
+    cluster.run(entryRemovalTime + 2s);
+    REQUIRE(cluster.group.promotions == 0);
     // 3. The primary crashes, with the owner or without.
-    const std::size_t next = otherThan(world.owner());
-    world.freeze(std::size_t(world.owner()), 25s);
-    world.group.crash(primary);
-    writeUntilPromoted(world, next, 20s);
-    CHECK(world.group.promotions == 0);
-    checkRight(world);
+    const std::size_t next = hostOtherThan(cluster.owner());
+    cluster.freeze(std::size_t(cluster.owner()), 25s);
+    cluster.group.crash(primary);
+    writeUntilPromoted(cluster, next, 20s);
+    CHECK(cluster.group.promotions == 0);
+    checkNoViolations(cluster);
 }
 
 // A planned change, whose call the platform turns away for the moment. Until it is made again,
@@ -237,29 +237,29 @@
 // has started again confirms what the candidate lacks.
 TEST_CASE("Review: acknowledgements between two calls of a planned change wait for the candidate")
 {
-    World world(205);
-    settle(world);
-    const ServerName primary = world.group.primary();
-    world.group.turnedAwayCalls = 1;
-    world.group.onTurnedAway = [&](const ServerName &candidate) {
-        for (auto &[id, server] : world.group.servers()) {
+    ModelCluster cluster(205);
+    waitUntilReady(cluster);
+    const ServerName primary = cluster.group.primary();
+    cluster.group.rejectedPromotions = 1;
+    cluster.group.onPromotionRejected = [&](const ServerName &candidate) {
+        for (auto &[id, server] : cluster.group.servers()) {
             if (id == candidate)
-                server.deaf = true;
+                server.stalled = true;
             else if (id != primary)
-                world.group.bounce(id);
+                cluster.group.restartQuickly(id);
         }
     };
-    world.group.servers().at(primary).leaving = true;
-    world.relist(primary);
-    for (int i = 0; i < 400 && world.group.promotions == 0; ++i) {
-        world.write(std::size_t(world.owner()));
-        world.run(5ms);
+    cluster.group.servers().at(primary).leaving = true;
+    cluster.relist(primary);
+    for (int i = 0; i < 400 && cluster.group.promotions == 0; ++i) {
+        cluster.write(std::size_t(cluster.owner()));
+        cluster.run(5ms);
     }
-    REQUIRE(world.group.promotions == 1);
-    for (auto &[id, server] : world.group.servers())
-        server.deaf = false;
-    world.run(1s);
-    checkRight(world);
+    REQUIRE(cluster.group.promotions == 1);
+    for (auto &[id, server] : cluster.group.servers())
+        server.stalled = false;
+    cluster.run(1s);
+    checkNoViolations(cluster);
 }
 
 // A commit of the owner before is in the primary's log and never acknowledged. The next owner's
@@ -267,68 +267,68 @@
 // for good, nobody is promoted, though both replicas hold everything.
 TEST_CASE("Review: another owner's open commit does not count as acknowledged")
 {
-    World world(206);
-    settle(world);
-    const ServerName primary = world.group.primary();
+    ModelCluster cluster(206);
+    waitUntilReady(cluster);
+    const ServerName primary = cluster.group.primary();
     REQUIRE(primary == "cases-1");
-    const std::size_t stopping = std::size_t(world.owner());
+    const std::size_t drainingHost = std::size_t(cluster.owner());
     constexpr std::uint64_t session = 9001;
-    const auto begun = world.begin(stopping, session);
-    REQUIRE(world.runUntil(1s, [&] { return begun->done; }));
-    world.drain(stopping);
-    REQUIRE(world.runUntil(2s, [&] { return world.owner() != int(stopping); }));
-    const std::size_t next = std::size_t(world.owner());
-    world.run(50ms);
+    const auto begun = cluster.begin(drainingHost, session);
+    REQUIRE(cluster.runUntil(1s, [&] { return begun->done; }));
+    cluster.drain(drainingHost);
+    REQUIRE(cluster.runUntil(2s, [&] { return cluster.owner() != int(drainingHost); }));
+    const std::size_t next = std::size_t(cluster.owner());
+    cluster.run(50ms);
     // 1. Both commits are in the primary's log; replicas receive only the first.
     for (const char *replica : {"cases-2", "cases-3"})
-        world.group.servers().at(replica).deaf = true;
-    const auto write = world.write(next);
-    world.run(10ms);
-    const auto committed = world.commit(stopping, session);
-    world.run(10ms);
+        cluster.group.servers().at(replica).stalled = true;
+    const auto write = cluster.write(next);
+    cluster.run(10ms);
+    const auto committed = cluster.commit(drainingHost, session);
+    cluster.run(10ms);
     REQUIRE_FALSE(write->done);
     REQUIRE_FALSE(committed->done);
-    const auto log = world.group.servers().at(primary).log;
+    const auto log = cluster.group.servers().at(primary).log;
     for (const char *replica : {"cases-2", "cases-3"}) {
-        ModelServer &server = world.group.servers().at(replica);
+        ModelServer &server = cluster.group.servers().at(replica);
         REQUIRE(server.log.size() + 2 == log.size());
         server.log.assign(log.begin(), log.end() - 1);
         server.applied = server.log.size();
     }
-    world.group.restart("cases-2");
-    REQUIRE(world.runUntil(100ms, [&] { return write->done; }));
+    cluster.group.restart("cases-2");
+    REQUIRE(cluster.runUntil(100ms, [&] { return write->done; }));
     REQUIRE(write->result.reason == Reason::None);
     REQUIRE_FALSE(committed->done);
     // 2. The primary is lost for good.
-    world.group.lose(primary);
-    world.unlist(primary);
+    cluster.group.destroy(primary);
+    cluster.unlist(primary);
     for (const char *replica : {"cases-2", "cases-3"})
-        world.group.servers().at(replica).deaf = false;
-    writeUntilPromoted(world, next, 40s);
-    CHECK(world.group.promotions == 1);
-    checkRight(world);
+        cluster.group.servers().at(replica).stalled = false;
+    writeUntilPromoted(cluster, next, 40s);
+    CHECK(cluster.group.promotions == 1);
+    checkNoViolations(cluster);
 }
 
 // Owner and primary are lost for good, and the next owner alone can't reach one of the replicas.
 // Another host reaches both, and is not asked.
 TEST_CASE("Review: an owner that can't hear a replica lets a host that can take the group")
 {
-    World world(207);
-    settle(world);
-    const ServerName primary = world.group.primary();
-    const std::size_t owner = std::size_t(world.owner());
-    const std::size_t next = otherThan(world.owner());
-    ServerName unheard;
-    for (const auto &[id, server] : world.group.servers())
+    ModelCluster cluster(207);
+    waitUntilReady(cluster);
+    const ServerName primary = cluster.group.primary();
+    const std::size_t owner = std::size_t(cluster.owner());
+    const std::size_t next = hostOtherThan(cluster.owner());
+    ServerName unreachable;
+    for (const auto &[id, server] : cluster.group.servers())
         if (id != primary)
-            unheard = id;
-    world.group.cuts.insert({world.address(next), unheard});
-    world.kill(owner);
-    world.group.lose(primary);
-    world.unlist(primary);
-    writeUntilPromoted(world, next, 60s);
-    CHECK(world.group.promotions == 1);
-    checkRight(world);
+            unreachable = id;
+    cluster.group.partitions.insert({cluster.address(next), unreachable});
+    cluster.kill(owner);
+    cluster.group.destroy(primary);
+    cluster.unlist(primary);
+    writeUntilPromoted(cluster, next, 60s);
+    CHECK(cluster.group.promotions == 1);
+    checkNoViolations(cluster);
 }
 
 // A claim takes effect six seconds after it was sent, and its host starts again meanwhile. The
@@ -336,30 +336,30 @@
 // before read its row just before the late effect, and is cut off from the store after it.
 TEST_CASE("Review: a late claim guards the owner before for its whole lease")
 {
-    World world(208, 2);
-    settle(world);
-    const std::size_t earlier = std::size_t(world.owner());
+    ModelCluster cluster(208, 2);
+    waitUntilReady(cluster);
+    const std::size_t earlier = std::size_t(cluster.owner());
     const std::size_t next = 1 - earlier;
-    const GroupName group = world.group.name();
-    world.cutLinks(earlier, true);
-    world.store.writeDelay = 6s;
-    world.write(next);
-    REQUIRE(world.runUntil(3s, [&] { return world.store.delayedWrites == 1; }));
-    world.store.writeDelay = {};
-    world.kill(next);
-    while (world.owner() != int(next))
-        world.run(1ms);
-    world.cutFromStore(earlier, true);
-    world.restart(next);
-    int together = 0;
+    const GroupName group = cluster.group.name();
+    cluster.partitionLinks(earlier, true);
+    cluster.store.writeDelay = 6s;
+    cluster.write(next);
+    REQUIRE(cluster.runUntil(3s, [&] { return cluster.store.delayedWrites == 1; }));
+    cluster.store.writeDelay = {};
+    cluster.kill(next);
+    while (cluster.owner() != int(next))
+        cluster.run(1ms);
+    cluster.partitionFromStore(earlier, true);
+    cluster.restart(next);
+    int bothActiveCount = 0;
     for (int ms = 0; ms < 16'000; ++ms) {
-        world.run(1ms);
-        const auto &a = world.ownership(earlier);
-        const auto &b = world.ownership(next);
-        const bool earlierActs = a.owns(group) && a.hasLease(group);
-        const bool nextActs = b.owns(group) && b.hasLease(group) && b.isSoleOwner(group);
-        together += earlierActs && nextActs ? 1 : 0;
+        cluster.run(1ms);
+        const auto &a = cluster.ownership(earlier);
+        const auto &b = cluster.ownership(next);
+        const bool earlierActive = a.owns(group) && a.hasLease(group);
+        const bool nextActive = b.owns(group) && b.hasLease(group) && b.isSoleOwner(group);
+        bothActiveCount += earlierActive && nextActive ? 1 : 0;
     }
-    CHECK(world.ownership(next).isSoleOwner(group));
-    CHECK(together == 0);
+    CHECK(cluster.ownership(next).isSoleOwner(group));
+    CHECK(bothActiveCount == 0);
 }
--- a/tests/host/soak.cpp
+++ b/tests/host/soak.cpp
@@ -8,256 +8,260 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration length = 20s;
+constexpr Duration faultPhase = 20s;
 constexpr Duration step = 25ms;
 // A fault begins about this often, and some stay for seconds, so that they overlap.
-constexpr double faultChance = 0.025;
+constexpr double faultProbability = 0.025;
 // The same beside changes of the servers, so that most statements are still served.
-constexpr double faultChanceBesides = 0.01;
-constexpr double connectionFaultChance = 0.01;
+constexpr double faultProbabilityWithMembership = 0.01;
+constexpr double connectionFaultProbability = 0.01;
 // By host and step, where hosts write in every step.
-constexpr double readChance = 0.1;
+constexpr double readProbability = 0.1;
 
 class Soak
 {
 public:
     Soak(std::uint64_t seed, SoakKind kind)
-        : kind_(kind), world_(seed, kind != SoakKind::Membership || seed % 2 == 0),
-          random_(seed * 7919 + 1), more_(seed * 104729 + 5)
+        : kind_(kind), cluster_(seed, kind != SoakKind::Membership || seed % 2 == 0),
+          random_(seed * 7919 + 1), extraRandom_(seed * 104729 + 5)
     {
         if (kind == SoakKind::Membership)
-            membership_ = std::make_unique<MembershipFaults>(world_, ends_, seed);
+            membership_ = std::make_unique<MembershipFaults>(cluster_, recoveries_, seed);
     }
 
     SoakResult run()
     {
         SoakResult result;
-        world_.timeToWrite(0, 5s);
-        for (Instant end = world_.timers.now() + length; world_.timers.now() < end;) {
-            if (chance(membership_ ? faultChanceBesides : faultChance))
-                fault();
-            ends_.run();
+        cluster_.timeToWrite(0, 5s);
+        for (Instant end = cluster_.timers.now() + faultPhase; cluster_.timers.now() < end;) {
+            if (chance(membership_ ? faultProbabilityWithMembership : faultProbability))
+                injectFault();
+            recoveries_.run();
             if (membership_) {
                 membership_->step();
-                statements();
+                runManyStatements();
             } else {
-                statement();
+                runStatement();
             }
             if (kind_ != SoakKind::Faults) {
-                connectionFault();
-                transaction();
+                injectConnectionFault();
+                stepTransaction();
             }
-            world_.note("step");
-            world_.run(step);
+            cluster_.logToHosts("step");
+            cluster_.run(step);
         }
-        ends_.runAll();
-        world_.note("end of faults");
+        recoveries_.runAll();
+        cluster_.logToHosts("end of faults");
         result.recovered = false;
-        const auto recovery = world_.timeToWrite(0, 20s);
+        const auto recovery = cluster_.timeToWrite(0, 20s);
         result.recovered = recovery.has_value();
         result.recovery = recovery.value_or(Duration(0));
-        world_.run(2s);
-        world_.checkRefused();
-        result.violations = world_.violations.all;
-        result.acknowledged = world_.acknowledged;
-        result.refused = world_.refused;
-        result.unknown = world_.unknown;
-        result.reads = world_.reads;
-        result.promotions = world_.group.promotions;
-        result.unavoidablyLost = world_.group.unavoidablyLost;
+        cluster_.run(2s);
+        cluster_.checkStatementResults();
+        result.violations = cluster_.violations.all;
+        result.acknowledged = cluster_.acknowledged;
+        result.refused = cluster_.refused;
+        result.unknown = cluster_.unknown;
+        result.reads = cluster_.reads;
+        result.promotions = cluster_.group.promotions;
+        result.unrecoverableCommits = cluster_.group.unrecoverableCommits;
         return result;
     }
 
 private:
-    bool chance(double part)
+    bool chance(double probability)
     {
-        return std::uniform_real_distribution<double>(0, 1)(random_) < part;
+        return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
     }
-    std::size_t below(std::size_t bound)
+    std::size_t randomBelow(std::size_t bound)
     {
         return std::uniform_int_distribution<std::size_t>(0, bound - 1)(random_);
     }
-    Duration between(Duration least, Duration most)
+    Duration randomDuration(Duration minimum, Duration maximum)
     {
         return Duration(
-            std::uniform_int_distribution<std::int64_t>(least.count(), most.count())(random_));
+            std::uniform_int_distribution<std::int64_t>(minimum.count(), maximum.count())(random_));
     }
 
-    ServerName anyServer()
+    ServerName randomServer()
     {
         // Often the primary: it matters most.
-        if (chance(0.5) && !world_.group.primary().empty())
-            return world_.group.primary();
-        const std::vector<ServerName> servers = world_.group.existing();
-        return servers[below(servers.size())];
+        if (chance(0.5) && !cluster_.group.primary().empty())
+            return cluster_.group.primary();
+        const std::vector<ServerName> servers = cluster_.group.existingServers();
+        return servers[randomBelow(servers.size())];
     }
 
-    std::size_t anyHost()
+    std::size_t randomHost()
     {
-        const int owner = world_.owner();
-        return owner >= 0 && chance(0.5) ? std::size_t(owner) : below(3);
+        const int owner = cluster_.owner();
+        return owner >= 0 && chance(0.5) ? std::size_t(owner) : randomBelow(3);
     }
 
     std::string addressOf(std::size_t host) { return "10.0.0." + std::to_string(host + 1) + ":1"; }
 
-    void fault()
+    void injectFault()
     {
-        const Duration time = between(200ms, 6s);
-        const std::size_t host = anyHost();
-        const ServerName server = anyServer();
-        ModelServer &model = world_.group.servers().at(server);
-        switch (below(12)) {
+        const Duration time = randomDuration(200ms, 6s);
+        const std::size_t host = randomHost();
+        const ServerName server = randomServer();
+        ModelServer &model = cluster_.group.servers().at(server);
+        switch (randomBelow(12)) {
         case 0:
-            if (!world_.isUp(host))
+            if (!cluster_.isUp(host))
                 return;
-            world_.kill(host);
-            return ends_.after(time, [this, host] {
-                if (!world_.isUp(host))
-                    world_.restart(host);
+            cluster_.kill(host);
+            return recoveries_.schedule(time, [this, host] {
+                if (!cluster_.isUp(host))
+                    cluster_.restart(host);
             });
         case 1:
-            if (world_.isUp(host))
-                world_.freeze(host, time);
+            if (cluster_.isUp(host))
+                cluster_.freeze(host, time);
             return;
         case 2:
-            if (!world_.isUp(host))
+            if (!cluster_.isUp(host))
                 return;
-            world_.cut(host, true);
-            return ends_.after(time, [this, host] { world_.cut(host, false); });
+            cluster_.partition(host, true);
+            return recoveries_.schedule(time, [this, host] { cluster_.partition(host, false); });
         case 3:
-            world_.store.down = true;
-            return ends_.after(time, [this] { world_.store.down = false; });
+            cluster_.store.down = true;
+            return recoveries_.schedule(time, [this] { cluster_.store.down = false; });
         case 4:
-            world_.store.cut.insert(addressOf(host));
-            return ends_.after(time, [this, host] { world_.store.cut.erase(addressOf(host)); });
+            cluster_.store.partitionedHosts.insert(addressOf(host));
+            return recoveries_.schedule(
+                time, [this, host] { cluster_.store.partitionedHosts.erase(addressOf(host)); });
         case 5:
-            world_.store.lostAnswers = 0.4;
-            return ends_.after(time, [this] { world_.store.lostAnswers = 0; });
+            cluster_.store.lostAnswerRate = 0.4;
+            return recoveries_.schedule(time, [this] { cluster_.store.lostAnswerRate = 0; });
         case 6:
             if (!model.running)
                 return;
             if (membership_)
                 return membership_->crash(server, time);
-            world_.group.crash(server);
-            return ends_.after(time, [this, server] { world_.group.restart(server); });
+            cluster_.group.crash(server);
+            return recoveries_.schedule(time, [this, server] { cluster_.group.restart(server); });
         case 7:
-            model.deaf = true;
-            return ends_.after(time, [&model] { model.deaf = false; });
+            model.stalled = true;
+            return recoveries_.schedule(time, [&model] { model.stalled = false; });
         case 8:
-            model.lag = between(100ms, 3s);
-            return ends_.after(time, [&model] { model.lag = 20ms; });
+            model.lag = randomDuration(100ms, 3s);
+            return recoveries_.schedule(time, [&model] { model.lag = 20ms; });
         case 9:
-            world_.group.cuts.insert({addressOf(host), server});
-            return ends_.after(
-                time, [this, host, server] { world_.group.endCut(addressOf(host), server); });
+            cluster_.group.partitions.insert({addressOf(host), server});
+            return recoveries_.schedule(time, [this, host, server] {
+                cluster_.group.healPartition(addressOf(host), server);
+            });
         case 10:
-            world_.group.replicationCuts.insert(server);
-            return ends_.after(time, [this, server] {
-                for (const ServerName &each : world_.group.atAddressOf(server))
-                    world_.group.replicationCuts.erase(each);
+            cluster_.group.replicationPartitions.insert(server);
+            return recoveries_.schedule(time, [this, server] {
+                for (const ServerName &each : cluster_.group.serversAtAddressOf(server))
+                    cluster_.group.replicationPartitions.erase(each);
             });
         default:
             if (membership_)
                 return membership_->leave(server, time);
             model.leaving = true;
-            world_.list();
-            return ends_.after(time, [this, &model] {
+            cluster_.list();
+            return recoveries_.schedule(time, [this, &model] {
                 model.leaving = false;
-                world_.list();
+                cluster_.list();
             });
         }
     }
 
-    void statement()
+    void runStatement()
     {
-        const std::size_t host = below(3);
-        if (!world_.isUp(host))
+        const std::size_t host = randomBelow(3);
+        if (!cluster_.isUp(host))
             return;
-        switch (below(4)) {
+        switch (randomBelow(4)) {
         case 0:
-            world_.write(host);
+            cluster_.write(host);
             return;
         case 1:
-            world_.read(host, inner::ReadRule::Newest);
+            cluster_.read(host, inner::ReadRule::Newest);
             return;
         case 2:
-            world_.read(host, inner::ReadRule::Bounded, 500ms);
+            cluster_.read(host, inner::ReadRule::Bounded, 500ms);
             return;
         default:
-            world_.write(host);
-            world_.read(host, inner::ReadRule::Newest);
+            cluster_.write(host);
+            cluster_.read(host, inner::ReadRule::Newest);
             return;
         }
     }
 
     // Several at each host, as callers that press.
-    void statements()
+    void runManyStatements()
     {
-        for (std::size_t host = 0; host < world_.hosts.size(); ++host) {
-            if (!world_.isUp(host))
+        for (std::size_t host = 0; host < cluster_.hosts.size(); ++host) {
+            if (!cluster_.isUp(host))
                 continue;
-            const std::size_t writes = 1 + below(2);
+            const std::size_t writes = 1 + randomBelow(2);
             for (std::size_t i = 0; i < writes; ++i)
-                world_.write(host);
-            if (chance(readChance))
-                world_.read(host, inner::ReadRule::Newest);
-            if (chance(readChance))
-                world_.read(host, inner::ReadRule::Bounded, 500ms);
+                cluster_.write(host);
+            if (chance(readProbability))
+                cluster_.read(host, inner::ReadRule::Newest);
+            if (chance(readProbability))
+                cluster_.read(host, inner::ReadRule::Bounded, 500ms);
         }
     }
 
     // Drawn from a sequence of their own, so that the other faults of a seed stay what they are.
-    void connectionFault()
+    void injectConnectionFault()
     {
-        if (std::uniform_real_distribution<double>(0, 1)(more_) >= connectionFaultChance)
+        if (std::uniform_real_distribution<double>(0, 1)(extraRandom_)
+            >= connectionFaultProbability)
             return;
-        switch (std::uniform_int_distribution<int>(0, 2)(more_)) {
+        switch (std::uniform_int_distribution<int>(0, 2)(extraRandom_)) {
         case 0:
-            return world_.silenceLinks();
+            return cluster_.silenceLinks();
         case 1:
-            return world_.resetLinks();
+            return cluster_.resetLinks();
         default:
-            for (const auto &[id, server] : world_.group.servers())
-                world_.group.silence(id);
+            for (const auto &[id, server] : cluster_.group.servers())
+                cluster_.group.silenceConnections(id);
         }
     }
 
     // One transaction at a time: begun, and committed some steps later.
-    void transaction()
+    void stepTransaction()
     {
-        if (begun_ && begun_->done) {
-            const bool open = begun_->result.reason == Reason::None && world_.isUp(entry_);
-            begun_ = nullptr;
+        if (beginOutcome_ && beginOutcome_->done) {
+            const bool open =
+                beginOutcome_->result.reason == Reason::None && cluster_.isUp(entryHost_);
+            beginOutcome_ = nullptr;
             if (open)
-                world_.commit(entry_, session_);
+                cluster_.commit(entryHost_, session_);
             return;
         }
-        if (begun_ && world_.timers.now() - beganAt_ < 2s)
+        if (beginOutcome_ && cluster_.timers.now() - transactionStart_ < 2s)
             return;
-        entry_ = std::uniform_int_distribution<std::size_t>(0, 2)(more_);
-        if (!world_.isUp(entry_))
+        entryHost_ = std::uniform_int_distribution<std::size_t>(0, 2)(extraRandom_);
+        if (!cluster_.isUp(entryHost_))
             return;
         session_ = ++lastSession_;
-        beganAt_ = world_.timers.now();
-        begun_ = world_.begin(entry_, session_);
+        transactionStart_ = cluster_.timers.now();
+        beginOutcome_ = cluster_.begin(entryHost_, session_);
     }
 
     const SoakKind kind_;
-    World world_;
+    ModelCluster cluster_;
     std::mt19937_64 random_;
-    std::mt19937_64 more_;
-    World::OutcomePtr begun_;
-    std::size_t entry_ = 0;
+    std::mt19937_64 extraRandom_;
+    ModelCluster::OutcomePtr beginOutcome_;
+    std::size_t entryHost_ = 0;
     std::uint64_t session_ = 0;
     std::uint64_t lastSession_ = 1'000'000;
-    Instant beganAt_ {};
-    FaultEnds ends_ {world_.timers};
+    Instant transactionStart_ {};
+    RecoveryQueue recoveries_ {cluster_.timers};
     std::unique_ptr<MembershipFaults> membership_;
 };
 
 } // namespace
 
-SoakResult soak(std::uint64_t seed, SoakKind kind)
+SoakResult runSoak(std::uint64_t seed, SoakKind kind)
 {
     return Soak(seed, kind).run();
 }
--- a/tests/host/soak.h
+++ b/tests/host/soak.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "world.h"
+#include "modelcluster.h"
 
 namespace kelptally::model {
 
@@ -16,7 +16,7 @@
     int reads = 0;
     int promotions = 0;
     // Acknowledged commits that no server held any more.
-    int unavoidablyLost = 0;
+    int unrecoverableCommits = 0;
 };
 
 enum class SoakKind {
@@ -29,6 +29,6 @@
 };
 
 // One random schedule of faults and statements; the same for the same seed and kind.
-SoakResult soak(std::uint64_t seed, SoakKind kind = SoakKind::Faults);
+SoakResult runSoak(std::uint64_t seed, SoakKind kind = SoakKind::Faults);
 
 } // namespace kelptally::model
--- a/tests/host/soak_main.cpp
+++ b/tests/host/soak_main.cpp
@@ -39,13 +39,13 @@
     Duration slowest {0};
     for (int i = 0; i < count.getValue(); ++i) {
         const std::uint64_t current = seed.getValue() + std::uint64_t(i);
-        const model::SoakResult result = model::soak(current, kind);
+        const model::SoakResult result = model::runSoak(current, kind);
         acknowledged += result.acknowledged;
         refused += result.refused;
         unknown += result.unknown;
         reads += result.reads;
         promotions += result.promotions;
-        lost += result.unavoidablyLost;
+        lost += result.unrecoverableCommits;
         slowest = std::max(slowest, result.recovery);
         if (result.violations.empty() && result.recovered)
             continue;
--- a/tests/host/soak_test.cpp
+++ b/tests/host/soak_test.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-struct Replay
+struct RegressionSeed
 {
     std::uint64_t seed;
     const char *cause;
 };
 
 // Schedules that once broke a promise, or did not recover.
-constexpr Replay replays[] = {
+constexpr RegressionSeed faultRegressions[] = {
     {7, "news of an owner without its run hid the row that made it one"},
     {15, "replicas stopped by a late command stayed stopped"},
     {21, "a change was cancelled whose call was under way"},
@@ -48,9 +48,9 @@
 
 TEST_CASE("Schedules that failed once pass")
 {
-    for (const Replay &replay : replays) {
-        const model::SoakResult result = model::soak(replay.seed);
-        INFO("seed " << replay.seed << ": " << replay.cause);
+    for (const RegressionSeed &regression : faultRegressions) {
+        const model::SoakResult result = model::runSoak(regression.seed);
+        INFO("seed " << regression.seed << ": " << regression.cause);
         CHECK(result.violations == std::vector<std::string>());
         CHECK(result.recovered);
     }
@@ -62,7 +62,7 @@
     int promotions = 0;
     int acknowledged = 0;
     for (std::uint64_t seed = 1; seed <= 150; ++seed) {
-        const model::SoakResult result = model::soak(seed);
+        const model::SoakResult result = model::runSoak(seed);
         INFO("seed " << seed);
         CHECK(result.violations == std::vector<std::string>());
         CHECK(result.recovered);
@@ -76,13 +76,14 @@
 
 TEST_CASE("Schedules with connection faults that failed once pass")
 {
-    constexpr Replay failed[] = {
+    constexpr RegressionSeed regressions[] = {
         {16, "owners that did not reach a primary passed a group to each other without end"},
         {100744, "the end of a lost transaction was sent again and ended the session's next one"},
     };
-    for (const Replay &replay : failed) {
-        const model::SoakResult result = model::soak(replay.seed, model::SoakKind::Connections);
-        INFO("seed " << replay.seed << ": " << replay.cause);
+    for (const RegressionSeed &regression : regressions) {
+        const model::SoakResult result =
+            model::runSoak(regression.seed, model::SoakKind::Connections);
+        INFO("seed " << regression.seed << ": " << regression.cause);
         CHECK(result.violations == std::vector<std::string>());
         CHECK(result.recovered);
     }
@@ -92,7 +93,7 @@
 {
     int acknowledged = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-        const model::SoakResult result = model::soak(seed, model::SoakKind::Connections);
+        const model::SoakResult result = model::runSoak(seed, model::SoakKind::Connections);
         INFO("seed " << seed);
         CHECK(result.violations == std::vector<std::string>());
         CHECK(result.recovered);
@@ -103,7 +104,7 @@
 
 TEST_CASE("Schedules with changes of the servers that failed once pass")
 {
-    constexpr Replay failed[] = {
+    constexpr RegressionSeed regressions[] = {
         {8,
          "the one server that may stay unheard was a replica, as the last primary had left the "
          "list"},
@@ -124,9 +125,10 @@
          "had acknowledged"},
         {1932, "the model asked a primary that had been replaced while it was down"},
     };
-    for (const Replay &replay : failed) {
-        const model::SoakResult result = model::soak(replay.seed, model::SoakKind::Membership);
-        INFO("seed " << replay.seed << ": " << replay.cause);
+    for (const RegressionSeed &regression : regressions) {
+        const model::SoakResult result =
+            model::runSoak(regression.seed, model::SoakKind::Membership);
+        INFO("seed " << regression.seed << ": " << regression.cause);
         INFO("first: " << (result.violations.empty() ? "none" : result.violations.front()));
         CHECK(result.violations.size() == 0);
         CHECK(result.recovered);
@@ -138,7 +140,7 @@
     int promotions = 0;
     int acknowledged = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        const model::SoakResult result = model::soak(seed, model::SoakKind::Membership);
+        const model::SoakResult result = model::runSoak(seed, model::SoakKind::Membership);
         INFO("seed " << seed);
         INFO("first: " << (result.violations.empty() ? "none" : result.violations.front()));
         CHECK(result.violations.size() == 0);
