--- a/tests/host/modelservers.cpp
+++ b/tests/host/modelservers.cpp
@@ -651,13 +651,13 @@
     std::unordered_set<std::string> held;
     for (const LogEntry &entry : promoted.log)
         held.insert(entry.id);
-    std::vector<std::string> gone;
+    std::vector<std::string> unrecoverable;
     for (const auto &[committed, at] : acknowledged_) {
         if (held.count(committed) != 0)
             continue;
         const std::string holders = describeHolders(committed);
         if (holders.empty()) {
-            gone.push_back(committed);
+            unrecoverable.push_back(committed);
             continue;
         }
         violations_.add("acknowledged commit " + committed + " is not in the log of " + promoted.id
@@ -665,9 +665,9 @@
                         + std::to_string(toMilliseconds(timers_.now() - Instant()) - 3.6e6)
                         + " ms; " + holders);
     }
-    for (const std::string &commit : gone)
+    for (const std::string &commit : unrecoverable)
         acknowledged_.erase(commit);
-    unrecoverableCommits += int(gone.size());
+    unrecoverableCommits += int(unrecoverable.size());
 }
 
 bool ModelGroup::isKnownToHosts(const ModelServer &server) const
