--- a/src/inner/websocketlinks.cpp
+++ b/src/inner/websocketlinks.cpp
@@ -59,7 +59,7 @@
     void checkLinks();
     void checkLink(const LinkPtr &link, Instant now);
 
-    // Messages.
+    // Sending and receiving.
     void onFrame(const LinkPtr &link, const std::string &payload);
     void onHello(const LinkPtr &link, const Hello &peer);
     void write(const LinkPtr &link, const std::string &bytes);
@@ -230,7 +230,7 @@
     targets_[address].link = openLink(address);
 }
 
-// Null when nothing can be dialled.
+// Returns null when the address is invalid.
 LinkPtr WebsocketLinks::openLink(const std::string &address)
 {
     if (stopping_)
