--- a/src/core/digest.cpp
+++ b/src/core/digest.cpp
@@ -23,12 +23,12 @@
 }
 
 template <typename T, void (*release)(T *)>
-struct Release
+struct Deleter
 {
     void operator()(T *object) const { release(object); }
 };
-using DigestPtr = std::unique_ptr<EVP_MD_CTX, Release<EVP_MD_CTX, EVP_MD_CTX_free>>;
-using MacPtr = std::unique_ptr<EVP_MAC_CTX, Release<EVP_MAC_CTX, EVP_MAC_CTX_free>>;
+using DigestPtr = std::unique_ptr<EVP_MD_CTX, Deleter<EVP_MD_CTX, EVP_MD_CTX_free>>;
+using MacPtr = std::unique_ptr<EVP_MAC_CTX, Deleter<EVP_MAC_CTX, EVP_MAC_CTX_free>>;
 
 // Looking an algorithm up by name takes longer than a short sum itself, so it is done once.
 const EVP_MD *sha256Algorithm()
@@ -45,7 +45,7 @@
 };
 
 // Only a lack of memory or a broken installation makes the library fail; no sum may be guessed.
-void require(int succeeded)
+void checkSuccess(int succeeded)
 {
     LOG_IF(FATAL, succeeded != 1) << "event=digest_failed cause=\"libcrypto\"";
 }
@@ -60,12 +60,12 @@
     static EVP_MAC *const algorithm = EVP_MAC_fetch(nullptr, "HMAC", nullptr);
     // The library takes no empty key; keys are padded with zeros, so one zero is the same.
     constexpr std::string_view emptyKey("\0", 1);
-    const std::string_view taken = key.empty() ? emptyKey : key;
+    const std::string_view usedKey = key.empty() ? emptyKey : key;
     MacPtr context(EVP_MAC_CTX_new(algorithm));
     char digest[] = "SHA256";
     const std::array<OSSL_PARAM, 2> parameters = {
         OSSL_PARAM_construct_utf8_string("digest", digest, 0), OSSL_PARAM_construct_end()};
-    require(EVP_MAC_init(context.get(), bytesOf(taken), taken.size(), parameters.data()));
+    checkSuccess(EVP_MAC_init(context.get(), bytesOf(usedKey), usedKey.size(), parameters.data()));
     return context;
 }
 
@@ -75,9 +75,9 @@
 {
     thread_local const DigestPtr context(EVP_MD_CTX_new());
     Sha256Digest digest;
-    require(EVP_DigestInit_ex2(context.get(), sha256Algorithm(), nullptr));
-    require(EVP_DigestUpdate(context.get(), bytes.data(), bytes.size()));
-    require(EVP_DigestFinal_ex(context.get(), digest.data(), nullptr));
+    checkSuccess(EVP_DigestInit_ex2(context.get(), sha256Algorithm(), nullptr));
+    checkSuccess(EVP_DigestUpdate(context.get(), bytes.data(), bytes.size()));
+    checkSuccess(EVP_DigestFinal_ex(context.get(), digest.data(), nullptr));
     return digest;
 }
 
@@ -87,11 +87,11 @@
     if (!mac.context || mac.key != key)
         mac = {std::string(key), makeMac(key)};
     else
-        require(EVP_MAC_init(mac.context.get(), nullptr, 0, nullptr));
+        checkSuccess(EVP_MAC_init(mac.context.get(), nullptr, 0, nullptr));
     Sha256Digest digest;
     std::size_t length = 0;
-    require(EVP_MAC_update(mac.context.get(), bytesOf(bytes), bytes.size()));
-    require(EVP_MAC_final(mac.context.get(), digest.data(), &length, digest.size()));
+    checkSuccess(EVP_MAC_update(mac.context.get(), bytesOf(bytes), bytes.size()));
+    checkSuccess(EVP_MAC_final(mac.context.get(), digest.data(), &length, digest.size()));
     return digest;
 }
 
--- a/src/core/eventlog.cpp
+++ b/src/core/eventlog.cpp
@@ -26,9 +26,9 @@
     {"error", LogLevel::Error, spdlog::level::err},
 }};
 
-constexpr Duration shareTime = std::chrono::seconds(1);
+constexpr Duration rateWindowLength = std::chrono::seconds(1);
 // Events and reasons are fixed words of the code, so there are few; a bound all the same.
-constexpr std::size_t maxShares = 1024;
+constexpr std::size_t maxRateWindows = 1024;
 
 } // namespace
 
@@ -45,8 +45,8 @@
 
 struct EventLog::Private
 {
-    explicit Private(std::size_t queueLines)
-        : pool(std::make_shared<spdlog::details::thread_pool>(queueLines, 1)),
+    explicit Private(std::size_t queueCapacity)
+        : pool(std::make_shared<spdlog::details::thread_pool>(queueCapacity, 1)),
           logger(std::make_shared<spdlog::async_logger>(
               "kelptally", std::make_shared<spdlog::sinks::stdout_sink_mt>(), pool,
               spdlog::async_overflow_policy::overrun_oldest))
@@ -62,7 +62,7 @@
 };
 
 EventLog::EventLog(const EventLogOptions &options)
-    : options_(options), d_(std::make_unique<Private>(options.queueLines))
+    : options_(options), d_(std::make_unique<Private>(options.queueCapacity))
 { }
 
 EventLog::~EventLog() = default;
@@ -84,18 +84,18 @@
     std::string name(event);
     name += '/';
     name += reason;
-    if (shares_.size() >= maxShares)
-        shares_.clear();
-    Share &share = shares_[name];
+    if (rateWindows_.size() >= maxRateWindows)
+        rateWindows_.clear();
+    RateWindow &window = rateWindows_[name];
     const Instant now = BootClock::now();
-    std::uint64_t leftOut = 0;
-    if (now - share.since >= shareTime) {
-        leftOut = share.leftOut;
-        share = {now, 0, 0};
+    std::uint64_t suppressed = 0;
+    if (now - window.since >= rateWindowLength) {
+        suppressed = window.suppressed;
+        window = {now, 0, 0};
     }
-    if (++share.lines > options_.linesPerSecond) {
-        ++share.leftOut;
-        ++leftOut_;
+    if (++window.lines > options_.linesPerSecond) {
+        ++window.suppressed;
+        ++suppressed_;
         return {nullptr, level};
     }
     LogLine line(this, level);
@@ -106,8 +106,8 @@
     line.with("event", event);
     if (!reason.empty())
         line.with("reason", reason);
-    if (leftOut > 0)
-        line.with("left_out", leftOut);
+    if (suppressed > 0)
+        line.with("left_out", suppressed);
     return line;
 }
 
--- a/src/core/eventlog.h
+++ b/src/core/eventlog.h
@@ -39,7 +39,7 @@
     // Stands in every line when it is not empty, for logs that are gathered from many hosts.
     HostName host;
     // Lines that wait for the writer.
-    std::size_t queueLines = 2048;
+    std::size_t queueCapacity = 2048;
 };
 
 class EventLog;
@@ -102,23 +102,23 @@
     // Lines that were dropped because nobody read the output.
     std::uint64_t dropped() const;
     // Lines that were left out because their event had its share.
-    std::uint64_t leftOut() const { return leftOut_; }
+    std::uint64_t suppressed() const { return suppressed_; }
 
 private:
     friend class LogLine;
-    struct Share
+    struct RateWindow
     {
         Instant since;
         int lines = 0;
-        std::uint64_t leftOut = 0;
+        std::uint64_t suppressed = 0;
     };
     struct Private;
 
     void write(LogLevel level, std::string text);
 
     EventLogOptions options_;
-    std::map<std::string, Share, std::less<>> shares_;
-    std::uint64_t leftOut_ = 0;
+    std::map<std::string, RateWindow, std::less<>> rateWindows_;
+    std::uint64_t suppressed_ = 0;
     std::unique_ptr<Private> d_;
 };
 
--- a/src/core/fieldreader.cpp
+++ b/src/core/fieldreader.cpp
@@ -30,7 +30,7 @@
         error_ = FieldError {};
 }
 
-void FieldReader::refuse(const char *name, FieldFault fault)
+void FieldReader::setError(const char *name, FieldFault fault)
 {
     if (!error_)
         error_ = FieldError {fault, name};
@@ -40,11 +40,11 @@
 {
     const JsonValue *value = object_.find(name);
     if (value == nullptr) {
-        refuse(name, FieldFault::FieldMissing);
+        setError(name, FieldFault::FieldMissing);
         return nullptr;
     }
     if (value->type != type) {
-        refuse(name, FieldFault::FieldType);
+        setError(name, FieldFault::FieldType);
         return nullptr;
     }
     return value;
@@ -60,22 +60,22 @@
 {
     const std::string value = text(name);
     if (value.empty())
-        refuse(name, FieldFault::FieldValue);
+        setError(name, FieldFault::FieldValue);
     return value;
 }
 
-std::uint64_t FieldReader::whole(const char *name, std::uint64_t most)
+std::uint64_t FieldReader::unsignedInteger(const char *name, std::uint64_t maximum)
 {
     const JsonValue *value = field(name, JsonType::Number);
     if (value == nullptr)
         return 0;
     std::uint64_t number = 0;
     if (!absl::SimpleAtoi(value->text, &number)) {
-        refuse(name, FieldFault::FieldType);
+        setError(name, FieldFault::FieldType);
         return 0;
     }
-    if (number > most) {
-        refuse(name, FieldFault::FieldValue);
+    if (number > maximum) {
+        setError(name, FieldFault::FieldValue);
         return 0;
     }
     return number;
@@ -86,7 +86,7 @@
     const JsonValue *value = field(name, JsonType::Number);
     double number = 0;
     if (value != nullptr && !absl::SimpleAtod(value->text, &number))
-        refuse(name, FieldFault::FieldType);
+        setError(name, FieldFault::FieldType);
     return number;
 }
 
--- a/src/core/fieldreader.h
+++ b/src/core/fieldreader.h
@@ -42,17 +42,17 @@
     // A text that is not empty.
     std::string name(const char *name);
     // A whole number from 0 up to the bound, written without fraction or exponent.
-    std::uint64_t whole(const char *name, std::uint64_t most = maxWhole);
+    std::uint64_t unsignedInteger(const char *name, std::uint64_t maximum = maxUnsignedInteger);
     double number(const char *name);
     bool flag(const char *name);
     // Null when there is no such list.
     const JsonValue *list(const char *name);
 
-    void refuse(const char *name, FieldFault fault);
+    void setError(const char *name, FieldFault fault);
     const std::optional<FieldError> &error() const { return error_; }
 
     // What a signed number of 64 bits holds, with room to count on.
-    static constexpr std::uint64_t maxWhole = std::uint64_t(1) << 62;
+    static constexpr std::uint64_t maxUnsignedInteger = std::uint64_t(1) << 62;
 
 private:
     const JsonValue *field(const char *name, JsonType type);
--- a/src/core/hosttimers.h
+++ b/src/core/hosttimers.h
@@ -34,7 +34,7 @@
     void cancel(TimerId id) override { callbacks_.erase(id); }
 
     // Runs something on the host once it does not stand still.
-    void post(std::function<void()> what) { subscribeAt(now(), std::move(what)); }
+    void post(std::function<void()> task) { subscribeAt(now(), std::move(task)); }
 
     Instant frozenUntil {};
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -54,7 +54,7 @@
         .Add(labels, bounds);
 }
 
-prometheus::Counter &Metrics::visits(const std::string &part)
+prometheus::Counter &Metrics::scannedEntries(const std::string &part)
 {
     return counter("kelptally_visits_total", "Entries of tables walked over", {{"part", part}});
 }
--- a/src/core/metrics.h
+++ b/src/core/metrics.h
@@ -41,7 +41,7 @@
 
     // kelptally_visits_total{part=}: entries that a part has walked over, so that work which grows
     // with the number of hosts, servers or groups shows.
-    prometheus::Counter &visits(const std::string &part);
+    prometheus::Counter &scannedEntries(const std::string &part);
 
     // Prometheus' text format.
     std::string toText() const;
--- a/src/entry/answercheck.cpp
+++ b/src/entry/answercheck.cpp
@@ -8,19 +8,19 @@
                           const std::optional<Duration> &statedAge, const AttemptTimes &times)
 {
     AnswerVerdict verdict;
-    const bool whole = result.rowCount == result.rows.values.size()
+    const bool complete = result.rowCount == result.rows.values.size()
         && result.byteLength == result.rows.byteLength();
-    if (!whole)
+    if (!complete)
         verdict.reason = Reason::Internal;
-    if (!whole || !readOnly || result.reason != Reason::None)
+    if (!complete || !readOnly || result.reason != Reason::None)
         return verdict;
 
     // An owner's time outside the attempt's is not believed. A read at the primary saw the newest
     // data at some time after it was sent.
     const Duration ownerTime = std::clamp(result.ownerTime, Duration(0), times.elapsed);
-    verdict.way = times.elapsed - ownerTime;
+    verdict.transit = times.elapsed - ownerTime;
     if (result.age)
-        verdict.age = *result.age + verdict.way + times.callerTransit;
+        verdict.age = *result.age + verdict.transit + times.callerTransit;
     else if (!result.fromReplica)
         verdict.age = times.elapsed + times.callerTransit;
     if (statedAge && (!verdict.age || *verdict.age > *statedAge))
@@ -28,11 +28,12 @@
     return verdict;
 }
 
-std::optional<Duration> ageForOwner(const std::optional<Duration> &statedAge, Duration longWay)
+std::optional<Duration> ageLimitForOwner(const std::optional<Duration> &statedAge,
+                                         Duration excessTransit)
 {
-    if (!statedAge || *statedAge <= longWay)
+    if (!statedAge || *statedAge <= excessTransit)
         return std::nullopt;
-    return *statedAge - longWay;
+    return *statedAge - excessTransit;
 }
 
 } // namespace kelptally::entry
--- a/src/entry/answercheck.h
+++ b/src/entry/answercheck.h
@@ -26,7 +26,7 @@
     // Upper bound of the data's age at the caller, for reads.
     std::optional<Duration> age;
     // Time under way.
-    Duration way {0};
+    Duration transit {0};
 };
 
 // Checks an answer's counts against its rows, and the age of what it read, the time under way
@@ -37,6 +37,7 @@
 // The age that an owner is told, which takes the usual way and the caller's transit off it: the
 // stated one, less the way of an earlier attempt that proved too long. Nothing when that alone
 // takes all of it, so that only the newest data can do.
-std::optional<Duration> ageForOwner(const std::optional<Duration> &statedAge, Duration longWay);
+std::optional<Duration> ageLimitForOwner(const std::optional<Duration> &statedAge,
+                                         Duration excessTransit);
 
 } // namespace kelptally::entry
--- a/src/entry/callerapi.cpp
+++ b/src/entry/callerapi.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // Deadline of the steps of a transaction, which name no kind.
-constexpr Duration stepDeadline = std::chrono::seconds(5);
+constexpr Duration transactionStepDeadline = std::chrono::seconds(5);
 
 inner::StatementStep stepOf(CallerOperation operation)
 {
@@ -101,9 +101,10 @@
 
     // 2. What it is about, and whether the team may do that.
     admitted.execute.step = stepOf(request.operation);
-    const bool begins = request.operation == CallerOperation::Statement
+    const bool namesTarget = request.operation == CallerOperation::Statement
         || request.operation == CallerOperation::Begin;
-    Problem problem = begins ? admitTarget(request, admitted) : admitTransaction(request, admitted);
+    Problem problem =
+        namesTarget ? admitTarget(request, admitted) : admitTransaction(request, admitted);
     if (!isRefusal(problem))
         problem = admitGroup(admitted);
 
@@ -159,7 +160,7 @@
     admitted.execute.group = id->group;
     admitted.execute.transaction = request.transaction;
     admitted.transactionOwner = id->owner;
-    admitted.deadline = request.deadline.value_or(stepDeadline);
+    admitted.deadline = request.deadline.value_or(transactionStepDeadline);
     return accepted;
 }
 
@@ -196,9 +197,9 @@
 Problem CallerApi::admitKey(caller::CallerRequest &request, AdmittedRequest &admitted) const
 {
     inner::Execute &execute = admitted.execute;
-    const bool keyed = execute.step == inner::StatementStep::Commit
+    const bool usesKey = execute.step == inner::StatementStep::Commit
         || (execute.step == inner::StatementStep::Single && !execute.readOnly);
-    if (!keyed || request.idempotencyKey.empty())
+    if (!usesKey || request.idempotencyKey.empty())
         return accepted;
     execute.key = std::move(request.idempotencyKey);
     execute.keyDigest = keyDigest(execute);
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -9,21 +9,21 @@
 
 // The owner is told this much less than is left, so that its answer is back in time. Chosen, not
 // measured: one round trip between availability zones.
-constexpr Duration ownerMargin = std::chrono::milliseconds(3);
+constexpr Duration ownerDeadlineMargin = std::chrono::milliseconds(3);
 // Redirections that are followed at once; more are a circle and wait like other retries.
-constexpr int maxHops = 3;
+constexpr int maxRedirects = 3;
 // How long the outcome of an abandoned Begin is waited for.
-constexpr Duration abandonedTime = std::chrono::seconds(30);
+constexpr Duration abandonedBeginTimeout = std::chrono::seconds(30);
 // Share of successes that retries may take before there is a configuration.
 constexpr int defaultRetryPercent = 10;
 
-bool isStep(const inner::Execute &execute)
+bool isTransactionStep(const inner::Execute &execute)
 {
     return !execute.transaction.empty();
 }
 
 // What the owner said of the group, not of the request.
-bool isAboutOwner(Reason reason)
+bool isOwnershipFailure(Reason reason)
 {
     return reason == Reason::NotOwner || reason == Reason::NoOwner || reason == Reason::LeaseLost;
 }
@@ -35,7 +35,7 @@
                                        [this](const PendingPtr &request) { onDeadline(request); }),
       policy_(std::make_unique<decision::RetryPolicy>(defaultRetryPercent, parts_.seed)),
       retryPercent_(defaultRetryPercent),
-      emptySession_(decision::SessionToken().seal(parts_.tokenKey))
+      emptySessionToken_(decision::SessionToken().seal(parts_.tokenKey))
 { }
 
 void Dispatcher::configure(const settings::Limits &limits)
@@ -73,17 +73,17 @@
         if (!known) {
             const std::weak_ptr<PendingRequest> waiting = request;
             return parts_.directory.resolve(execute.group, [this, waiting](const auto &found) {
-                const PendingPtr still = waiting.lock();
-                if (!still || !still->reply)
+                const PendingPtr pending = waiting.lock();
+                if (!pending || !pending->reply)
                     return;
                 if (found)
-                    return attempt(still);
-                onFailure(still, {Reason::NoOwner, Executed::No, {}, Duration(0)});
+                    return attempt(pending);
+                onFailure(pending, {Reason::NoOwner, Executed::No, {}, Duration(0)});
             });
         }
         owner = *known;
     }
-    const auto link = parts_.links.find(owner);
+    const auto link = parts_.links.findOrDial(owner);
     if (link)
         return send(request, owner, *link);
     parts_.directory.suspect(execute.group, owner);
@@ -95,13 +95,13 @@
 {
     inner::Execute &execute = request->admitted.execute;
     const Instant now = parts_.timers.now();
-    const Duration left = request->deadline - now - ownerMargin;
+    const Duration left = request->deadline - now - ownerDeadlineMargin;
     if (left <= Duration(0))
         return refuse(request, {Reason::DeadlineExceeded, Executed::No, {}, Duration(0)});
-    table_.renumber(*request);
+    table_.assignRequestId(*request);
     execute.deadlineIn = left;
     execute.attempt = request->attempt;
-    execute.statedAge = ageForOwner(request->admitted.statedAge, request->longWay);
+    execute.statedAge = ageLimitForOwner(request->admitted.statedAge, request->excessTransit);
     const absl::Status sent = parts_.links.send(link, execute);
     if (sent.ok()) {
         request->state = RequestState::InFlight;
@@ -125,22 +125,22 @@
     request->state = RequestState::Waiting;
     request->mayHaveRun = request->mayHaveRun || failure.executed != Executed::No;
     request->lastReason = failure.reason;
-    decision::FailedAttempt made;
-    made.reason = failure.reason;
-    made.repeatable = request->admitted.repeatable;
-    made.hasKey = !request->admitted.execute.key.empty()
+    decision::FailedAttempt failed;
+    failed.reason = failure.reason;
+    failed.repeatable = request->admitted.repeatable;
+    failed.hasKey = !request->admitted.execute.key.empty()
         && request->admitted.execute.step == inner::StatementStep::Single;
     // A request that may be repeated anyway looks for an owner like one that never ran.
-    const bool harmless = !request->mayHaveRun || made.repeatable || made.hasKey;
-    made.notExecuted = failure.executed == Executed::No && harmless;
-    made.number = request->attempt;
-    made.deadlineLeft = request->deadline - parts_.timers.now() - ownerMargin;
-    const std::optional<Duration> pause = policy_->retryAfter(made);
-    const bool inTime = failure.retryAfter < made.deadlineLeft;
-    if (!pause || !inTime)
+    const bool safeToRepeat = !request->mayHaveRun || failed.repeatable || failed.hasKey;
+    failed.notExecuted = failure.executed == Executed::No && safeToRepeat;
+    failed.number = request->attempt;
+    failed.deadlineLeft = request->deadline - parts_.timers.now() - ownerDeadlineMargin;
+    const std::optional<Duration> retryDelay = policy_->retryAfter(failed);
+    const bool inTime = failure.retryAfter < failed.deadlineLeft;
+    if (!retryDelay || !inTime)
         return refuse(request, std::move(failure));
     parts_.metrics.countRetry(failure.reason);
-    retryAfter(request, std::max(*pause, failure.retryAfter));
+    retryAfter(request, std::max(*retryDelay, failure.retryAfter));
 }
 
 void Dispatcher::retryAfter(const PendingPtr &request, Duration delay)
@@ -148,18 +148,18 @@
     ++request->attempt;
     const std::weak_ptr<PendingRequest> waiting = request;
     request->retryTimer = parts_.timers.subscribeAfter(delay, [this, waiting] {
-        const PendingPtr still = waiting.lock();
-        if (still && still->reply)
-            attempt(still);
+        const PendingPtr pending = waiting.lock();
+        if (pending && pending->reply)
+            attempt(pending);
     });
 }
 
 void Dispatcher::onResult(inner::LinkId link, inner::ExecuteResult result)
 {
     const PendingPtr request = table_.find(result.requestId);
-    const bool awaited =
+    const bool expected =
         request && request->link == link && request->state != RequestState::Waiting;
-    if (!awaited)
+    if (!expected)
         return parts_.metrics.countLateAnswer();
     if (request->state == RequestState::Abandoned) {
         parts_.metrics.countLateAnswer();
@@ -179,20 +179,20 @@
                       {Reason::Internal, executed, "the owner's answer is not whole", Duration(0)});
     }
     if (verdict.reason == Reason::ReplicaTooStale) {
-        parts_.metrics.countStaleOnTheWay();
-        request->longWay = verdict.way;
+        parts_.metrics.countStaleAnswer();
+        request->excessTransit = verdict.transit;
         return onFailure(
             request, {verdict.reason, Executed::Yes, "too old by the way it took", Duration(0)});
     }
     if (result.reason != Reason::None)
         return onOwnerRefused(request, result);
-    onDone(request, std::move(result), verdict);
+    onCompleted(request, std::move(result), verdict);
 }
 
 void Dispatcher::onOwnerRefused(const PendingPtr &request, const inner::ExecuteResult &result)
 {
-    const bool single = !isStep(request->admitted.execute);
-    if (single && isAboutOwner(result.reason)) {
+    const bool single = !isTransactionStep(request->admitted.execute);
+    if (single && isOwnershipFailure(result.reason)) {
         parts_.directory.suspect(request->admitted.execute.group, request->owner);
         if (followHint(request, result))
             return;
@@ -204,7 +204,7 @@
 bool Dispatcher::followHint(const PendingPtr &request, const inner::ExecuteResult &result)
 {
     const bool usable = result.executed == Executed::No && !result.ownerHint.empty()
-        && result.ownerHint != request->owner && request->attempt < maxHops;
+        && result.ownerHint != request->owner && request->attempt < maxRedirects;
     if (!usable)
         return false;
     parts_.metrics.countRetry(result.reason);
@@ -216,22 +216,23 @@
 
 // The token for the next request; the same one again when the session has seen nothing new, or when
 // a read would make it too large.
-std::string Dispatcher::sessionAfter(AdmittedRequest &admitted,
-                                     const std::optional<Position> &seen) const
+std::string Dispatcher::nextSessionToken(AdmittedRequest &admitted,
+                                         const std::optional<Position> &seen) const
 {
     const GroupName &group = admitted.execute.group;
-    const Position *before = admitted.session.find(group);
-    const bool news = seen && (before ? *before < *seen : admitted.session.hasRoomFor(group));
-    if (!news && admitted.sessionText.empty())
-        return emptySession_;
-    if (!news)
+    const Position *previous = admitted.session.find(group);
+    const bool advances =
+        seen && (previous ? *previous < *seen : admitted.session.hasRoomFor(group));
+    if (!advances && admitted.sessionText.empty())
+        return emptySessionToken_;
+    if (!advances)
         return std::move(admitted.sessionText);
     admitted.session.advance(group, *seen);
     return admitted.session.seal(parts_.tokenKey);
 }
 
-void Dispatcher::onDone(const PendingPtr &request, inner::ExecuteResult result,
-                        const AnswerVerdict &verdict)
+void Dispatcher::onCompleted(const PendingPtr &request, inner::ExecuteResult result,
+                             const AnswerVerdict &verdict)
 {
     policy_->onSuccess();
     AdmittedRequest &admitted = request->admitted;
@@ -242,7 +243,7 @@
     answer.replayed = result.replayed;
     if (admitted.execute.step == inner::StatementStep::Begin)
         answer.transaction = std::move(result.transaction);
-    answer.sessionToken = sessionAfter(admitted, result.position);
+    answer.sessionToken = nextSessionToken(admitted, result.position);
     parts_.metrics.countAnswered(parts_.timers.now() - request->arrived);
     request->reply->send(caller::answerResponse(answer));
     request->reply = nullptr;
@@ -281,7 +282,7 @@
 
 void Dispatcher::onCallerGone(caller::ConnectionId connection)
 {
-    const PendingPtr request = table_.ofConnection(connection);
+    const PendingPtr request = table_.findByConnection(connection);
     if (!request)
         return;
     parts_.metrics.countCallerGone();
@@ -302,16 +303,16 @@
 // The answer of a Begin that nobody waits for may still name a transaction, which is then ended.
 void Dispatcher::release(const PendingPtr &request)
 {
-    const bool begins = request->admitted.execute.step == inner::StatementStep::Begin;
-    if (begins && request->state == RequestState::InFlight)
-        table_.abandon(request, parts_.timers.now() + abandonedTime);
+    const bool isBegin = request->admitted.execute.step == inner::StatementStep::Begin;
+    if (isBegin && request->state == RequestState::InFlight)
+        table_.abandon(request, parts_.timers.now() + abandonedBeginTimeout);
     else
         table_.remove(request);
 }
 
 void Dispatcher::onLinkDown(inner::LinkId link)
 {
-    for (const PendingPtr &request : table_.onLink(link)) {
+    for (const PendingPtr &request : table_.findByLink(link)) {
         if (request->state == RequestState::Abandoned) {
             table_.remove(request);
             continue;
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -58,9 +58,10 @@
     void retryAfter(const PendingPtr &request, Duration delay);
     bool followHint(const PendingPtr &request, const inner::ExecuteResult &result);
     void onOwnerRefused(const PendingPtr &request, const inner::ExecuteResult &result);
-    void onDone(const PendingPtr &request, inner::ExecuteResult result,
-                const AnswerVerdict &verdict);
-    std::string sessionAfter(AdmittedRequest &admitted, const std::optional<Position> &seen) const;
+    void onCompleted(const PendingPtr &request, inner::ExecuteResult result,
+                     const AnswerVerdict &verdict);
+    std::string nextSessionToken(AdmittedRequest &admitted,
+                                 const std::optional<Position> &seen) const;
     void onDeadline(const PendingPtr &request);
     void refuse(const PendingPtr &request, Failure failure);
     // Ends what the owner may still do for a request that nobody waits for.
@@ -72,7 +73,7 @@
     std::unique_ptr<decision::RetryPolicy> policy_;
     int retryPercent_ = 0;
     // Token of a session that has seen nothing.
-    const std::string emptySession_;
+    const std::string emptySessionToken_;
     Duration callerTransit_ {0};
 };
 
--- a/src/entry/entrymetrics.cpp
+++ b/src/entry/entrymetrics.cpp
@@ -11,7 +11,7 @@
 const std::vector<double> latencyBounds = {0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05,
                                            0.1,    0.2,   0.5,   1,     2,    5};
 
-prometheus::Counter &dropped(Metrics &metrics, const char *cause)
+prometheus::Counter &droppedAnswers(Metrics &metrics, const char *cause)
 {
     return metrics.counter("kelptally_entry_answers_dropped_total",
                            "Answers of owners that went to no caller", {{"cause", cause}});
@@ -26,8 +26,9 @@
                                   latencyBounds)),
       callerGone_(metrics.counter("kelptally_entry_callers_gone_total",
                                   "Requests whose caller went away before the answer")),
-      lateAnswers_(dropped(metrics, "late")), damagedAnswers_(dropped(metrics, "damaged")),
-      staleOnTheWay_(dropped(metrics, "stale")),
+      lateAnswers_(droppedAnswers(metrics, "late")),
+      damagedAnswers_(droppedAnswers(metrics, "damaged")),
+      staleAnswers_(droppedAnswers(metrics, "stale")),
       inFlight_(metrics.gauge("kelptally_entry_requests_in_progress", "Requests in progress")),
       connections_(metrics.gauge("kelptally_entry_caller_connections", "Callers' connections")),
       ownerLinks_(metrics.gauge("kelptally_entry_peer_links", "Links to other processes"))
@@ -63,9 +64,9 @@
     damagedAnswers_.Increment();
 }
 
-void EntryMetrics::countStaleOnTheWay()
+void EntryMetrics::countStaleAnswer()
 {
-    staleOnTheWay_.Increment();
+    staleAnswers_.Increment();
 }
 
 void EntryMetrics::setInFlight(std::size_t count)
--- a/src/entry/entrymetrics.h
+++ b/src/entry/entrymetrics.h
@@ -18,7 +18,7 @@
     // Answers of owners that went to no caller.
     void countLateAnswer();
     void countDamagedAnswer();
-    void countStaleOnTheWay();
+    void countStaleAnswer();
     void setInFlight(std::size_t count);
     void setConnections(int count);
     void setOwnerLinks(std::size_t count);
@@ -29,7 +29,7 @@
     prometheus::Counter &callerGone_;
     prometheus::Counter &lateAnswers_;
     prometheus::Counter &damagedAnswers_;
-    prometheus::Counter &staleOnTheWay_;
+    prometheus::Counter &staleAnswers_;
     prometheus::Gauge &inFlight_;
     prometheus::Gauge &connections_;
     prometheus::Gauge &ownerLinks_;
--- a/src/entry/entryprocess.cpp
+++ b/src/entry/entryprocess.cpp
@@ -14,14 +14,14 @@
 
 namespace {
 
-Incarnation drawIncarnation()
+Incarnation makeIncarnation()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<Incarnation>(
         std::chrono::duration_cast<std::chrono::microseconds>(sinceEpoch).count());
 }
 
-caller::HttpLimits limitsOf(const settings::ProcessSettings &settings)
+caller::HttpLimits httpLimits(const settings::ProcessSettings &settings)
 {
     caller::HttpLimits limits;
     limits.maxConnections = settings.maxCallerConnections;
@@ -33,10 +33,10 @@
 } // namespace
 
 // Rows of the table service.
-class EntryProcess::TableRows : public OwnerRows
+class EntryProcess::TableServiceRowReader : public OwnershipRowReader
 {
 public:
-    explicit TableRows(services::TableService &table) : table_(table) { }
+    explicit TableServiceRowReader(services::TableService &table) : table_(table) { }
 
     void read(const GroupName &group, Callback callback) override
     {
@@ -57,9 +57,9 @@
 };
 
 EntryProcess::EntryProcess(const settings::ProcessSettings &settings, Metrics &metrics)
-    : settings_(settings), self_ {settings.peerAddress(), drawIncarnation()}, allMetrics_(metrics),
+    : settings_(settings), self_ {settings.peerAddress(), makeIncarnation()}, allMetrics_(metrics),
       metrics_(metrics), inbox_(requests_, *this, metrics_),
-      server_(callers_, inbox_, limitsOf(settings),
+      server_(callers_, inbox_, httpLimits(settings),
               [this](Reason reason) { metrics_.countRefused(reason); }),
       api_(settings.tokenKey)
 { }
@@ -87,7 +87,7 @@
     links_ = *std::move(links);
     peers.setLinks(links_.get());
     table_ = services::makeTableService(requests_, settings_.tableService, settings_.storeTimeout);
-    rows_ = std::make_unique<TableRows>(*table_);
+    rows_ = std::make_unique<TableServiceRowReader>(*table_);
     ownerLinks_ = std::make_unique<OwnerLinks>(*links_);
     directory_ = std::make_unique<OwnerDirectory>(requests_.timers(), *rows_, *ownerLinks_);
     dispatcher_ = std::make_unique<Dispatcher>(
@@ -164,7 +164,7 @@
 {
     metrics_.setConnections(server_.connections());
     metrics_.setInFlight(inProgress_);
-    metrics_.setOwnerLinks(linksUp_);
+    metrics_.setOwnerLinks(connectedLinks_);
 }
 
 void EntryProcess::onArrival(Arrival arrival)
@@ -189,7 +189,7 @@
 void EntryProcess::onPeerUp(inner::LinkId link, const std::string &address)
 {
     ownerLinks_->onUp(link, address);
-    linksUp_ = ownerLinks_->up();
+    connectedLinks_ = ownerLinks_->connectedCount();
 }
 
 void EntryProcess::onPeerMessage(inner::LinkId link, inner::Message message)
@@ -210,7 +210,7 @@
 {
     ownerLinks_->onDown(link);
     dispatcher_->onLinkDown(link);
-    linksUp_ = ownerLinks_->up();
+    connectedLinks_ = ownerLinks_->connectedCount();
 }
 
 } // namespace kelptally::entry
--- a/src/entry/entryprocess.h
+++ b/src/entry/entryprocess.h
@@ -43,7 +43,7 @@
     int callerPort() const { return server_.port(); }
 
 private:
-    class TableRows;
+    class TableServiceRowReader;
 
     void configure(const settings::ConfigurationPtr &configuration);
 
@@ -60,13 +60,13 @@
     std::unique_ptr<inner::PeerLinks> links_;
     // Used and destroyed on the requests thread, or while it does not run.
     std::unique_ptr<services::TableService> table_;
-    std::unique_ptr<OwnerRows> rows_;
+    std::unique_ptr<OwnershipRowReader> rows_;
     std::unique_ptr<OwnerLinks> ownerLinks_;
     std::unique_ptr<OwnerDirectory> directory_;
     std::unique_ptr<Dispatcher> dispatcher_;
     std::atomic<ConfigVersion> configVersion_ {0};
     std::atomic<std::size_t> inProgress_ {0};
-    std::atomic<std::size_t> linksUp_ {0};
+    std::atomic<std::size_t> connectedLinks_ {0};
     std::atomic<bool> serving_ {false};
     std::atomic<bool> draining_ {false};
     std::atomic<bool> drained_ {false};
--- a/src/entry/ownerdirectory.cpp
+++ b/src/entry/ownerdirectory.cpp
@@ -15,38 +15,38 @@
 
 } // namespace
 
-OwnerDirectory::OwnerDirectory(TimerService &timers, OwnerRows &rows, OwnerLinks &links)
+OwnerDirectory::OwnerDirectory(TimerService &timers, OwnershipRowReader &rows, OwnerLinks &links)
     : timers_(timers), rows_(rows), links_(links)
 { }
 
 std::optional<std::string> OwnerDirectory::owner(const GroupName &group) const
 {
-    const auto found = known_.find(group);
-    if (found == known_.end() || found->second.suspected || found->second.owner.empty())
+    const auto found = cache_.find(group);
+    if (found == cache_.end() || found->second.suspected || found->second.owner.empty())
         return std::nullopt;
     return found->second.owner;
 }
 
 void OwnerDirectory::resolve(const GroupName &group, Callback callback)
 {
-    if (const auto known = owner(group))
-        return callback(known);
+    if (const auto cached = owner(group))
+        return callback(cached);
     Lookup &lookup = lookups_[group];
     lookup.callbacks.push_back(std::move(callback));
     if (lookup.callbacks.size() > 1)
         return;
-    lookup.timeout =
+    lookup.timeoutTimer =
         timers_.subscribeAfter(lookupTimeout, [this, group] { finish(group, std::nullopt); });
-    lookup.again = timers_.subscribeEvery(locateInterval, [this, group] { lookUp(group); });
+    lookup.retryTimer = timers_.subscribeEvery(locateInterval, [this, group] { lookUp(group); });
     lookUp(group);
 }
 
 void OwnerDirectory::lookUp(const GroupName &group)
 {
     const Instant now = timers_.now();
-    if (isDue(lookups_[group].askedAt, locateInterval, now))
-        ask(group);
-    if (isDue(lookups_[group].rowReadAt, rowInterval, now))
+    if (isDue(lookups_[group].locateSentAt, locateInterval, now))
+        sendLocate(group);
+    if (isDue(lookups_[group].rowReadAt, rowReadInterval, now))
         readRow(group);
 }
 
@@ -62,39 +62,39 @@
         if (!*read)
             return;
         const decision::OwnershipRow &row = **read;
-        Known &known = known_[group];
-        if (row.epoch >= known.epoch) {
-            known.successors.clear();
+        CachedOwner &cached = cache_[group];
+        if (row.epoch >= cached.epoch) {
+            cached.successors.clear();
             for (const ProcessId &successor : row.successors)
-                known.successors.push_back(successor.address);
+                cached.successors.push_back(successor.address);
         }
-        learn(group, row.owner.address, row.epoch);
+        updateOwner(group, row.owner.address, row.epoch);
     });
 }
 
 // The owner itself and its successors know best; of an unknown group anyone may.
-std::vector<std::string> OwnerDirectory::whomToAsk(const GroupName &group)
+std::vector<std::string> OwnerDirectory::locateTargets(const GroupName &group)
 {
-    std::vector<std::string> asked;
-    const auto found = known_.find(group);
-    if (found != known_.end()) {
-        asked = found->second.successors;
-        asked.push_back(found->second.owner);
+    std::vector<std::string> targets;
+    const auto found = cache_.find(group);
+    if (found != cache_.end()) {
+        targets = found->second.successors;
+        targets.push_back(found->second.owner);
     }
     const std::vector<std::string> &all = links_.addresses();
-    for (std::size_t i = 0; asked.size() < askedWhenUnknown && i < all.size(); ++i) {
-        const std::string &next = all[nextAsked_++ % all.size()];
-        if (std::find(asked.begin(), asked.end(), next) == asked.end())
-            asked.push_back(next);
+    for (std::size_t i = 0; targets.size() < minLocateTargets && i < all.size(); ++i) {
+        const std::string &next = all[nextTarget_++ % all.size()];
+        if (std::find(targets.begin(), targets.end(), next) == targets.end())
+            targets.push_back(next);
     }
-    return asked;
+    return targets;
 }
 
-void OwnerDirectory::ask(const GroupName &group)
+void OwnerDirectory::sendLocate(const GroupName &group)
 {
-    lookups_[group].askedAt = timers_.now();
-    for (const std::string &address : whomToAsk(group)) {
-        const auto link = links_.find(address);
+    lookups_[group].locateSentAt = timers_.now();
+    for (const std::string &address : locateTargets(group)) {
+        const auto link = links_.findOrDial(address);
         if (link)
             links_.send(*link, inner::Locate {++lastLocate_, group}).IgnoreError();
     }
@@ -102,38 +102,38 @@
 
 void OwnerDirectory::onLocateAnswer(const inner::LocateAnswer &answer)
 {
-    learn(answer.group, answer.owner, answer.epoch);
+    updateOwner(answer.group, answer.owner, answer.epoch);
 }
 
 void OwnerDirectory::onHint(const GroupName &group, const std::string &owner)
 {
-    learn(group, owner, known_[group].epoch);
+    updateOwner(group, owner, cache_[group].epoch);
 }
 
 // Older epochs are forgotten; an owner that is suspected counts again only when a newer answer
 // than the suspicion names it, which may be right: links break without their processes.
-void OwnerDirectory::learn(const GroupName &group, const std::string &owner, OwnerEpoch epoch)
+void OwnerDirectory::updateOwner(const GroupName &group, const std::string &owner, OwnerEpoch epoch)
 {
-    Known &known = known_[group];
-    if (owner.empty() || epoch < known.epoch || !links_.isOwnerProcess(owner))
+    CachedOwner &cached = cache_[group];
+    if (owner.empty() || epoch < cached.epoch || !links_.isOwnerProcess(owner))
         return;
-    known.owner = owner;
-    known.epoch = epoch;
-    known.suspected = false;
+    cached.owner = owner;
+    cached.epoch = epoch;
+    cached.suspected = false;
     finish(group, owner);
 }
 
 void OwnerDirectory::suspect(const GroupName &group, const std::string &address)
 {
-    const auto found = known_.find(group);
-    if (found != known_.end() && found->second.owner == address)
+    const auto found = cache_.find(group);
+    if (found != cache_.end() && found->second.owner == address)
         found->second.suspected = true;
 }
 
 void OwnerDirectory::suspectAll(const std::string &address)
 {
-    for (auto &[group, known] : known_)
-        known.suspected = known.suspected || known.owner == address;
+    for (auto &[group, cached] : cache_)
+        cached.suspected = cached.suspected || cached.owner == address;
 }
 
 void OwnerDirectory::finish(const GroupName &group, const std::optional<std::string> &owner)
@@ -141,8 +141,8 @@
     const auto found = lookups_.find(group);
     if (found == lookups_.end() || found->second.callbacks.empty())
         return;
-    timers_.cancel(found->second.timeout);
-    timers_.cancel(found->second.again);
+    timers_.cancel(found->second.timeoutTimer);
+    timers_.cancel(found->second.retryTimer);
     std::vector<Callback> callbacks;
     callbacks.swap(found->second.callbacks);
     for (const Callback &callback : callbacks)
--- a/src/entry/ownerdirectory.h
+++ b/src/entry/ownerdirectory.h
@@ -15,12 +15,12 @@
 namespace kelptally::entry {
 
 // Reads a group's ownership row from the platform.
-class OwnerRows
+class OwnershipRowReader
 {
 public:
     using Callback = std::function<void(absl::StatusOr<std::optional<decision::OwnershipRow>>)>;
 
-    virtual ~OwnerRows() = default;
+    virtual ~OwnershipRowReader() = default;
 
     // Calls back exactly once, on the requests thread.
     virtual void read(const GroupName &group, Callback callback) = 0;
@@ -28,21 +28,21 @@
 
 // Which process owns a group, learnt when it is asked for: from the row in the table service, from
 // processes that know it (the successors first, which then need no store), and from hints of
-// processes that are asked by mistake. Rows are read at most every rowInterval for each group, so
-// that the loss of an owner does not fall on the store.
+// processes that are asked by mistake. Rows are read at most every rowReadInterval for each group,
+// so that the loss of an owner does not fall on the store.
 class OwnerDirectory
 {
 public:
     using Callback = std::function<void(const std::optional<std::string> &owner)>;
 
     // Chosen, not measured.
-    static constexpr Duration rowInterval = std::chrono::milliseconds(500);
+    static constexpr Duration rowReadInterval = std::chrono::milliseconds(500);
     static constexpr Duration locateInterval = std::chrono::milliseconds(100);
     static constexpr Duration lookupTimeout = std::chrono::milliseconds(600);
     // Processes asked when nothing is known of a group.
-    static constexpr std::size_t askedWhenUnknown = 3;
+    static constexpr std::size_t minLocateTargets = 3;
 
-    OwnerDirectory(TimerService &timers, OwnerRows &rows, OwnerLinks &links);
+    OwnerDirectory(TimerService &timers, OwnershipRowReader &rows, OwnerLinks &links);
 
     // The owner as far as known and not suspected.
     std::optional<std::string> owner(const GroupName &group) const;
@@ -58,7 +58,7 @@
     void suspectAll(const std::string &address);
 
 private:
-    struct Known
+    struct CachedOwner
     {
         std::string owner;
         OwnerEpoch epoch = 0;
@@ -68,26 +68,26 @@
     struct Lookup
     {
         std::vector<Callback> callbacks;
-        TimerId timeout = 0;
-        TimerId again = 0;
+        TimerId timeoutTimer = 0;
+        TimerId retryTimer = 0;
         std::optional<Instant> rowReadAt;
-        std::optional<Instant> askedAt;
+        std::optional<Instant> locateSentAt;
     };
 
     void lookUp(const GroupName &group);
     void readRow(const GroupName &group);
-    void ask(const GroupName &group);
-    std::vector<std::string> whomToAsk(const GroupName &group);
-    void learn(const GroupName &group, const std::string &owner, OwnerEpoch epoch);
+    void sendLocate(const GroupName &group);
+    std::vector<std::string> locateTargets(const GroupName &group);
+    void updateOwner(const GroupName &group, const std::string &owner, OwnerEpoch epoch);
     void finish(const GroupName &group, const std::optional<std::string> &owner);
 
     TimerService &timers_;
-    OwnerRows &rows_;
+    OwnershipRowReader &rows_;
     OwnerLinks &links_;
-    std::unordered_map<GroupName, Known> known_;
+    std::unordered_map<GroupName, CachedOwner> cache_;
     std::unordered_map<GroupName, Lookup> lookups_;
     inner::RequestId lastLocate_ = 0;
-    std::size_t nextAsked_ = 0;
+    std::size_t nextTarget_ = 0;
 };
 
 } // namespace kelptally::entry
--- a/src/entry/ownerlinks.cpp
+++ b/src/entry/ownerlinks.cpp
@@ -7,18 +7,18 @@
 void OwnerLinks::setAddresses(const std::vector<std::string> &addresses)
 {
     addresses_ = addresses;
-    for (auto it = wanted_.begin(); it != wanted_.end();) {
+    for (auto it = dialled_.begin(); it != dialled_.end();) {
         if (isOwnerProcess(*it)) {
             ++it;
             continue;
         }
         links_.drop(*it);
-        it = wanted_.erase(it);
+        it = dialled_.erase(it);
     }
-    if (addresses_.size() > linkAllUpTo)
+    if (addresses_.size() > maxEagerLinks)
         return;
     for (const std::string &address : addresses_)
-        want(address);
+        dial(address);
 }
 
 bool OwnerLinks::isOwnerProcess(const std::string &address) const
@@ -26,37 +26,37 @@
     return std::find(addresses_.begin(), addresses_.end(), address) != addresses_.end();
 }
 
-void OwnerLinks::want(const std::string &address)
+void OwnerLinks::dial(const std::string &address)
 {
-    if (isOwnerProcess(address) && wanted_.insert(address).second)
+    if (isOwnerProcess(address) && dialled_.insert(address).second)
         links_.connect(address);
 }
 
 void OwnerLinks::onUp(inner::LinkId link, const std::string &address)
 {
-    up_[link] = address;
-    byAddress_[address].push_back(link);
+    addressByLink_[link] = address;
+    linksByAddress_[address].push_back(link);
 }
 
 void OwnerLinks::onDown(inner::LinkId link)
 {
-    const auto found = up_.find(link);
-    if (found == up_.end())
+    const auto found = addressByLink_.find(link);
+    if (found == addressByLink_.end())
         return;
-    const auto links = byAddress_.find(found->second);
+    const auto links = linksByAddress_.find(found->second);
     links->second.erase(std::remove(links->second.begin(), links->second.end(), link),
                         links->second.end());
     if (links->second.empty())
-        byAddress_.erase(links);
-    up_.erase(found);
+        linksByAddress_.erase(links);
+    addressByLink_.erase(found);
 }
 
-std::optional<inner::LinkId> OwnerLinks::find(const std::string &address)
+std::optional<inner::LinkId> OwnerLinks::findOrDial(const std::string &address)
 {
-    const auto found = byAddress_.find(address);
-    if (found != byAddress_.end())
+    const auto found = linksByAddress_.find(address);
+    if (found != linksByAddress_.end())
         return found->second.back();
-    want(address);
+    dial(address);
     return std::nullopt;
 }
 
--- a/src/entry/ownerlinks.h
+++ b/src/entry/ownerlinks.h
@@ -16,7 +16,7 @@
 {
 public:
     // With no more owner processes than this the entry holds a link to each ahead of need.
-    static constexpr std::size_t linkAllUpTo = 16;
+    static constexpr std::size_t maxEagerLinks = 16;
 
     explicit OwnerLinks(inner::PeerLinks &links) : links_(links) { }
 
@@ -29,19 +29,19 @@
     void onDown(inner::LinkId link);
 
     // A link that is up; otherwise one is dialled from now on.
-    std::optional<inner::LinkId> find(const std::string &address);
+    std::optional<inner::LinkId> findOrDial(const std::string &address);
     absl::Status send(inner::LinkId link, inner::Message message);
-    std::size_t up() const { return up_.size(); }
+    std::size_t connectedCount() const { return addressByLink_.size(); }
 
 private:
-    void want(const std::string &address);
+    void dial(const std::string &address);
 
     inner::PeerLinks &links_;
     std::vector<std::string> addresses_;
-    std::set<std::string> wanted_;
-    std::map<inner::LinkId, std::string> up_;
+    std::set<std::string> dialled_;
+    std::map<inner::LinkId, std::string> addressByLink_;
     // By address, also links that the other end dialled.
-    std::map<std::string, std::vector<inner::LinkId>> byAddress_;
+    std::map<std::string, std::vector<inner::LinkId>> linksByAddress_;
 };
 
 } // namespace kelptally::entry
--- a/src/entry/requestinbox.cpp
+++ b/src/entry/requestinbox.cpp
@@ -11,7 +11,7 @@
     : requests_(requests), events_(events), metrics_(metrics),
       arrivals_(requests, arrivalCapacity,
                 [this](Arrival &&arrival) { events_.onArrival(std::move(arrival)); }),
-      messages_(requests, messageCapacity, [this](Received &&received) {
+      messages_(requests, messageCapacity, [this](ReceivedMessage &&received) {
           events_.onPeerMessage(received.link, std::move(received.message));
       })
 { }
--- a/src/entry/requestinbox.h
+++ b/src/entry/requestinbox.h
@@ -55,7 +55,7 @@
                     const absl::Status &why) override;
 
 private:
-    struct Received
+    struct ReceivedMessage
     {
         inner::LinkId link = 0;
         inner::Message message;
@@ -68,7 +68,7 @@
     EntryMetrics &metrics_;
     admin::AdminPeers *adminPeers_ = nullptr;
     Inbox<Arrival> arrivals_;
-    Inbox<Received> messages_;
+    Inbox<ReceivedMessage> messages_;
 };
 
 } // namespace kelptally::entry
--- a/src/entry/requesttable.cpp
+++ b/src/entry/requesttable.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t attemptMask = (1u << attemptBits) - 1;
 
 // Deadlines of finished requests that may be kept besides as many as there are requests.
-constexpr std::size_t deadlineSlack = 4096;
+constexpr std::size_t maxStaleDeadlines = 4096;
 
 } // namespace
 
@@ -23,15 +23,15 @@
 {
     if (requests_.size() >= capacity_)
         return Reason::QueueFull;
-    std::size_t &ofTeam = byTeam_[request->admitted.execute.team];
+    std::size_t &teamRequests = byTeam_[request->admitted.execute.team];
     const auto share = static_cast<std::size_t>(request->admitted.teamSharePercent);
-    if (ofTeam >= std::max<std::size_t>(1, capacity_ * share / 100))
+    if (teamRequests >= std::max<std::size_t>(1, capacity_ * share / 100))
         return Reason::TeamLimit;
-    ++ofTeam;
+    ++teamRequests;
     request->number = ++lastNumber_;
     requests_.emplace(request->number, request);
     byConnection_[request->connection] = request->number;
-    watch(*request);
+    addDeadline(*request);
     return Reason::None;
 }
 
@@ -50,7 +50,7 @@
         release(*request);
     request->state = RequestState::Abandoned;
     request->deadline = until;
-    watch(*request);
+    addDeadline(*request);
 }
 
 void RequestTable::release(PendingRequest &request)
@@ -63,7 +63,7 @@
         byConnection_.erase(connection);
 }
 
-void RequestTable::renumber(PendingRequest &request)
+void RequestTable::assignRequestId(PendingRequest &request)
 {
     const auto attempt = static_cast<std::uint64_t>(request.attempt) & attemptMask;
     request.admitted.execute.requestId = request.number << attemptBits | attempt;
@@ -77,7 +77,7 @@
     return found->second;
 }
 
-PendingPtr RequestTable::ofConnection(caller::ConnectionId connection) const
+PendingPtr RequestTable::findByConnection(caller::ConnectionId connection) const
 {
     const auto found = byConnection_.find(connection);
     if (found == byConnection_.end())
@@ -85,7 +85,7 @@
     return requests_.at(found->second);
 }
 
-std::vector<PendingPtr> RequestTable::onLink(inner::LinkId link) const
+std::vector<PendingPtr> RequestTable::findByLink(inner::LinkId link) const
 {
     std::vector<PendingPtr> found;
     for (const auto &[number, request] : requests_)
@@ -94,16 +94,16 @@
     return found;
 }
 
-void RequestTable::watch(const PendingRequest &request)
+void RequestTable::addDeadline(const PendingRequest &request)
 {
-    if (deadlines_.size() >= deadlineSlack + 2 * requests_.size())
-        forgetFinished();
+    if (deadlines_.size() >= maxStaleDeadlines + 2 * requests_.size())
+        removeFinishedDeadlines();
     deadlines_.push({request.deadline, request.number});
-    arm();
+    startTimer();
 }
 
 // Callers may state deadlines of hours, so the finished are not left until theirs pass.
-void RequestTable::forgetFinished()
+void RequestTable::removeFinishedDeadlines()
 {
     deadlines_ = {};
     for (const auto &[number, request] : requests_)
@@ -111,18 +111,18 @@
 }
 
 // One subscription for the earliest deadline of all.
-void RequestTable::arm()
+void RequestTable::startTimer()
 {
-    if (deadlines_.empty() || deadlines_.top().at >= armedFor_)
+    if (deadlines_.empty() || deadlines_.top().at >= timerExpiry_)
         return;
     timers_.cancel(timer_);
-    armedFor_ = deadlines_.top().at;
-    timer_ = timers_.subscribeAt(armedFor_, [this] { expire(); });
+    timerExpiry_ = deadlines_.top().at;
+    timer_ = timers_.subscribeAt(timerExpiry_, [this] { expire(); });
 }
 
 void RequestTable::expire()
 {
-    armedFor_ = Instant::max();
+    timerExpiry_ = Instant::max();
     const Instant now = timers_.now();
     while (!deadlines_.empty() && deadlines_.top().at <= now) {
         const auto found = requests_.find(deadlines_.top().number);
@@ -135,7 +135,7 @@
     // What is finished needs no wake-up of its own.
     while (!deadlines_.empty() && requests_.count(deadlines_.top().number) == 0)
         deadlines_.pop();
-    arm();
+    startTimer();
 }
 
 } // namespace kelptally::entry
--- a/src/entry/requesttable.h
+++ b/src/entry/requesttable.h
@@ -39,7 +39,7 @@
     std::string owner;
     Instant sentAt;
     // Way of an attempt whose answer got too old on it.
-    Duration longWay {0};
+    Duration excessTransit {0};
     // An earlier attempt may have done the work.
     bool mayHaveRun = false;
     // Why the last attempt failed.
@@ -64,31 +64,31 @@
     void abandon(const PendingPtr &request, Instant until);
 
     // Gives the next attempt a request id of its own.
-    void renumber(PendingRequest &request);
+    void assignRequestId(PendingRequest &request);
     // The request whose newest attempt has this id; null when there is none (any more).
     PendingPtr find(inner::RequestId id) const;
-    PendingPtr ofConnection(caller::ConnectionId connection) const;
+    PendingPtr findByConnection(caller::ConnectionId connection) const;
     // The requests in flight or abandoned on a link.
-    std::vector<PendingPtr> onLink(inner::LinkId link) const;
+    std::vector<PendingPtr> findByLink(inner::LinkId link) const;
 
     std::size_t size() const { return requests_.size(); }
     // Deadlines kept, those of finished requests among them.
-    std::size_t watched() const { return deadlines_.size(); }
+    std::size_t deadlineCount() const { return deadlines_.size(); }
 
 private:
-    struct Due
+    struct Deadline
     {
         Instant at;
         std::uint64_t number;
-        bool operator>(const Due &other) const { return at > other.at; }
+        bool operator>(const Deadline &other) const { return at > other.at; }
     };
 
     // Calls out the request at its (new) deadline.
-    void watch(const PendingRequest &request);
+    void addDeadline(const PendingRequest &request);
     // It no longer counts as its caller's and team's.
     void release(PendingRequest &request);
-    void forgetFinished();
-    void arm();
+    void removeFinishedDeadlines();
+    void startTimer();
     void expire();
 
     TimerService &timers_;
@@ -99,9 +99,9 @@
     std::unordered_map<caller::ConnectionId, std::uint64_t> byConnection_;
     std::unordered_map<TeamName, std::size_t> byTeam_;
     // Those of finished requests leave it when they pass, or when there are too many.
-    std::priority_queue<Due, std::vector<Due>, std::greater<>> deadlines_;
+    std::priority_queue<Deadline, std::vector<Deadline>, std::greater<>> deadlines_;
     TimerId timer_ = 0;
-    Instant armedFor_ = Instant::max();
+    Instant timerExpiry_ = Instant::max();
 };
 
 } // namespace kelptally::entry
--- a/src/group/ownership.cpp
+++ b/src/group/ownership.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 OwnershipTable::OwnershipTable(const Parts &parts, OwnershipEvents &events)
-    : parts_(parts), visits_(parts.metrics.visits("owners")), events_(events),
+    : parts_(parts), visits_(parts.metrics.scannedEntries("owners")), events_(events),
       follower_({parts.timers, parts.feed, parts.log}, table, feedPollTimeout,
                 {[this](const services::TableRow &row) { applyRow(row); },
                  [this](const std::string &key) { unreadableRows_.insert(key); },
--- a/src/group/ownershiprecord.cpp
+++ b/src/group/ownershiprecord.cpp
@@ -79,7 +79,7 @@
 {
     if (!fields.has(name))
         return Duration(0);
-    return std::chrono::milliseconds(fields.whole(name, maxStoredMilliseconds));
+    return std::chrono::milliseconds(fields.unsignedInteger(name, maxStoredMilliseconds));
 }
 
 std::vector<decision::EarlierOwner> readEarlierOwners(FieldReader &fields)
@@ -90,9 +90,10 @@
         return owners;
     for (const JsonValue &each : list->items) {
         FieldReader owner(each);
-        owners.push_back({{owner.text("owner"), owner.whole("incarnation")}, owner.whole("epoch")});
+        owners.push_back({{owner.text("owner"), owner.unsignedInteger("incarnation")},
+                          owner.unsignedInteger("epoch")});
         if (owner.error())
-            fields.refuse("earlier", owner.error()->fault);
+            fields.setError("earlier", owner.error()->fault);
     }
     return owners;
 }
@@ -107,7 +108,7 @@
         FieldReader holder(each);
         holders.push_back({holder.text("server"), holder.text("endpoint")});
         if (holder.error())
-            fields.refuse("holders", holder.error()->fault);
+            fields.setError("holders", holder.error()->fault);
     }
     return holders;
 }
@@ -116,7 +117,8 @@
 {
     if (!fields.has("acknowledged_term"))
         return {};
-    return {fields.whole("acknowledged_term"), fields.whole("acknowledged_offset")};
+    return {fields.unsignedInteger("acknowledged_term"),
+            fields.unsignedInteger("acknowledged_offset")};
 }
 
 } // namespace
@@ -128,15 +130,15 @@
         return json.status();
     FieldReader fields(*json);
     OwnershipRecord record;
-    record.epoch = fields.whole("epoch");
+    record.epoch = fields.unsignedInteger("epoch");
     record.owner.address = fields.text("owner");
-    record.owner.incarnation = fields.whole("incarnation");
+    record.owner.incarnation = fields.unsignedInteger("incarnation");
     record.zone = fields.has("zone") ? fields.text("zone") : std::string();
     record.hasRoom = fields.has("has_room") && fields.flag("has_room");
     record.primary = fields.text("primary");
-    record.term = fields.whole("term");
-    record.termBegan = fields.has("term_began") ? fields.whole("term_began") : 0;
-    record.firstHeld = fields.has("first_held") ? fields.whole("first_held") : 0;
+    record.term = fields.unsignedInteger("term");
+    record.termBegan = fields.has("term_began") ? fields.unsignedInteger("term_began") : 0;
+    record.firstHeld = fields.has("first_held") ? fields.unsignedInteger("first_held") : 0;
     record.candidate = fields.text("candidate");
     record.otherCandidates = fields.has("other_candidates") && fields.flag("other_candidates");
     record.primaryServes = fields.has("primary_serves") && fields.flag("primary_serves");
--- a/src/group/serverlist.cpp
+++ b/src/group/serverlist.cpp
@@ -25,7 +25,8 @@
 
 ServerList::ServerList(TimerService &timers, EventLog &log, Metrics &metrics,
                        ChangedCallback changed)
-    : timers_(timers), log_(log), visits_(metrics.visits("servers")), changed_(std::move(changed))
+    : timers_(timers), log_(log), visits_(metrics.scannedEntries("servers")),
+      changed_(std::move(changed))
 { }
 
 bool ServerList::isOutdated(const Entry &entry, const ListedServer &server) const
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -41,7 +41,7 @@
       tableRelay_({ports.timers, store_, relayLinks_, ports.log, ports.metrics, self_.address,
                    settings.zone, group::OwnershipTable::table,
                    decision::hasRoom(settings.processors, 0), [this] { return draw(); }}),
-      renotifiedGroups_(ports.metrics.visits("retold_groups")),
+      renotifiedGroups_(ports.metrics.scannedEntries("retold_groups")),
       serverList_(ports.timers, ports.log, ports.metrics,
                   [this](const GroupName &group, const std::vector<group::ListedServer> &servers) {
                       onServers(group, servers);
@@ -305,7 +305,7 @@
     metrics.gauge("kelptally_log_lines_dropped", "Log lines dropped because nobody read them")
         .Set(double(ports_.log.dropped()));
     metrics.gauge("kelptally_log_lines_left_out", "Log lines left out by the limit of their event")
-        .Set(double(ports_.log.leftOut()));
+        .Set(double(ports_.log.suppressed()));
     for (prometheus::Gauge *gauge : groupGauges_)
         gauge->Set(0);
     groupGauges_.clear();
--- a/tests/entry/answercheck_test.cpp
+++ b/tests/entry/answercheck_test.cpp
@@ -41,7 +41,7 @@
     const AnswerVerdict verdict = checkAnswer(replicaRead(), true, Duration(117ms), times);
     CHECK(verdict.reason == Reason::None);
     CHECK(verdict.age == Duration(117ms));
-    CHECK(verdict.way == Duration(7ms));
+    CHECK(verdict.transit == Duration(7ms));
     CHECK(checkAnswer(replicaRead(), true, Duration(117ms) - 1ns, times).reason
           == Reason::ReplicaTooStale);
 
@@ -66,8 +66,8 @@
 
 TEST_CASE("The owner is told the stated age, less a way that proved too long")
 {
-    CHECK_FALSE(ageForOwner(std::nullopt, Duration(0)));
-    CHECK(ageForOwner(Duration(1s), Duration(0)) == Duration(1s));
-    CHECK(ageForOwner(Duration(1s), 30ms) == Duration(970ms));
-    CHECK_FALSE(ageForOwner(Duration(30ms), 30ms));
+    CHECK_FALSE(ageLimitForOwner(std::nullopt, Duration(0)));
+    CHECK(ageLimitForOwner(Duration(1s), Duration(0)) == Duration(1s));
+    CHECK(ageLimitForOwner(Duration(1s), 30ms) == Duration(970ms));
+    CHECK_FALSE(ageLimitForOwner(Duration(30ms), 30ms));
 }
--- a/tests/entry/dispatcher_test.cpp
+++ b/tests/entry/dispatcher_test.cpp
@@ -61,7 +61,7 @@
 
     ManualTimerService timers;
     FakePeerLinks peers;
-    FakeOwnerRows rows;
+    FakeOwnershipRowReader rows;
     Metrics metrics;
     EntryMetrics entryMetrics {metrics};
     OwnerLinks links {peers};
@@ -71,7 +71,7 @@
     inner::LinkId lastLink = 0;
 };
 
-inner::ExecuteResult doneFor(const inner::Execute &execute)
+inner::ExecuteResult successFor(const inner::Execute &execute)
 {
     inner::ExecuteResult result;
     result.requestId = execute.requestId;
@@ -114,7 +114,7 @@
     CHECK(execute.deadlineIn > Duration(1900ms));
     CHECK(execute.deadlineIn < Duration(2s));
     CHECK(f.dispatcher.inProgress() == 1);
-    inner::ExecuteResult result = doneFor(execute);
+    inner::ExecuteResult result = successFor(execute);
     result.position = Position {5, 77};
     f.dispatcher.onResult(linkA, result);
     REQUIRE(reply->responses.size() == 1);
@@ -141,7 +141,7 @@
     caller::CallerRequest request = statementOf("fresh");
     request.sessionToken = session.seal(tokenKey);
     const auto reply = f.start(request);
-    inner::ExecuteResult result = doneFor(f.nextExecute());
+    inner::ExecuteResult result = successFor(f.nextExecute());
     result.position = Position {5, 76};
     f.dispatcher.onResult(linkA, result);
     CHECK(reply->header("Kelptally-Session") == request.sessionToken);
@@ -151,29 +151,29 @@
 {
     Fixture f;
     const auto first = f.start(statementOf("edit"), 1);
-    const inner::Execute one = f.nextExecute();
+    const inner::Execute firstExecute = f.nextExecute();
     const auto second = f.start(statementOf("edit"), 2);
-    const inner::Execute two = f.nextExecute();
-    CHECK(one.requestId != two.requestId);
+    const inner::Execute secondExecute = f.nextExecute();
+    CHECK(firstExecute.requestId != secondExecute.requestId);
 
-    f.dispatcher.onResult(linkB, doneFor(one));
+    f.dispatcher.onResult(linkB, successFor(firstExecute));
     CHECK(first->responses.empty());
-    inner::ExecuteResult unknown = doneFor(one);
+    inner::ExecuteResult unknown = successFor(firstExecute);
     unknown.requestId += 1;
     f.dispatcher.onResult(linkA, unknown);
-    f.dispatcher.onResult(linkA, doneFor(two));
-    f.dispatcher.onResult(linkA, doneFor(two));
+    f.dispatcher.onResult(linkA, successFor(secondExecute));
+    f.dispatcher.onResult(linkA, successFor(secondExecute));
     CHECK(first->responses.empty());
     CHECK(second->responses.size() == 1);
 
     // The first attempt's answer comes after the second attempt was sent.
-    f.dispatcher.onResult(linkA, refusalFor(one, Reason::QueueFull, Executed::No));
-    const inner::Execute again = f.nextExecute();
-    CHECK(again.requestId != one.requestId);
-    CHECK(again.attempt == 1);
-    f.dispatcher.onResult(linkA, doneFor(one));
+    f.dispatcher.onResult(linkA, refusalFor(firstExecute, Reason::QueueFull, Executed::No));
+    const inner::Execute retriedExecute = f.nextExecute();
+    CHECK(retriedExecute.requestId != firstExecute.requestId);
+    CHECK(retriedExecute.attempt == 1);
+    f.dispatcher.onResult(linkA, successFor(firstExecute));
     CHECK(first->responses.empty());
-    f.dispatcher.onResult(linkA, doneFor(again));
+    f.dispatcher.onResult(linkA, successFor(retriedExecute));
     CHECK(first->responses.size() == 1);
     CHECK(f.metrics.toText().find("kelptally_entry_answers_dropped_total{cause=\"late\"} 4")
           != std::string::npos);
@@ -183,7 +183,7 @@
 {
     Fixture f;
     const auto reply = f.start(statementOf("edit"));
-    inner::ExecuteResult result = doneFor(f.nextExecute());
+    inner::ExecuteResult result = successFor(f.nextExecute());
     result.rowCount = 2;
     f.dispatcher.onResult(linkA, result);
     CHECK(reasonOf(*reply) == "internal");
@@ -202,7 +202,7 @@
         f.peers.refuseWith = absl::OkStatus();
         const inner::Execute execute = f.nextExecute();
         CHECK(execute.attempt > 0);
-        f.dispatcher.onResult(linkA, doneFor(execute));
+        f.dispatcher.onResult(linkA, successFor(execute));
         CHECK(reply->responses[0].status == 200);
     }
     SECTION("it does not")
@@ -230,7 +230,7 @@
         const inner::Execute second = f.nextExecute();
         CHECK(f.lastLink == linkB);
         CHECK(second.key == first.key);
-        inner::ExecuteResult result = doneFor(second);
+        inner::ExecuteResult result = successFor(second);
         result.replayed = true;
         f.dispatcher.onResult(linkB, result);
         CHECK(reply->body().find("replayed")->boolean);
@@ -274,7 +274,7 @@
         const auto cancel = f.peers.take<inner::Cancel>();
         CHECK(cancel.requestId == execute.requestId);
         CHECK(cancel.transaction == request.transaction);
-        f.dispatcher.onResult(linkB, doneFor(execute));
+        f.dispatcher.onResult(linkB, successFor(execute));
         CHECK(reply->responses.empty());
         CHECK(f.dispatcher.inProgress() == 0);
     }
@@ -287,7 +287,7 @@
     request.operation = caller::CallerOperation::Begin;
     const auto reply = f.start(request);
     const inner::Execute execute = f.nextExecute();
-    inner::ExecuteResult begun = doneFor(execute);
+    inner::ExecuteResult begun = successFor(execute);
     begun.transaction = "t-9";
     SECTION("in time")
     {
@@ -333,7 +333,7 @@
     CHECK(reasonOf(*reply) == "deadline_exceeded");
     CHECK(executedOf(*reply) == "unknown");
     CHECK(f.peers.take<inner::Cancel>().requestId == execute.requestId);
-    f.dispatcher.onResult(linkA, doneFor(execute));
+    f.dispatcher.onResult(linkA, successFor(execute));
     CHECK(reply->responses.size() == 1);
 }
 
@@ -364,7 +364,7 @@
     CHECK(f.peers.sent.empty());
     execute = f.nextExecute();
     CHECK(f.timers.now() > before);
-    f.dispatcher.onResult(f.lastLink, doneFor(execute));
+    f.dispatcher.onResult(f.lastLink, successFor(execute));
     CHECK(reply->responses[0].status == 200);
 }
 
@@ -375,7 +375,7 @@
     inner::Execute execute = f.nextExecute();
     REQUIRE(execute.statedAge);
     const Duration firstAge = *execute.statedAge;
-    inner::ExecuteResult result = doneFor(execute);
+    inner::ExecuteResult result = successFor(execute);
     result.fromReplica = true;
     result.age = firstAge;
     f.timers.advance(100ms);
@@ -443,7 +443,7 @@
         REQUIRE(table.add(finished) == Reason::None);
         table.remove(finished);
     }
-    CHECK(table.watched() < 10'000);
+    CHECK(table.deadlineCount() < 10'000);
     CHECK(table.size() == 1);
     timers.advance(1h);
     CHECK(expired == 1);
--- a/tests/entry/entryfixtures.h
+++ b/tests/entry/entryfixtures.h
@@ -57,7 +57,7 @@
     absl::Status refuseWith;
 };
 
-class FakeOwnerRows : public OwnerRows
+class FakeOwnershipRowReader : public OwnershipRowReader
 {
 public:
     void read(const GroupName &, Callback callback) override
--- a/tests/entry/ownerdirectory_test.cpp
+++ b/tests/entry/ownerdirectory_test.cpp
@@ -19,7 +19,7 @@
 
     ManualTimerService timers;
     FakePeerLinks peers;
-    FakeOwnerRows rows;
+    FakeOwnershipRowReader rows;
     OwnerLinks links {peers};
     OwnerDirectory directory {timers, rows, links};
     std::vector<std::optional<std::string>> found;
@@ -109,14 +109,14 @@
 {
     Fixture f;
     CHECK(f.peers.connected == std::vector<std::string> {ownerA, ownerB});
-    CHECK_FALSE(f.links.find("10.9.9.9:1"));
+    CHECK_FALSE(f.links.findOrDial("10.9.9.9:1"));
     CHECK(f.peers.connected.size() == 2);
     f.links.onUp(5, ownerA);
     f.links.onUp(6, ownerA);
     f.links.onDown(6);
-    CHECK(f.links.find(ownerA) == inner::LinkId(5));
+    CHECK(f.links.findOrDial(ownerA) == inner::LinkId(5));
     f.links.onDown(5);
-    CHECK_FALSE(f.links.find(ownerA));
+    CHECK_FALSE(f.links.findOrDial(ownerA));
     f.links.setAddresses({ownerB});
     CHECK(f.peers.dropped == std::vector<std::string> {ownerA});
 }
--- a/tests/host/fleetwork_test.cpp
+++ b/tests/host/fleetwork_test.cpp
@@ -246,20 +246,20 @@
                 list(i, index, 1);
     }
 
-    double visits()
+    double scannedEntries()
     {
         double sum = 0;
         for (const char *part : {"servers", "owners", "retold_groups"})
-            sum += metrics.visits(part).Value();
+            sum += metrics.scannedEntries(part).Value();
         return sum;
     }
     // Of what is done now and in the second after.
     double visitsOf(const std::function<void()> &what)
     {
-        const double before = visits();
+        const double before = scannedEntries();
         what();
         timers.advance(1s);
-        return visits() - before;
+        return scannedEntries() - before;
     }
 
     const int groups;
@@ -300,11 +300,11 @@
         for (const int groups : {10, 100, 1000}) {
             CAPTURE(owned, groups);
             LoneHost host(groups, owned);
-            const double visits = host.visitsOf([&] {
+            const double scannedEntries = host.visitsOf([&] {
                 host.configure(1);
                 host.listAll();
             });
-            CHECK(visits <= fewVisits * groups);
+            CHECK(scannedEntries <= fewVisits * groups);
         }
     }
 }
--- a/tests/host/world.cpp
+++ b/tests/host/world.cpp
@@ -28,7 +28,7 @@
         EventLogOptions options;
         options.level = wanted ? LogLevel::Debug : LogLevel::Error;
         options.linesPerSecond = 100'000;
-        options.queueLines = wanted ? 1 << 16 : 16;
+        options.queueCapacity = wanted ? 1 << 16 : 16;
         options.host = "host-" + std::to_string(host);
         log = std::make_unique<EventLog>(options);
     }
