--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -6,15 +6,15 @@
 
 using Duration = std::chrono::nanoseconds;
 
-// A steady clock that goes on while the machine or process is suspended (CLOCK_BOOTTIME), so that
-// a lease is seen to have lapsed after a pause of any kind.
+// Steady clock that also advances while the machine is suspended (CLOCK_BOOTTIME), so that a lease
+// expires during a suspension too.
 struct BootClock
 {
     using duration = Duration;
     using rep = duration::rep;
     using period = duration::period;
     using time_point = std::chrono::time_point<BootClock, duration>;
-    // NOLINTNEXTLINE(readability-identifier-naming): asked for by the standard's Clock.
+    // NOLINTNEXTLINE(readability-identifier-naming): required by the standard's Clock requirements.
     static constexpr bool is_steady = true;
 
     static time_point now() noexcept;
@@ -22,7 +22,7 @@
 
 using Instant = BootClock::time_point;
 
-// Milliseconds with a fraction, for logs, metrics and JSON.
+// Returns fractional milliseconds, for logs, metrics and JSON.
 inline double toMilliseconds(Duration duration)
 {
     return std::chrono::duration<double, std::milli>(duration).count();
--- a/src/core/digest.cpp
+++ b/src/core/digest.cpp
@@ -30,21 +30,21 @@
 using DigestPtr = std::unique_ptr<EVP_MD_CTX, Deleter<EVP_MD_CTX, EVP_MD_CTX_free>>;
 using MacPtr = std::unique_ptr<EVP_MAC_CTX, Deleter<EVP_MAC_CTX, EVP_MAC_CTX_free>>;
 
-// Looking an algorithm up by name takes longer than a short sum itself, so it is done once.
+// Fetched once: the lookup by name costs more than a short digest.
 const EVP_MD *sha256Algorithm()
 {
     static const EVP_MD *const algorithm = EVP_MD_fetch(nullptr, "SHA256", nullptr);
     return algorithm;
 }
 
-// An HMAC that is ready for the next text under its key.
+// An HMAC context initialised with a key, reused for the next input under the same key.
 struct KeyedMac
 {
     std::string key;
     MacPtr context;
 };
 
-// Only a lack of memory or a broken installation makes the library fail; no sum may be guessed.
+// Aborts when libcrypto fails (out of memory, broken installation): there is no valid digest then.
 void checkSuccess(int succeeded)
 {
     LOG_IF(FATAL, succeeded != 1) << "event=digest_failed cause=\"libcrypto\"";
@@ -58,7 +58,7 @@
 MacPtr makeMac(std::string_view key)
 {
     static EVP_MAC *const algorithm = EVP_MAC_fetch(nullptr, "HMAC", nullptr);
-    // The library takes no empty key; keys are padded with zeros, so one zero is the same.
+    // OpenSSL rejects an empty key. HMAC pads keys with zeros, so a single zero byte is equivalent.
     constexpr std::string_view emptyKey("\0", 1);
     const std::string_view usedKey = key.empty() ? emptyKey : key;
     MacPtr context(EVP_MAC_CTX_new(algorithm));
--- a/src/core/dutythread.cpp
+++ b/src/core/dutythread.cpp
@@ -42,7 +42,7 @@
         });
     }
 
-    // A periodic entry is armed again before its callback, which may cancel it.
+    // Rearms a periodic timer before its callback runs, so that the callback can cancel it.
     void fire(TimerId id, const std::shared_ptr<Entry> &entry)
     {
         if (entry->period.count() == 0) {
--- a/src/core/dutythread.h
+++ b/src/core/dutythread.h
@@ -15,7 +15,7 @@
 
 namespace kelptally {
 
-// The timer service of one duty thread. Used on that thread only.
+// Timer service on the I/O context of a duty thread. Used on that thread only.
 class AsioTimerService : public TimerService
 {
 public:
@@ -32,18 +32,18 @@
     std::unique_ptr<Private> d_;
 };
 
-// A thread with one duty: it runs the handlers of its own I/O context until stopped.
+// A thread that runs the event loop of its own I/O context until stopped.
 class DutyThread
 {
 public:
-    // The name shows in the system's thread list; at most 15 characters.
+    // The name is the thread's name in the operating system: at most 15 characters.
     explicit DutyThread(std::string name);
     ~DutyThread();
     DutyThread(const DutyThread &) = delete;
     DutyThread &operator=(const DutyThread &) = delete;
 
     void start();
-    // Ends the handlers that are due and joins. Called from another thread.
+    // Stops the event loop after the running handler and joins. Called from another thread.
     void stop();
 
     boost::asio::io_context &context() { return context_; }
@@ -57,7 +57,7 @@
     std::thread thread_;
 };
 
-// A bounded ring into a duty thread: whatever is pushed from any thread is handled there, in order.
+// A bounded queue into a duty thread: items pushed from any thread are handled there in order.
 template <typename T>
 class Inbox
 {
@@ -69,7 +69,7 @@
           ring_(capacity, [this] { boost::asio::post(context_, [this] { drain(); }); })
     { }
 
-    // False when the ring is full; the item is left alone.
+    // Returns false, and does not move from the item, when the queue is full.
     bool tryPush(T &&item) { return ring_.tryPush(std::move(item)); }
 
     std::size_t size() const { return ring_.size(); }
--- a/src/core/eventlog.cpp
+++ b/src/core/eventlog.cpp
@@ -27,7 +27,7 @@
 }};
 
 constexpr Duration rateWindowLength = std::chrono::seconds(1);
-// Events and reasons are fixed words of the code, so there are few; a bound all the same.
+// Limits the memory for rate windows. Events and reasons are constants, so few are expected.
 constexpr std::size_t maxRateWindows = 1024;
 
 } // namespace
@@ -51,7 +51,7 @@
               "kelptally", std::make_shared<spdlog::sinks::stdout_sink_mt>(), pool,
               spdlog::async_overflow_policy::overrun_oldest))
     {
-        // The time of day stands in the lines and nowhere else.
+        // The formatter writes the wall-clock time and opens the JSON object.
         logger->set_formatter(std::make_unique<spdlog::pattern_formatter>(
             "{\"time\":\"%Y-%m-%dT%H:%M:%S.%eZ\",%v", spdlog::pattern_time_type::utc));
         logger->set_level(spdlog::level::trace);
@@ -113,7 +113,7 @@
 
 void EventLog::write(LogLevel level, std::string text)
 {
-    // The formatter has opened the object and written the time.
+    // Drops the opening brace, which the formatter writes together with the time.
     text.erase(0, 1);
     d_->logger->log(levels[static_cast<std::size_t>(level)].spd, spdlog::string_view_t(text));
 }
--- a/src/core/eventlog.h
+++ b/src/core/eventlog.h
@@ -13,39 +13,40 @@
 #include <string_view>
 #include <utility>
 
-// Structured logs on standard output: one JSON object a line. Lines go through a bounded queue to a
-// thread of their own, which drops the oldest lines when nobody reads; callers never block.
+// Structured logs on standard output, one JSON object per line. A writer thread takes the lines
+// from a bounded queue; when the queue is full the oldest lines are dropped, so callers never
+// block.
 namespace kelptally {
 
 enum class LogLevel {
-    // Every request; for a search on one host.
+    // Each request, for debugging a single host.
     Trace,
-    // Decisions on single requests that went well.
+    // Successful decisions on single requests.
     Debug,
-    // What changes the process's beliefs, and refusals and retries.
+    // Changes of the process's view of the cluster, refusals and retries.
     Info,
     Warning,
     Error,
 };
 
-// Level of a name ("trace", "debug", "info", "warning", "error"); false when there is none.
+// Parses "trace", "debug", "info", "warning" or "error"; returns false for any other name.
 bool logLevelFromName(std::string_view name, LogLevel &level);
 
 struct EventLogOptions
 {
     LogLevel level = LogLevel::Info;
-    // Lines of one event and reason within a second; more are counted and left out.
+    // Maximum lines per second for one event and reason; further lines are counted and suppressed.
     int linesPerSecond = 5;
-    // Stands in every line when it is not empty, for logs that are gathered from many hosts.
+    // Added to each line unless empty, for logs collected from many hosts.
     HostName host;
-    // Lines that wait for the writer.
+    // Maximum number of lines queued for the writer thread.
     std::size_t queueCapacity = 2048;
 };
 
 class EventLog;
 
-// One line, written when it goes out of scope. Does nothing when its level or its event's share of
-// the second is used up.
+// One log line, written by the destructor. Does nothing when its level is disabled or its event has
+// reached its rate limit.
 class LogLine
 {
 public:
@@ -78,17 +79,17 @@
     JsonWriter writer_;
 };
 
-// The log of one process. Used on one thread, the one that decides; written by another.
+// The log of one process. Not thread-safe: used on one thread, written by a background thread.
 class EventLog
 {
 public:
     explicit EventLog(const EventLogOptions &options);
     ~EventLog();
 
-    // New level and share, as from a reload.
+    // Applies a new level and rate limit, as after a reload of the settings.
     void configure(const EventLogOptions &options);
 
-    // A line about the event. Lines are limited by the event and the reason together.
+    // Starts a line for the event. The rate limit applies to each pair of event and reason.
     LogLine line(LogLevel level, std::string_view event, std::string_view reason = {});
     LogLine info(std::string_view event, std::string_view reason = {})
     {
@@ -99,9 +100,9 @@
         return line(LogLevel::Warning, event, reason);
     }
 
-    // Lines that were dropped because nobody read the output.
+    // Number of lines dropped because the queue was full.
     std::uint64_t dropped() const;
-    // Lines that were left out because their event had its share.
+    // Number of lines suppressed by the rate limit.
     std::uint64_t suppressed() const { return suppressed_; }
 
 private:
@@ -122,7 +123,7 @@
     std::unique_ptr<Private> d_;
 };
 
-// A position as logs and the wire show it: "3.1207".
+// Formats a position for logs and messages as "term.offset", for example "3.1207".
 std::string positionText(Position position);
 
 } // namespace kelptally
--- a/src/core/fieldreader.h
+++ b/src/core/fieldreader.h
@@ -8,20 +8,20 @@
 
 namespace kelptally {
 
-// Why a document, or a part of one, can't be used.
+// Why a JSON document, or a part of it, was rejected.
 enum class FieldFault {
-    // No JSON object.
+    // Not a JSON object.
     Unreadable,
     FieldMissing,
-    // Of another type.
+    // The field has another JSON type.
     FieldType,
-    // Of the right type, and no value that the field may have.
+    // The type is right, but the value is not allowed.
     FieldValue,
 };
 
 const char *fieldFaultName(FieldFault fault);
 
-// What is wrong, by the field that decides it; no field when there is no object to look into.
+// An error and the field that caused it; the field is empty when the document is not an object.
 struct FieldError
 {
     FieldFault fault = FieldFault::Unreadable;
@@ -30,8 +30,8 @@
     std::string toText() const;
 };
 
-// Reads the fields of one object strictly: what is missing, or is of another type, is remembered as
-// an error with the field's name, and never passes for a value. The first error counts.
+// Reads the fields of a JSON object strictly: a missing field or one of another type sets an error
+// and reads as an empty value. Only the first error is kept; the caller must check error().
 class FieldReader
 {
 public:
@@ -39,19 +39,19 @@
 
     bool has(const char *name) const { return object_.find(name) != nullptr; }
     std::string text(const char *name);
-    // A text that is not empty.
+    // Reads a non-empty string.
     std::string name(const char *name);
-    // A whole number from 0 up to the bound, written without fraction or exponent.
+    // Reads an integer from 0 to the maximum, written without fraction or exponent.
     std::uint64_t unsignedInteger(const char *name, std::uint64_t maximum = maxUnsignedInteger);
     double number(const char *name);
     bool flag(const char *name);
-    // Null when there is no such list.
+    // Returns null when the field is missing or not an array.
     const JsonValue *list(const char *name);
 
     void setError(const char *name, FieldFault fault);
     const std::optional<FieldError> &error() const { return error_; }
 
-    // What a signed number of 64 bits holds, with room to count on.
+    // Half of the range of a signed 64-bit integer, so that incrementing a value cannot overflow.
     static constexpr std::uint64_t maxUnsignedInteger = std::uint64_t(1) << 62;
 
 private:
--- a/src/core/hosttimers.h
+++ b/src/core/hosttimers.h
@@ -8,8 +8,8 @@
 
 namespace kelptally {
 
-// The timers of one simulated host on a shared manual clock: nothing fires while the host stands
-// still or once it is dead.
+// Timer service of one simulated host on a shared manual clock. Timers are delayed while the host
+// is frozen and never fire once it is dead.
 class HostTimers : public TimerService
 {
 public:
@@ -33,7 +33,7 @@
     }
     void cancel(TimerId id) override { callbacks_.erase(id); }
 
-    // Runs something on the host once it does not stand still.
+    // Runs the task on the host, after the end of a freeze.
     void post(std::function<void()> task) { subscribeAt(now(), std::move(task)); }
 
     Instant frozenUntil {};
--- a/src/core/json.cpp
+++ b/src/core/json.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Builds a JsonValue from the library's events and stops at the first bound that is passed.
+// SAX handler that builds a JsonValue and stops at the first exceeded limit.
 class Builder : public nlohmann::json_sax<nlohmann::json>
 {
 public:
@@ -91,7 +91,7 @@
         return value;
     }
 
-    // Only the innermost open value grows, so pointers to the outer ones stay good.
+    // Only the innermost open value grows, so pointers to the enclosing values stay valid.
     bool open(JsonType type)
     {
         if (open_.size() >= maxJsonDepth)
--- a/src/core/json.h
+++ b/src/core/json.h
@@ -19,24 +19,24 @@
     Object,
 };
 
-// One value of a JSON document (RFC 8259). Numbers are kept as they were written, so that no digit
-// is lost on the way to a database.
+// One value of a JSON document (RFC 8259). Numbers keep their text, so that no precision is lost on
+// the way to a database.
 struct JsonValue
 {
     JsonType type = JsonType::Null;
     bool boolean = false;
-    // The text of a string, the digits of a number.
+    // Content of a string, or text of a number.
     std::string text;
     // Elements of an array, or values of an object.
     std::vector<JsonValue> items;
-    // Names of an object's members, in the order of items.
+    // Member names of an object, in the order of items.
     std::vector<std::string> names;
 
-    // The member of this name; null when there is none or this is no object.
+    // Returns the member of this name; null when it is missing or this is not an object.
     const JsonValue *find(std::string_view name) const;
-    // Text of the member of this name, empty when there is none.
+    // Returns the text of the member of this name; empty when it is missing.
     std::string textOf(std::string_view name) const;
-    // The number as a whole one; the fallback when it is none.
+    // Returns the number as an integer, or the fallback when it is not an integer.
     std::int64_t toInteger(std::int64_t fallback = 0) const;
 };
 
@@ -44,14 +44,14 @@
 constexpr std::size_t maxJsonMembers = 64;
 constexpr std::size_t maxJsonValues = 20000;
 
-// Reads one document. InvalidArgument, with the place, for anything that is not JSON, gives a
-// member twice, or is over a bound; the bounds hold while reading, so memory stays limited.
+// Parses one document. Returns InvalidArgument with the position for invalid JSON, a duplicate
+// member or an exceeded limit. Limits are checked while parsing, which bounds the memory used.
 absl::StatusOr<JsonValue> parseJson(std::string_view text, std::size_t maxValues = maxJsonValues);
 
-// The document as text; what parseJson() gave comes out the same but for blanks.
+// Serialises a value. The result of parseJson() is reproduced except for whitespace.
 std::string toJson(const JsonValue &value);
 
-// Writes one document, piece by piece, without building it first. Commas are put in by itself.
+// Streaming JSON writer. Inserts commas as needed; does not check that the document is complete.
 class JsonWriter
 {
 public:
@@ -60,12 +60,12 @@
     JsonWriter &beginArray();
     JsonWriter &endArray();
     JsonWriter &key(std::string_view name);
-    // Bytes that are not UTF-8 are replaced by U+FFFD.
+    // Replaces invalid UTF-8 by U+FFFD.
     JsonWriter &string(std::string_view value);
     JsonWriter &integer(std::int64_t value);
-    // Rounded to three digits after the point.
+    // Rounds to three decimal places.
     JsonWriter &number(double value);
-    // Digits of a number as they are.
+    // Writes the text of a number unchanged.
     JsonWriter &digits(std::string_view digits);
     JsonWriter &boolean(bool value);
     JsonWriter &null();
--- a/src/core/keyring.h
+++ b/src/core/keyring.h
@@ -11,19 +11,20 @@
 
 namespace kelptally {
 
-// Whose key a caller shows. Only SHA-256 sums of keys are held; a key that is shown is hashed, and
-// neither kept nor logged. The look-up by the sum tells nothing of keys by its time: nobody can
-// choose a sum that shares its beginning with another one.
+// Maps API keys to organisations. Holds only the SHA-256 digests of the keys; a presented key is
+// hashed and neither stored nor logged. The lookup need not take constant time: a caller cannot
+// choose a key whose digest shares a prefix with a stored one.
 class KeyRing
 {
 public:
-    // The organisation of the last call that named the key has it. An organisation of an empty name
-    // may do everything.
+    // Adds keys of an organisation; a key that is already present moves to it. An organisation with
+    // an empty name has all permissions. Text that is not a SHA-256 digest in hexadecimal is
+    // ignored.
     void add(const OrganisationName &organisation, const std::vector<std::string> &hexHashes);
     void add(const OrganisationName &organisation, const Sha256Digest &key);
 
     std::optional<OrganisationName> organisationOf(std::string_view key) const;
-    // Null when no organisation has the key.
+    // Returns null for an unknown key.
     const OrganisationName *organisationOf(const Sha256Digest &key) const;
 
     std::size_t size() const { return organisations_.size(); }
--- a/src/core/logging.cpp
+++ b/src/core/logging.cpp
@@ -20,7 +20,7 @@
     FLAGS_minloglevel = level;
     FLAGS_logtostderr = directory.empty();
     FLAGS_log_dir = directory;
-    // A line is in the file within a second.
+    // Flushes the log files at least once a second.
     FLAGS_logbufsecs = 1;
     google::InitGoogleLogging(program);
 }
--- a/src/core/manualtimerservice.cpp
+++ b/src/core/manualtimerservice.cpp
@@ -42,8 +42,7 @@
     return true;
 }
 
-// A periodic subscription is entered again before its callback runs, so that the callback may
-// cancel it.
+// Reinserts a periodic subscription before its callback runs, so that the callback can cancel it.
 void ManualTimerService::fireFirst()
 {
     const auto first = entries_.begin();
--- a/src/core/manualtimerservice.h
+++ b/src/core/manualtimerservice.h
@@ -7,8 +7,8 @@
 
 namespace kelptally {
 
-// A timer service whose time moves only when told to. Subscriptions due at the same instant fire in
-// the order they were made, so a run is the same every time.
+// Timer service whose clock advances only on request. Subscriptions due at the same instant fire in
+// the order they were made, so runs are deterministic.
 class ManualTimerService : public TimerService
 {
 public:
@@ -17,10 +17,10 @@
     TimerId subscribeEvery(Duration period, Callback callback) override;
     void cancel(TimerId id) override;
 
-    // Moves time on, firing what falls due on the way at its own instant.
+    // Advances the clock, firing each subscription at its own instant.
     void advance(Duration by);
 
-    // Fires the next subscription, moving time to it. Returns false when there is none.
+    // Advances the clock to the next subscription and fires it. Returns false when there is none.
     bool advanceToNext();
 
 private:
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -24,13 +24,13 @@
         const MetricLabels labels = {{"reason", std::string(info.name)}};
         const auto index = static_cast<std::size_t>(info.reason);
         d_->refusals[index] = &counter("kelptally_refusals_total", "Refused requests", labels);
-        d_->retries[index] = &counter("kelptally_retries_total", "Attempts made again", labels);
+        d_->retries[index] = &counter("kelptally_retries_total", "Retried attempts", labels);
     }
 }
 
 Metrics::~Metrics() = default;
 
-// Building a family that exists returns the same family, and likewise for its series.
+// The registry returns the existing family and series when they are registered already.
 prometheus::Counter &Metrics::counter(const std::string &name, const std::string &help,
                                       const MetricLabels &labels)
 {
@@ -56,7 +56,7 @@
 
 prometheus::Counter &Metrics::scannedEntries(const std::string &part)
 {
-    return counter("kelptally_visits_total", "Entries of tables walked over", {{"part", part}});
+    return counter("kelptally_visits_total", "Table entries scanned", {{"part", part}});
 }
 
 void Metrics::countRefusal(Reason reason)
--- a/src/core/metrics.h
+++ b/src/core/metrics.h
@@ -18,7 +18,8 @@
 
 using MetricLabels = std::map<std::string, std::string>;
 
-// The metrics of one process. Getting a metric is for start-up; keep the reference. Thread-safe.
+// Metrics registry of one process. Thread-safe. Registering a metric is slow: do it at start-up and
+// keep the reference.
 class Metrics
 {
 public:
@@ -34,16 +35,16 @@
                                      const std::vector<double> &bounds,
                                      const MetricLabels &labels = {});
 
-    // kelptally_refusals_total{reason=} and kelptally_retries_total{reason=}; a series for each
-    // reason exists from the start.
+    // Increment kelptally_refusals_total{reason=} and kelptally_retries_total{reason=}. The series
+    // of all reasons are registered by the constructor. Reason::None is ignored.
     void countRefusal(Reason reason);
     void countRetry(Reason reason);
 
-    // kelptally_visits_total{part=}: entries that a part has walked over, so that work which grows
-    // with the number of hosts, servers or groups shows.
+    // Returns kelptally_visits_total{part=}, which counts the table entries that a component scans:
+    // reveals work that grows with the number of hosts, servers or groups.
     prometheus::Counter &scannedEntries(const std::string &part);
 
-    // Prometheus' text format.
+    // Serialises all metrics in the Prometheus text format.
     std::string toText() const;
 
 private:
--- a/src/core/reason.h
+++ b/src/core/reason.h
@@ -5,19 +5,19 @@
 
 namespace kelptally {
 
-// What is known of a request's work at the database when its answer is given.
+// Whether a request was executed at the database, as far as known when it is answered.
 enum class Executed {
     No,
     Yes,
     Unknown,
 };
 
-// Why a request was refused or failed. The names are part of the callers' interface: they never
-// change meaning, and each has a counter, a row in docs/METRICS.md and a text for
-// `kelptallyctl explain`.
+// Why a request was refused or failed. The names are part of the public interface: their meaning
+// never changes. Each has a counter, a row in docs/METRICS.md and a text for `kelptallyctl
+// explain`.
 enum class Reason {
     None,
-    // The request itself.
+    // Request.
     MalformedRequest,
     RequestTooLarge,
     RequestTooSlow,
@@ -31,7 +31,7 @@
     KeyReused,
     KeyExpired,
     StatementFailed,
-    // The session token.
+    // Session token.
     TokenInvalid,
     TokenTooLarge,
     PositionLost,
@@ -60,39 +60,39 @@
     TransactionEnded,
     TransactionIdle,
     TransactionBusy,
-    // The inner protocol and the platform.
+    // Peer protocol and platform.
     PeerRefused,
     StoreUnavailable,
     VersionConflict,
     InvalidConfiguration,
-    // A fault of our own.
+    // A bug in kelptally.
     Internal,
-    // Limits of organisations.
+    // Organisation quotas.
     QuotaExceeded,
 };
 
-// The fixed facts of one reason.
+// Static properties of a reason.
 struct ReasonInfo
 {
     Reason reason;
-    // Stable name as callers, metrics and logs show it, in snake case.
+    // Stable name in callers' answers, metrics and logs, in snake case.
     std::string_view name;
-    // Status of the HTTP answer.
+    // HTTP status code.
     int httpStatus;
-    // What it says of the work, unless the answer knows better.
+    // Default for answers that do not state whether the request was executed.
     Executed executed;
-    // Whether the same request may succeed when it is sent again.
+    // Whether the same request may succeed on a retry.
     bool retryable;
-    // What happened and what to do, for callers and operators.
+    // Cause and remedy, for callers and operators.
     std::string_view explanation;
 };
 
 const ReasonInfo &reasonInfo(Reason reason);
 
-// Reason of a stable name; Reason::None when there is no such name.
+// Looks up a reason by its stable name; Reason::None for an unknown name.
 Reason reasonFromName(std::string_view name);
 
-// All reasons but None, in the order of the enumeration.
+// All reasons except None, in the order of the enumeration.
 const std::vector<ReasonInfo> &allReasons();
 
 std::string_view executedName(Executed executed);
--- a/src/core/ring.h
+++ b/src/core/ring.h
@@ -8,19 +8,19 @@
 
 namespace kelptally {
 
-// A bounded queue between duty threads: many producers, one consumer. A full ring refuses; it never
-// blocks a producer. The consumer is woken once when the ring turns from empty to non-empty and
-// then takes everything in one go, so a busy ring costs one lock for a whole batch.
+// Bounded multi-producer, single-consumer queue between threads. A push to a full queue fails
+// rather than blocks. The consumer is woken when the queue becomes non-empty and takes all items at
+// once, under a single lock.
 template <typename T>
 class Ring
 {
 public:
-    // The wake function runs on the producer's thread, outside the lock.
+    // wake is called on the producer's thread, without the lock held.
     Ring(std::size_t capacity, std::function<void()> wake)
         : capacity_(capacity), wake_(std::move(wake))
     { }
 
-    // Returns false, and leaves the item alone, when the ring is full.
+    // Returns false, and does not move from the item, when the queue is full.
     bool tryPush(T &&item)
     {
         bool wasEmpty = false;
@@ -36,7 +36,7 @@
         return true;
     }
 
-    // Swaps all waiting items into the given empty vector.
+    // Replaces the contents of the vector by all queued items.
     void takeAll(std::vector<T> &into)
     {
         into.clear();
--- a/src/core/rows.h
+++ b/src/core/rows.h
@@ -7,18 +7,18 @@
 
 namespace kelptally {
 
-// One value of a row or one parameter, in PostgreSQL's text format; nothing stands for NULL.
+// A column value or parameter in PostgreSQL's text format; nullopt is NULL.
 using Value = std::optional<std::string>;
 
-// The rows that one statement returned.
+// Result of one statement.
 struct Rows
 {
     std::vector<std::string> columns;
     std::vector<std::vector<Value>> values;
-    // Rows changed, for statements that return none.
+    // Number of affected rows, for statements that return none.
     std::size_t affected = 0;
 
-    // Bytes of all values together: the length that answers between our processes carry.
+    // Total size of all values in bytes; transmitted with answers between processes as a check.
     std::size_t byteLength() const
     {
         std::size_t length = 0;
--- a/src/core/tcpprobe.h
+++ b/src/core/tcpprobe.h
@@ -9,18 +9,18 @@
 
 namespace kelptally {
 
-// What an attempt to open a TCP connection tells of the process at the other end.
+// Outcome of an attempt to open a TCP connection.
 enum class ProbeOutcome {
-    // Something listens there.
+    // The connection was established.
     Accepted,
-    // The machine answers and nothing listens: the process that listened there is gone.
+    // The connection was refused: the machine is up but no process listens on the port.
     Refused,
-    // No answer in time: gone, cut off, or the network is.
+    // Timeout or any other error: the machine is down or unreachable.
     Silent,
 };
 
 // Opens a TCP connection to "ip:port" and closes it at once. Calls back exactly once, on the
-// context's thread.
+// context's thread. An invalid address yields ProbeOutcome::Silent.
 void probeTcp(boost::asio::io_context &context, TimerService &timers, const std::string &address,
               Duration timeout, std::function<void(ProbeOutcome)> callback);
 
--- a/src/core/timerservice.h
+++ b/src/core/timerservice.h
@@ -9,8 +9,8 @@
 
 using TimerId = std::uint64_t;
 
-// Source of time for one duty thread. Parts subscribe to it and are called on that thread; nothing
-// else reads a clock or sleeps. Tests and the replay use ManualTimerService.
+// Clock and timers of one duty thread. Callbacks run on that thread. All code uses this interface
+// instead of reading a clock or sleeping, so that tests and the replay can use ManualTimerService.
 class TimerService
 {
 public:
@@ -20,13 +20,13 @@
 
     virtual Instant now() const = 0;
 
-    // Calls back once, at or after the given instant. Returns an id for cancel().
+    // Calls back once, at or after the given instant. The returned id is for cancel().
     virtual TimerId subscribeAt(Instant when, Callback callback) = 0;
 
-    // Calls back each period until cancelled, for the first time one period from now.
+    // Calls back every period until cancelled, first after one period.
     virtual TimerId subscribeEvery(Duration period, Callback callback) = 0;
 
-    // Forgets a subscription. An id that has fired or is unknown is ignored.
+    // Cancels a subscription. Ignores an id that is unknown or has fired.
     virtual void cancel(TimerId id) = 0;
 
     TimerId subscribeAfter(Duration delay, Callback callback)
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -5,34 +5,34 @@
 
 namespace kelptally {
 
-// Names as the configuration document gives them.
+// Names used in the configuration document.
 using GroupName = std::string;
 using ServerName = std::string;
 using HostName = std::string;
 using ZoneName = std::string;
-// Callers that share keys, limits and connections. The HTTP interface calls them a team.
+// A set of callers that share keys, limits and connections. Called a team in the HTTP interface.
 using OrganisationName = std::string;
 using TeamName = OrganisationName;
 using KindName = std::string;
 
-// Generation of a database group's ownership; goes up by one with each change of owner.
+// Epoch of a database group's ownership, incremented on each change of owner.
 using OwnerEpoch = std::uint64_t;
 
-// Generation of a database group's primary. A term carries the epoch of the owner that created it
-// (see makeTerm), so two owners can never create the same term.
+// Term of a database group's primary. Contains the epoch of the owner that created it (see
+// makeTerm), so two owners can never create the same term.
 using Term = std::uint64_t;
 
-// Offset in a primary's log, counted in records; meaningful only together with a term.
+// Offset in a primary's log in records; meaningful only together with a term.
 using LogOffset = std::uint64_t;
 
-// Number of an accepted configuration version; 0 stands for "none yet".
+// Version number of an accepted configuration; 0 means none.
 using ConfigVersion = std::uint64_t;
 
-// Number drawn by a process at start: tells two runs at the same address apart. Later runs draw
-// higher numbers (it holds the start time in microseconds).
+// Identifies one run of a process at its address. Holds the start time in microseconds, so later
+// runs have higher numbers.
 using Incarnation = std::uint64_t;
 
-// A place in the log of one database group. Compares by term first.
+// Position in the log of a database group. Ordered by term, then by offset.
 struct Position
 {
     Term term = 0;
@@ -56,7 +56,7 @@
     return !(b < a);
 }
 
-// One run of one process of ours. The address is "ip:port" of its peer endpoint.
+// Identifies one run of a kelptally process. The address is "ip:port" of its peer endpoint.
 struct ProcessId
 {
     std::string address;
@@ -74,7 +74,7 @@
 
 constexpr int termEpochShift = 20;
 
-// The nth term that the owner of an epoch creates. Higher epochs always make higher terms.
+// Returns the nth term created by the owner of an epoch. A higher epoch always gives a higher term.
 constexpr Term makeTerm(OwnerEpoch epoch, std::uint64_t nth)
 {
     return (epoch << termEpochShift) | nth;
--- a/src/entry/answercheck.cpp
+++ b/src/entry/answercheck.cpp
@@ -15,8 +15,8 @@
     if (!complete || !readOnly || result.reason != Reason::None)
         return verdict;
 
-    // An owner's time outside the attempt's is not believed. A read at the primary saw the newest
-    // data at some time after it was sent.
+    // Clamped so that a wrong owner time cannot make the data appear younger. A read at the primary
+    // saw the newest data at some time after it was sent.
     const Duration ownerTime = std::clamp(result.ownerTime, Duration(0), times.elapsed);
     verdict.transit = times.elapsed - ownerTime;
     if (result.age)
--- a/src/entry/answercheck.h
+++ b/src/entry/answercheck.h
@@ -8,35 +8,35 @@
 
 namespace kelptally::entry {
 
-// The times of one attempt as the entry sees them.
+// Durations of one attempt as measured by the entry.
 struct AttemptTimes
 {
-    // From sending the request to having its answer.
+    // From sending the request to receiving its answer.
     Duration elapsed {0};
-    // Still to come: from this entry to the caller.
+    // Estimate for the answer's transit from this entry to the caller.
     Duration callerTransit {0};
 };
 
-// What an owner's answer is worth to the caller.
+// Result of checking an owner's answer.
 struct AnswerVerdict
 {
-    // Reason::None: it may be passed on. ReplicaTooStale: it is past the stated age by the time
-    // that it reaches the caller. Internal: it is not whole.
+    // None: the answer may be forwarded. ReplicaTooStale: its data will exceed the stated age when
+    // it reaches the caller. Internal: the answer is incomplete.
     Reason reason = Reason::None;
-    // Upper bound of the data's age at the caller, for reads.
+    // Upper bound of the data's age when it reaches the caller, for reads.
     std::optional<Duration> age;
-    // Time under way.
+    // Time that the request and its answer spent between the entry and the owner.
     Duration transit {0};
 };
 
-// Checks an answer's counts against its rows, and the age of what it read, the time under way
-// included: elapsed less the owner's own time, all of which may have followed the owner's reading.
+// Checks an answer's counts against its rows, and the age of its data including the transit time.
+// The whole transit time is added, as all of it may have passed after the data was read.
 AnswerVerdict checkAnswer(const inner::ExecuteResult &result, bool readOnly,
                           const std::optional<Duration> &statedAge, const AttemptTimes &times);
 
-// The age that an owner is told, which takes the usual way and the caller's transit off it: the
-// stated one, less the way of an earlier attempt that proved too long. Nothing when that alone
-// takes all of it, so that only the newest data can do.
+// Returns the age limit to send to the owner: the stated age less the transit time of an earlier
+// attempt whose answer arrived too old. The owner itself subtracts the usual transit times. Returns
+// nullopt, which asks for the newest data, when nothing is left.
 std::optional<Duration> ageLimitForOwner(const std::optional<Duration> &statedAge,
                                          Duration excessTransit);
 
--- a/src/entry/callerapi.cpp
+++ b/src/entry/callerapi.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Deadline of the steps of a transaction, which name no kind.
+// Default deadline of the steps of a transaction, which have no request kind.
 constexpr Duration transactionStepDeadline = std::chrono::seconds(5);
 
 inner::StatementStep stepOf(CallerOperation operation)
@@ -90,7 +90,7 @@
     if (!configuration_)
         return makeProblem(Reason::StoreUnavailable, "this entry has no configuration yet");
 
-    // 1. Whose request it is.
+    // 1. Authentication.
     const std::optional<TeamName> team = keys_.organisationOf(request.apiKey);
     if (request.apiKey.empty() || !team)
         return makeProblem(Reason::Unauthenticated);
@@ -99,7 +99,7 @@
     if (const settings::Team *known = configuration_->inventory.findTeam(*team))
         admitted.teamSharePercent = known->sharePercent;
 
-    // 2. What it is about, and whether the team may do that.
+    // 2. Target and authorisation.
     admitted.execute.step = stepOf(request.operation);
     const bool namesTarget = request.operation == CallerOperation::Statement
         || request.operation == CallerOperation::Begin;
@@ -108,11 +108,11 @@
     if (!isRefusal(problem))
         problem = admitGroup(admitted);
 
-    // 3. What the session has seen.
+    // 3. Session token.
     if (!isRefusal(problem))
         problem = admitSession(request, admitted);
 
-    // 4. The work itself and its key.
+    // 4. Statement and idempotency key.
     admitted.execute.sql = std::move(request.sql);
     admitted.execute.parameters = std::move(request.parameters);
     if (!isRefusal(problem))
@@ -130,7 +130,8 @@
         return makeProblem(Reason::UnknownKind, "kind " + request.kind);
     const TeamName &team = admitted.execute.team;
     if (!kind->teams.empty() && !contains(kind->teams, team))
-        return makeProblem(Reason::Forbidden, "kind " + request.kind + " is not the team's");
+        return makeProblem(Reason::Forbidden,
+                           "kind " + request.kind + " is not permitted for this team");
     inner::Execute &execute = admitted.execute;
     execute.group = request.group;
     execute.kind = request.kind;
@@ -150,13 +151,13 @@
 {
     const auto id = decision::TransactionId::fromText(request.transaction);
     if (!id)
-        return makeProblem(Reason::UnknownTransaction, "not the id of a transaction");
+        return makeProblem(Reason::UnknownTransaction, "malformed transaction id");
     const std::vector<settings::Host> &hosts = configuration_->inventory.hosts;
     const bool known = std::any_of(hosts.begin(), hosts.end(), [&](const settings::Host &host) {
         return host.ownerAddress == id->owner;
     });
     if (!known)
-        return makeProblem(Reason::UnknownTransaction, "its owner is no process of ours");
+        return makeProblem(Reason::UnknownTransaction, "its owner is not a configured host");
     admitted.execute.group = id->group;
     admitted.execute.transaction = request.transaction;
     admitted.transactionOwner = id->owner;
@@ -171,7 +172,7 @@
     if (!group)
         return makeProblem(Reason::UnknownGroup, "group " + name);
     if (!group->team.empty() && group->team != admitted.execute.team)
-        return makeProblem(Reason::Forbidden, "group " + name + " is not the team's");
+        return makeProblem(Reason::Forbidden, "group " + name + " is not permitted for this team");
     return accepted;
 }
 
@@ -185,7 +186,7 @@
     }
     inner::Execute &execute = admitted.execute;
     if (!execute.readOnly && !session->hasRoomFor(execute.group))
-        return makeProblem(Reason::TokenTooLarge, "the session has touched too many groups");
+        return makeProblem(Reason::TokenTooLarge, "the session token covers too many groups");
     if (const Position *position = session->find(execute.group))
         execute.sessionPosition = *position;
     admitted.session = *std::move(session);
@@ -193,7 +194,7 @@
     return accepted;
 }
 
-// Keys of reads stand for nothing; a transaction's key is that of its commit.
+// Idempotency keys apply to single writes and commits; all others are ignored.
 Problem CallerApi::admitKey(caller::CallerRequest &request, AdmittedRequest &admitted) const
 {
     inner::Execute &execute = admitted.execute;
--- a/src/entry/callerapi.h
+++ b/src/entry/callerapi.h
@@ -13,29 +13,30 @@
 
 namespace kelptally::entry {
 
-// A caller's request that may go to an owner.
+// A validated request that may be sent to an owner.
 struct AdmittedRequest
 {
-    // All but the request id, the time left and the age, which belong to one attempt.
+    // The message to the owner, without the fields set per attempt: request id, deadline and age.
     inner::Execute execute;
     decision::SessionToken session;
-    // The token as the caller sent it.
+    // The session token as received from the caller.
     std::string sessionText;
-    // Greatest age of the data when it reaches the caller; nothing: newest.
+    // Maximum age of the data when it reaches the caller; nullopt requires the newest data.
     std::optional<Duration> statedAge;
-    // From the arrival of the request.
+    // Relative to the arrival of the request.
     Duration deadline {0};
-    // Whether doing the work twice does no harm.
+    // Whether the request may be executed twice.
     bool repeatable = false;
-    // Address in the transaction's id, for the steps of an open transaction.
+    // Owner address from the transaction id; set for the steps of an open transaction.
     std::string transactionOwner;
-    // Share of this entry's requests that the caller's team may have in progress, in percent.
+    // Maximum share of this entry's request table that the team may use, in percent.
     int teamSharePercent = 100;
 };
 
 using Admitted = std::variant<AdmittedRequest, caller::Problem>;
 
-// Checks callers' requests against the configuration in force and resolves its rules. No I/O.
+// Authenticates, authorises and validates callers' requests against the active configuration.
+// Performs no I/O.
 class CallerApi
 {
 public:
@@ -61,11 +62,12 @@
     KeyRing keys_;
 };
 
-// Age that a read may have: the smaller of what the caller states and what the kind allows; zero
-// and none of both mean the newest data.
+// Returns the maximum age of a read: the smaller of the caller's and the request kind's limit.
+// Returns nullopt, which requires the newest data, when it is zero or neither is set.
 std::optional<Duration> effectiveAge(std::optional<Duration> stated, std::optional<Duration> kind);
 
-// What a key stands for, as a digest: a key that comes back with another digest is refused.
+// Returns a digest of the request that an idempotency key belongs to. A key that is reused with
+// another digest is refused.
 std::string keyDigest(const inner::Execute &execute);
 
 } // namespace kelptally::entry
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-// The owner is told this much less than is left, so that its answer is back in time. Chosen, not
-// measured: one round trip between availability zones.
+// Subtracted from the deadline that is sent to the owner, so that its answer arrives in time.
+// Covers one round trip between availability zones.
 constexpr Duration ownerDeadlineMargin = std::chrono::milliseconds(3);
-// Redirections that are followed at once; more are a circle and wait like other retries.
+// Maximum number of redirects followed without delay; guards against redirect loops.
 constexpr int maxRedirects = 3;
-// How long the outcome of an abandoned Begin is waited for.
+// Maximum wait for the answer to an abandoned Begin.
 constexpr Duration abandonedBeginTimeout = std::chrono::seconds(30);
-// Share of successes that retries may take before there is a configuration.
+// Retry budget in percent of successful requests until a configuration is loaded.
 constexpr int defaultRetryPercent = 10;
 
 bool isTransactionStep(const inner::Execute &execute)
@@ -22,7 +22,7 @@
     return !execute.transaction.empty();
 }
 
-// What the owner said of the group, not of the request.
+// Whether the reason concerns the ownership of the group rather than the request.
 bool isOwnershipFailure(Reason reason)
 {
     return reason == Reason::NotOwner || reason == Reason::NoOwner || reason == Reason::LeaseLost;
@@ -62,7 +62,7 @@
     attempt(request);
 }
 
-// 1. Find the owner, which a transaction's id names. 2. Find a link to it. 3. Send.
+// Sends the request to the owner of its group, or to the owner named by its transaction id.
 void Dispatcher::attempt(const PendingPtr &request)
 {
     const inner::Execute &execute = request->admitted.execute;
@@ -119,7 +119,7 @@
     onFailure(request, std::move(failure));
 }
 
-// Makes another attempt if that is safe, useful and within the budget; else this is the answer.
+// Retries if that is safe, in time and within the retry budget; otherwise refuses the request.
 void Dispatcher::onFailure(const PendingPtr &request, Failure failure)
 {
     request->state = RequestState::Waiting;
@@ -130,7 +130,7 @@
     failed.repeatable = request->admitted.repeatable;
     failed.hasKey = !request->admitted.execute.key.empty()
         && request->admitted.execute.step == inner::StatementStep::Single;
-    // A request that may be repeated anyway looks for an owner like one that never ran.
+    // A request that may be executed twice is retried as if it had never been executed.
     const bool safeToRepeat = !request->mayHaveRun || failed.repeatable || failed.hasKey;
     failed.notExecuted = failure.executed == Executed::No && safeToRepeat;
     failed.number = request->attempt;
@@ -175,14 +175,15 @@
         parts_.metrics.countDamagedAnswer();
         const Executed executed = result.reason == Reason::None ? Executed::Yes : result.executed;
         request->state = RequestState::Waiting;
-        return refuse(request,
-                      {Reason::Internal, executed, "the owner's answer is not whole", Duration(0)});
+        return refuse(
+            request, {Reason::Internal, executed, "the owner's answer is incomplete", Duration(0)});
     }
     if (verdict.reason == Reason::ReplicaTooStale) {
         parts_.metrics.countStaleAnswer();
         request->excessTransit = verdict.transit;
         return onFailure(
-            request, {verdict.reason, Executed::Yes, "too old by the way it took", Duration(0)});
+            request,
+            {verdict.reason, Executed::Yes, "the answer was too old on arrival", Duration(0)});
     }
     if (result.reason != Reason::None)
         return onOwnerRefused(request, result);
@@ -200,7 +201,7 @@
     onFailure(request, {result.reason, result.executed, result.detail, result.retryAfter});
 }
 
-// Goes on at once at the process that the asked one names.
+// Retries immediately at the owner named in the refusal. Returns false if there is no usable hint.
 bool Dispatcher::followHint(const PendingPtr &request, const inner::ExecuteResult &result)
 {
     const bool usable = result.executed == Executed::No && !result.ownerHint.empty()
@@ -214,8 +215,8 @@
     return true;
 }
 
-// The token for the next request; the same one again when the session has seen nothing new, or when
-// a read would make it too large.
+// Returns the session token for the caller's next request: unchanged when the position has not
+// advanced or when a read would exceed the maximum number of groups.
 std::string Dispatcher::nextSessionToken(AdmittedRequest &admitted,
                                          const std::optional<Position> &seen) const
 {
@@ -250,7 +251,8 @@
     table_.remove(request);
 }
 
-// The outcome of an earlier attempt that may have run stays open, whatever the last one says.
+// If an earlier attempt may have been executed, the outcome is unknown even if the last one was
+// not.
 void Dispatcher::refuse(const PendingPtr &request, Failure failure)
 {
     if (!request->reply)
@@ -274,7 +276,7 @@
     const Executed executed = inFlight ? Executed::Unknown : Executed::No;
     const std::string detail = request->lastReason == Reason::None
         ? std::string()
-        : "last refused for " + std::string(reasonInfo(request->lastReason).name);
+        : "last attempt failed with " + std::string(reasonInfo(request->lastReason).name);
     if (inFlight)
         cancelAtOwner(request);
     refuse(request, {Reason::DeadlineExceeded, executed, detail, Duration(0)});
@@ -300,7 +302,7 @@
         .IgnoreError();
 }
 
-// The answer of a Begin that nobody waits for may still name a transaction, which is then ended.
+// Keeps a Begin in flight until its answer arrives, so that the transaction it opened is cancelled.
 void Dispatcher::release(const PendingPtr &request)
 {
     const bool isBegin = request->admitted.execute.step == inner::StatementStep::Begin;
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -10,12 +10,12 @@
 
 namespace kelptally::entry {
 
-// Takes each admitted request to the owner of its group and its answer back: attempts, retries,
-// deadlines and cancellation. Used on the requests thread.
+// Forwards admitted requests to the owners of their groups and returns the answers; handles
+// retries, deadlines and cancellation. Used on the requests thread only.
 class Dispatcher
 {
 public:
-    // Requests in progress at one entry. Chosen, not measured: some seconds of its full load.
+    // Maximum number of requests in progress at one entry.
     static constexpr std::size_t maxRequests = 20'000;
 
     struct Parts
@@ -24,7 +24,7 @@
         OwnerLinks &links;
         OwnerDirectory &directory;
         EntryMetrics &metrics;
-        // Signs the session tokens.
+        // Key that signs session tokens.
         std::string tokenKey;
         std::uint64_t seed = 0;
     };
@@ -38,7 +38,7 @@
     void onCallerGone(caller::ConnectionId connection);
 
     void onResult(inner::LinkId link, inner::ExecuteResult result);
-    // Answers awaited on the link will not come.
+    // Fails the attempts in flight on the link.
     void onLinkDown(inner::LinkId link);
 
     std::size_t inProgress() const { return table_.size(); }
@@ -64,7 +64,7 @@
                                  const std::optional<Position> &seen) const;
     void onDeadline(const PendingPtr &request);
     void refuse(const PendingPtr &request, Failure failure);
-    // Ends what the owner may still do for a request that nobody waits for.
+    // Asks the owner to stop executing a request whose result is no longer needed.
     void cancelAtOwner(const PendingPtr &request);
     void release(const PendingPtr &request);
 
@@ -72,7 +72,7 @@
     RequestTable table_;
     std::unique_ptr<decision::RetryPolicy> policy_;
     int retryPercent_ = 0;
-    // Token of a session that has seen nothing.
+    // Token of a session without positions.
     const std::string emptySessionToken_;
     Duration callerTransit_ {0};
 };
--- a/src/entry/entrymetrics.h
+++ b/src/entry/entrymetrics.h
@@ -4,18 +4,18 @@
 
 namespace kelptally::entry {
 
-// What an entry counts. Callable from any thread.
+// Metrics of the entry process. Thread-safe.
 class EntryMetrics
 {
 public:
     explicit EntryMetrics(Metrics &metrics);
 
     void countAnswered(Duration took);
-    // A final refusal, by its reason.
+    // Counts an answer that refuses a request; retried failures are counted by countRetry().
     void countRefused(Reason reason);
     void countRetry(Reason reason);
     void countCallerGone();
-    // Answers of owners that went to no caller.
+    // Answers of owners that were dropped.
     void countLateAnswer();
     void countDamagedAnswer();
     void countStaleAnswer();
--- a/src/entry/entryprocess.cpp
+++ b/src/entry/entryprocess.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-// Rows of the table service.
+// Reads ownership rows from the table service.
 class EntryProcess::TableServiceRowReader : public OwnershipRowReader
 {
 public:
--- a/src/entry/entryprocess.h
+++ b/src/entry/entryprocess.h
@@ -14,17 +14,18 @@
 
 namespace kelptally::entry {
 
-// One entry process: the callers thread with the HTTP server, the requests thread with all
-// decisions and the calls to the table service, and the links' thread.
+// The entry process. Threads: callers runs the HTTP server, requests runs the dispatcher and the
+// table service client, and the peer links have a thread of their own.
 class EntryProcess : public admin::FrameProgram, public RequestEvents
 {
 public:
     EntryProcess(const settings::ProcessSettings &settings, Metrics &metrics);
     ~EntryProcess() override;
 
-    // Opens the peer endpoint. The frame's part is told of the links and their events.
+    // Opens the peer and caller endpoints and starts the threads. peers receives the events of the
+    // links and must stay valid until stop().
     absl::Status start(admin::AdminPeers &peers);
-    // Cuts off what is in progress.
+    // Stops without waiting for requests in progress.
     void stop();
 
     void install(settings::ConfigurationPtr configuration) override;
@@ -58,7 +59,7 @@
     CallerApi api_;
     admin::AdminPeers *adminPeers_ = nullptr;
     std::unique_ptr<inner::PeerLinks> links_;
-    // Used and destroyed on the requests thread, or while it does not run.
+    // Accessed on the requests thread only while it runs.
     std::unique_ptr<services::TableService> table_;
     std::unique_ptr<OwnershipRowReader> rows_;
     std::unique_ptr<OwnerLinks> ownerLinks_;
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -5,7 +5,7 @@
 
 #include <glog/logging.h>
 
-// kelptally-entry: terminates callers' connections and takes their requests to the owners of the
+// kelptally-entry: accepts callers' connections and forwards their requests to the owners of the
 // database groups.
 int main(int argc, char **argv)
 {
--- a/src/entry/ownerdirectory.cpp
+++ b/src/entry/ownerdirectory.cpp
@@ -72,7 +72,7 @@
     });
 }
 
-// The owner itself and its successors know best; of an unknown group anyone may.
+// Returns the cached successors and owner, filled up with other processes in round-robin order.
 std::vector<std::string> OwnerDirectory::locateTargets(const GroupName &group)
 {
     std::vector<std::string> targets;
@@ -110,8 +110,8 @@
     updateOwner(group, owner, cache_[group].epoch);
 }
 
-// Older epochs are forgotten; an owner that is suspected counts again only when a newer answer
-// than the suspicion names it, which may be right: links break without their processes.
+// Ignores older epochs and unknown processes. Clears a suspicion of the same owner: a link can
+// break while the process at its other end goes on.
 void OwnerDirectory::updateOwner(const GroupName &group, const std::string &owner, OwnerEpoch epoch)
 {
     CachedOwner &cached = cache_[group];
--- a/src/entry/ownerdirectory.h
+++ b/src/entry/ownerdirectory.h
@@ -14,7 +14,7 @@
 
 namespace kelptally::entry {
 
-// Reads a group's ownership row from the platform.
+// Reads ownership rows from the platform.
 class OwnershipRowReader
 {
 public:
@@ -26,34 +26,34 @@
     virtual void read(const GroupName &group, Callback callback) = 0;
 };
 
-// Which process owns a group, learnt when it is asked for: from the row in the table service, from
-// processes that know it (the successors first, which then need no store), and from hints of
-// processes that are asked by mistake. Rows are read at most every rowReadInterval for each group,
-// so that the loss of an owner does not fall on the store.
+// Cache of the groups' owners, filled on demand from the ownership row in the table service, from
+// Locate messages to other processes (successors first, as they know the owner without the store)
+// and from hints in refusals. Rows are read at most once per rowReadInterval and group, so that the
+// loss of an owner does not overload the store.
 class OwnerDirectory
 {
 public:
     using Callback = std::function<void(const std::optional<std::string> &owner)>;
 
-    // Chosen, not measured.
     static constexpr Duration rowReadInterval = std::chrono::milliseconds(500);
     static constexpr Duration locateInterval = std::chrono::milliseconds(100);
     static constexpr Duration lookupTimeout = std::chrono::milliseconds(600);
-    // Processes asked when nothing is known of a group.
+    // Locate messages go to at least this many processes, if there are as many.
     static constexpr std::size_t minLocateTargets = 3;
 
     OwnerDirectory(TimerService &timers, OwnershipRowReader &rows, OwnerLinks &links);
 
-    // The owner as far as known and not suspected.
+    // Returns the cached owner unless it is suspected to have failed.
     std::optional<std::string> owner(const GroupName &group) const;
-    // Finds out, and calls back exactly once, possibly before it returns; nothing when nobody told
-    // in time. All who ask for one group meanwhile share one look-up.
+    // Looks up the owner and calls back exactly once, possibly before returning; with nullopt after
+    // lookupTimeout. Concurrent calls for one group share a lookup.
     void resolve(const GroupName &group, Callback callback);
 
-    // A process that does not own the group named another.
+    // Handles the owner named in the refusal of a process that does not own the group.
     void onHint(const GroupName &group, const std::string &owner);
     void onLocateAnswer(const inner::LocateAnswer &answer);
-    // The process does not answer for the group, or not any more.
+    // Marks the process as failed for the group, so that owner() does not return it until it is
+    // confirmed again.
     void suspect(const GroupName &group, const std::string &address);
     void suspectAll(const std::string &address);
 
--- a/src/entry/ownerlinks.h
+++ b/src/entry/ownerlinks.h
@@ -10,17 +10,17 @@
 
 namespace kelptally::entry {
 
-// The links to owner processes, as the requests thread knows them. Only addresses of the
-// configuration are ever dialled.
+// The entry's links to owner processes. Connects only to addresses of the configuration. Used on
+// the requests thread.
 class OwnerLinks
 {
 public:
-    // With no more owner processes than this the entry holds a link to each ahead of need.
+    // Up to this number of owner processes the entry connects to all of them in advance.
     static constexpr std::size_t maxEagerLinks = 16;
 
     explicit OwnerLinks(inner::PeerLinks &links) : links_(links) { }
 
-    // Addresses of all owner processes; links to others are dropped.
+    // Sets the addresses of all owner processes and drops links to others.
     void setAddresses(const std::vector<std::string> &addresses);
     const std::vector<std::string> &addresses() const { return addresses_; }
     bool isOwnerProcess(const std::string &address) const;
@@ -28,7 +28,7 @@
     void onUp(inner::LinkId link, const std::string &address);
     void onDown(inner::LinkId link);
 
-    // A link that is up; otherwise one is dialled from now on.
+    // Returns an established link. Otherwise starts to connect and returns nullopt.
     std::optional<inner::LinkId> findOrDial(const std::string &address);
     absl::Status send(inner::LinkId link, inner::Message message);
     std::size_t connectedCount() const { return addressByLink_.size(); }
@@ -40,7 +40,7 @@
     std::vector<std::string> addresses_;
     std::set<std::string> dialled_;
     std::map<inner::LinkId, std::string> addressByLink_;
-    // By address, also links that the other end dialled.
+    // Includes links that were opened by the other process.
     std::map<std::string, std::vector<inner::LinkId>> linksByAddress_;
 };
 
--- a/src/entry/requestinbox.cpp
+++ b/src/entry/requestinbox.cpp
@@ -24,7 +24,7 @@
         return refuse(*reply, *parsed.problem);
     Arrival arrival {std::move(parsed.request), std::move(reply), arrived};
     if (!arrivals_.tryPush(std::move(arrival)))
-        // A refused item is left alone. NOLINTNEXTLINE(bugprone-use-after-move)
+        // tryPush() does not move on failure. NOLINTNEXTLINE(bugprone-use-after-move)
         refuse(*arrival.reply, caller::makeProblem(Reason::RingFull));
 }
 
@@ -34,7 +34,7 @@
     reply.send(caller::problemResponse(problem));
 }
 
-// Never lost to a full ring, and behind the request of the same connection.
+// Posted rather than queued: cannot be lost to a full queue and follows the connection's request.
 void RequestInbox::onCallerGone(caller::ConnectionId connection)
 {
     boost::asio::post(requests_.context(),
--- a/src/entry/requestinbox.h
+++ b/src/entry/requestinbox.h
@@ -10,7 +10,7 @@
 
 namespace kelptally::entry {
 
-// A caller's request on its way to the requests thread.
+// A parsed request queued for the requests thread.
 struct Arrival
 {
     caller::CallerRequest request;
@@ -18,7 +18,7 @@
     Instant arrived;
 };
 
-// What the requests thread does with all that comes to it.
+// Handles the events of callers and peers on the requests thread.
 class RequestEvents
 {
 public:
@@ -31,19 +31,19 @@
     virtual void onPeerDown(inner::LinkId link) = 0;
 };
 
-// Brings callers' requests from the callers thread, and peers' events from the links' thread, to
-// the requests thread. Requests are taken apart on the callers thread; one that finds the ring full
-// is refused there.
+// Passes callers' requests from the callers thread and peer events from the links' thread to the
+// requests thread. Requests are parsed on the callers thread, and refused there if the queue is
+// full.
 class RequestInbox : public caller::HttpHandler, public inner::PeerEvents
 {
 public:
-    // Answers that may wait; there are never more requests in progress than half of it.
+    // Maximum number of queued peer messages; more than twice Dispatcher::maxRequests.
     static constexpr std::size_t messageCapacity = 1u << 16;
     static constexpr std::size_t arrivalCapacity = 1u << 13;
 
     RequestInbox(DutyThread &requests, RequestEvents &events, EntryMetrics &metrics);
 
-    // The frame's part of the links; set before any link is made.
+    // Sets the receiver of administrative peer events. Called before any link is opened.
     void setAdminPeers(admin::AdminPeers *peers) { adminPeers_ = peers; }
 
     void onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply) override;
--- a/src/entry/requesttable.cpp
+++ b/src/entry/requesttable.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Low bits of a request id that tell the attempts of one request apart.
+// Low bits of a request id that hold the attempt number.
 constexpr int attemptBits = 16;
 constexpr std::uint64_t attemptMask = (1u << attemptBits) - 1;
 
-// Deadlines of finished requests that may be kept besides as many as there are requests.
+// Queued deadlines of finished requests beyond which they are removed, besides one per request.
 constexpr std::size_t maxStaleDeadlines = 4096;
 
 } // namespace
@@ -102,7 +102,8 @@
     startTimer();
 }
 
-// Callers may state deadlines of hours, so the finished are not left until theirs pass.
+// Rebuilds the queue from the requests in progress: with deadlines of hours it would grow without
+// bound.
 void RequestTable::removeFinishedDeadlines()
 {
     deadlines_ = {};
@@ -110,7 +111,7 @@
         deadlines_.push({request->deadline, number});
 }
 
-// One subscription for the earliest deadline of all.
+// Sets the timer to the earliest deadline.
 void RequestTable::startTimer()
 {
     if (deadlines_.empty() || deadlines_.top().at >= timerExpiry_)
@@ -132,7 +133,7 @@
         const PendingPtr request = found->second;
         onDeadline_(request);
     }
-    // What is finished needs no wake-up of its own.
+    // Skips finished requests, so that the timer is not set for them.
     while (!deadlines_.empty() && requests_.count(deadlines_.top().number) == 0)
         deadlines_.pop();
     startTimer();
--- a/src/entry/requesttable.h
+++ b/src/entry/requesttable.h
@@ -14,15 +14,16 @@
 namespace kelptally::entry {
 
 enum class RequestState {
-    // Waits for an owner to be found, or for its next attempt.
+    // Waiting for the owner lookup or for the next attempt.
     Waiting,
-    // Sent to an owner.
+    // Sent to an owner, not answered yet.
     InFlight,
-    // Answered or its caller gone, while what a Begin opened at the owner is still to be ended.
+    // A Begin that was refused or whose caller disconnected, kept to cancel the transaction it
+    // opens.
     Abandoned,
 };
 
-// One caller's request from its arrival to its only answer.
+// State of a caller's request until it is answered.
 struct PendingRequest
 {
     AdmittedRequest admitted;
@@ -31,25 +32,26 @@
     Instant arrived;
     Instant deadline;
     RequestState state = RequestState::Waiting;
-    // Number of this request at this entry; the request id of an attempt is made of it.
+    // Sequence number at this entry; part of the request ids of its attempts.
     std::uint64_t number = 0;
     int attempt = 0;
-    // Of the attempt in flight.
+    // Attempt in flight.
     inner::LinkId link = 0;
     std::string owner;
     Instant sentAt;
-    // Way of an attempt whose answer got too old on it.
+    // Transit time of an earlier attempt whose answer arrived too old.
     Duration excessTransit {0};
-    // An earlier attempt may have done the work.
+    // Whether an earlier attempt may have been executed.
     bool mayHaveRun = false;
-    // Why the last attempt failed.
+    // Failure of the last attempt.
     Reason lastReason = Reason::None;
     TimerId retryTimer = 0;
 };
 using PendingPtr = std::shared_ptr<PendingRequest>;
 
-// The requests in progress at this entry: bounded as a whole and by team, found by the request id
-// of their newest attempt and by their caller's connection, and called out at their deadlines.
+// The requests in progress at this entry, indexed by the request id of the newest attempt and by
+// the caller's connection. Limits their number in total and per team, and reports expired
+// deadlines.
 class RequestTable
 {
 public:
@@ -57,22 +59,23 @@
 
     RequestTable(TimerService &timers, std::size_t capacity, ExpiryHandler onDeadline);
 
-    // Reason::None, or the limit that forbids it.
+    // Adds a request; returns Reason::None or the limit that is reached.
     Reason add(const PendingPtr &request);
     void remove(const PendingPtr &request);
-    // Keeps it under its request id until then, for an answer that goes to no caller.
+    // Keeps the request until the given instant, to handle an answer that is not sent to the
+    // caller.
     void abandon(const PendingPtr &request, Instant until);
 
-    // Gives the next attempt a request id of its own.
+    // Sets the request id of the next attempt.
     void assignRequestId(PendingRequest &request);
-    // The request whose newest attempt has this id; null when there is none (any more).
+    // Returns the request whose newest attempt has this id, or null.
     PendingPtr find(inner::RequestId id) const;
     PendingPtr findByConnection(caller::ConnectionId connection) const;
-    // The requests in flight or abandoned on a link.
+    // Returns the requests in flight or abandoned on a link.
     std::vector<PendingPtr> findByLink(inner::LinkId link) const;
 
     std::size_t size() const { return requests_.size(); }
-    // Deadlines kept, those of finished requests among them.
+    // Number of queued deadlines, including those of finished requests.
     std::size_t deadlineCount() const { return deadlines_.size(); }
 
 private:
@@ -83,9 +86,9 @@
         bool operator>(const Deadline &other) const { return at > other.at; }
     };
 
-    // Calls out the request at its (new) deadline.
+    // Queues the request's current deadline.
     void addDeadline(const PendingRequest &request);
-    // It no longer counts as its caller's and team's.
+    // Removes the request from the counts of its team and the index of connections.
     void release(PendingRequest &request);
     void removeFinishedDeadlines();
     void startTimer();
@@ -98,7 +101,7 @@
     std::unordered_map<std::uint64_t, PendingPtr> requests_;
     std::unordered_map<caller::ConnectionId, std::uint64_t> byConnection_;
     std::unordered_map<TeamName, std::size_t> byTeam_;
-    // Those of finished requests leave it when they pass, or when there are too many.
+    // Deadlines of finished requests are removed when they expire or when there are too many.
     std::priority_queue<Deadline, std::vector<Deadline>, std::greater<>> deadlines_;
     TimerId timer_ = 0;
     Instant timerExpiry_ = Instant::max();
--- a/tests/core/digest_test.cpp
+++ b/tests/core/digest_test.cpp
@@ -4,8 +4,8 @@
 
 using namespace kelptally;
 
-// Vectors of FIPS 180-2, appendix B, and RFC 4231, sections 4.2 to 4.4.
-TEST_CASE("Sums are those of the standards, in any order of keys")
+// Test vectors of FIPS 180-2, appendix B, and RFC 4231, sections 4.2 to 4.4.
+TEST_CASE("SHA-256 and HMAC match the standard test vectors when keys alternate")
 {
     for (int round = 0; round < 2; ++round) {
         CHECK(digestToHex(sha256("abc"))
--- a/tests/core/dutythread_test.cpp
+++ b/tests/core/dutythread_test.cpp
@@ -7,7 +7,7 @@
 using namespace kelptally;
 using namespace std::chrono_literals;
 
-TEST_CASE("an inbox hands its items to the duty thread in order")
+TEST_CASE("an inbox delivers its items to the duty thread in order")
 {
     DutyThread thread("test");
     std::promise<std::vector<int>> all;
--- a/tests/core/keyring_test.cpp
+++ b/tests/core/keyring_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace kelptally;
 
-TEST_CASE("A key belongs to the organisation that was named with it last")
+TEST_CASE("A key belongs to the organisation that added it last")
 {
     KeyRing ring;
     ring.add("town-water", sha256("one"));
--- a/tests/core/manualtimerservice_test.cpp
+++ b/tests/core/manualtimerservice_test.cpp
@@ -7,7 +7,7 @@
 using namespace kelptally;
 using namespace std::chrono_literals;
 
-TEST_CASE("manual timers fire in order of time, then of subscription")
+TEST_CASE("manual timers fire in order of time, then in order of subscription")
 {
     ManualTimerService timers;
     std::vector<int> fired;
@@ -20,7 +20,7 @@
     CHECK(fired == std::vector<int> {1, 2, 3});
 }
 
-TEST_CASE("a periodic timer may cancel itself")
+TEST_CASE("a periodic timer can cancel itself")
 {
     ManualTimerService timers;
     int count = 0;
--- a/tests/core/reason_test.cpp
+++ b/tests/core/reason_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace kelptally;
 
-TEST_CASE("each reason has its own stable name and a text")
+TEST_CASE("each reason has a unique name and an explanation")
 {
     std::set<std::string_view> names;
     for (const ReasonInfo &info : allReasons()) {
--- a/tests/core/ring_test.cpp
+++ b/tests/core/ring_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace kelptally;
 
-TEST_CASE("a full ring refuses and keeps what it holds")
+TEST_CASE("a push to a full ring fails and keeps the queued items")
 {
     int wakes = 0;
     Ring<int> ring(2, [&] { ++wakes; });
--- a/tests/entry/answercheck_test.cpp
+++ b/tests/entry/answercheck_test.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("An answer that is not whole is not passed on")
+TEST_CASE("An incomplete answer is rejected")
 {
     inner::ExecuteResult result = replicaRead();
     CHECK(checkAnswer(result, true, Duration(1s), times).reason == Reason::None);
@@ -35,9 +35,9 @@
     CHECK(checkAnswer(result, false, std::nullopt, times).reason == Reason::Internal);
 }
 
-TEST_CASE("The way counts as age")
+TEST_CASE("The transit time is added to the age of the data")
 {
-    // 100 ms at the owner, 12 - 5 ms under way, 10 ms still to go.
+    // 100 ms at the owner, 12 - 5 ms in transit, 10 ms to the caller.
     const AnswerVerdict verdict = checkAnswer(replicaRead(), true, Duration(117ms), times);
     CHECK(verdict.reason == Reason::None);
     CHECK(verdict.age == Duration(117ms));
@@ -45,7 +45,7 @@
     CHECK(checkAnswer(replicaRead(), true, Duration(117ms) - 1ns, times).reason
           == Reason::ReplicaTooStale);
 
-    // An owner that claims more time than passed makes the data no younger.
+    // An owner time beyond the elapsed time does not make the data younger.
     inner::ExecuteResult result = replicaRead();
     result.ownerTime = 1h;
     CHECK(checkAnswer(result, true, Duration(1s), times).age == Duration(110ms));
@@ -53,7 +53,7 @@
     CHECK(checkAnswer(result, true, Duration(1s), times).age == Duration(122ms));
 }
 
-TEST_CASE("A primary's read is as old as the attempt, and a replica's without age is refused")
+TEST_CASE("A read at the primary is as old as the attempt; a replica read without age is too stale")
 {
     inner::ExecuteResult result = replicaRead();
     result.age.reset();
@@ -64,7 +64,7 @@
     CHECK(checkAnswer(result, true, std::nullopt, times).reason == Reason::None);
 }
 
-TEST_CASE("The owner is told the stated age, less a way that proved too long")
+TEST_CASE("The owner's age limit is the stated age less the excess transit time")
 {
     CHECK_FALSE(ageLimitForOwner(std::nullopt, Duration(0)));
     CHECK(ageLimitForOwner(Duration(1s), Duration(0)) == Duration(1s));
--- a/tests/entry/callerapi_test.cpp
+++ b/tests/entry/callerapi_test.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("Each thing that forbids a request has its reason")
+TEST_CASE("Each invalid request is refused with its reason")
 {
     CHECK(refusal(statementOf("browse")) == Reason::None);
     const auto with = [](auto change) {
@@ -62,7 +62,7 @@
     CHECK(CallerApi(tokenKey).admit(statementOf("edit")).index() == 1);
 }
 
-TEST_CASE("A session with too many groups may read but not write")
+TEST_CASE("A session token at the group limit allows reads but no writes")
 {
     decision::SessionToken session;
     for (std::size_t i = 0; i < decision::maxTokenGroups; ++i)
@@ -74,7 +74,7 @@
     CHECK(refusal(request) == Reason::None);
 }
 
-TEST_CASE("The kind's rules go with the request")
+TEST_CASE("The rules of the request kind apply to the request")
 {
     caller::CallerRequest request = statementOf("browse");
     request.statedAge = 1s;
@@ -98,7 +98,7 @@
     CHECK(write.execute.team == "lagon");
 }
 
-TEST_CASE("The stated age is the smaller one, and zero asks for the newest")
+TEST_CASE("The effective age is the smaller limit, and zero requires the newest data")
 {
     CHECK_FALSE(effectiveAge(std::nullopt, std::nullopt));
     CHECK(effectiveAge(std::nullopt, Duration(3s)) == Duration(3s));
@@ -108,7 +108,7 @@
     CHECK_FALSE(effectiveAge(Duration(0), Duration(3s)));
 }
 
-TEST_CASE("The session's position in the group goes with the request")
+TEST_CASE("The session's position in the group is sent with the request")
 {
     decision::SessionToken session;
     session.advance("offers", {7, 12});
@@ -119,7 +119,7 @@
     CHECK_FALSE(admit(statementOf("browse")).execute.sessionPosition);
 }
 
-TEST_CASE("A key's digest tells every part of the request")
+TEST_CASE("The digest of an idempotency key depends on each part of the request")
 {
     inner::Execute base;
     base.team = "lagon";
@@ -144,7 +144,7 @@
     CHECK(differs([](auto &e) { e.step = inner::StatementStep::Commit; }));
 }
 
-TEST_CASE("The steps of a transaction go to the owner that its id names")
+TEST_CASE("The steps of a transaction are sent to the owner named in its id")
 {
     using caller::CallerOperation;
     caller::CallerRequest request = stepOf(CallerOperation::Commit, ownerB);
--- a/tests/entry/dispatcher_test.cpp
+++ b/tests/entry/dispatcher_test.cpp
@@ -30,7 +30,7 @@
         auto reply = std::make_shared<FakeReply>();
         dispatcher.start(std::get<AdmittedRequest>(api.admit(request)), reply, connection,
                          timers.now());
-        // What the look-up of the owner asked is not of interest here.
+        // Discards the messages of the owner lookup.
         while (!peers.sent.empty()
                && std::holds_alternative<inner::Locate>(peers.sent.front().message))
             peers.sent.pop_front();
@@ -44,7 +44,7 @@
         return start(request);
     }
 
-    // The next Execute, after any look-ups and pauses.
+    // Returns the next Execute, skipping Locate messages and retry delays.
     inner::Execute nextExecute(Duration within = 1s)
     {
         for (Duration waited(0); waited <= within; waited += 1ms, timers.advance(1ms)) {
@@ -104,7 +104,7 @@
 
 } // namespace
 
-TEST_CASE("A request goes to its owner and its answer back, with a new token")
+TEST_CASE("A request is sent to its owner and answered with a new session token")
 {
     Fixture f;
     const auto reply = f.start(statementOf("edit"));
@@ -125,11 +125,11 @@
     CHECK(f.dispatcher.inProgress() == 0);
 }
 
-TEST_CASE("A token changes only with what the session has seen")
+TEST_CASE("The session token changes only when the session's position advances")
 {
     Fixture f;
     decision::SessionToken session;
-    SECTION("nothing new")
+    SECTION("position not advanced")
     {
         session.advance("offers", {5, 77});
     }
@@ -147,7 +147,7 @@
     CHECK(reply->header("Kelptally-Session") == request.sessionToken);
 }
 
-TEST_CASE("Late, repeated and foreign answers reach nobody")
+TEST_CASE("Late, duplicate and unknown answers are dropped")
 {
     Fixture f;
     const auto first = f.start(statementOf("edit"), 1);
@@ -166,7 +166,7 @@
     CHECK(first->responses.empty());
     CHECK(second->responses.size() == 1);
 
-    // The first attempt's answer comes after the second attempt was sent.
+    // The answer to the first attempt arrives after the second attempt was sent.
     f.dispatcher.onResult(linkA, refusalFor(firstExecute, Reason::QueueFull, Executed::No));
     const inner::Execute retriedExecute = f.nextExecute();
     CHECK(retriedExecute.requestId != firstExecute.requestId);
@@ -179,7 +179,7 @@
           != std::string::npos);
 }
 
-TEST_CASE("An answer whose counts are wrong is not passed on")
+TEST_CASE("An answer with wrong counts is refused as an internal error")
 {
     Fixture f;
     const auto reply = f.start(statementOf("edit"));
@@ -190,7 +190,7 @@
     CHECK(executedOf(*reply) == "yes");
 }
 
-TEST_CASE("What was never sent is tried again until its deadline, and then was not run")
+TEST_CASE("An unsent request is retried until its deadline and reported as not executed")
 {
     Fixture f;
     f.peers.refuseWith = absl::UnavailableError("down");
@@ -216,7 +216,8 @@
     }
 }
 
-TEST_CASE("A keyed write whose link broke goes to the next owner; without one it stays unknown")
+TEST_CASE(
+    "A keyed write whose link broke is retried at the next owner, else its outcome is unknown")
 {
     Fixture f;
     const auto reply = f.startKeyed();
@@ -224,7 +225,7 @@
     f.links.onDown(linkA);
     f.dispatcher.onLinkDown(linkA);
     CHECK(reply->responses.empty());
-    SECTION("the next owner knows its key")
+    SECTION("the next owner replays the result")
     {
         f.rows.row = rowOf(ownerB, 2);
         const inner::Execute second = f.nextExecute();
@@ -246,12 +247,12 @@
         f.rows.row = rowOf(ownerB, 2);
         f.dispatcher.onResult(linkB,
                               refusalFor(f.nextExecute(), Reason::StatementFailed, Executed::No));
-        // That attempt was not run, but the first may have been.
+        // This attempt was not executed, but the first may have been.
         CHECK(executedOf(*reply) == "unknown");
     }
 }
 
-TEST_CASE("A step of a transaction is not sent twice")
+TEST_CASE("A transaction step is not retried")
 {
     Fixture f;
     caller::CallerRequest request;
@@ -268,7 +269,7 @@
         REQUIRE(reply->responses.size() == 1);
         CHECK(executedOf(*reply) == "unknown");
     }
-    SECTION("its caller goes away")
+    SECTION("its caller disconnects")
     {
         f.dispatcher.onCallerGone(1);
         const auto cancel = f.peers.take<inner::Cancel>();
@@ -280,7 +281,7 @@
     }
 }
 
-TEST_CASE("A transaction that was begun for nobody is ended")
+TEST_CASE("A transaction whose caller is gone is cancelled when its Begin is answered")
 {
     Fixture f;
     caller::CallerRequest request = statementOf("edit");
@@ -295,7 +296,7 @@
         CHECK(reply->body().textOf("transaction") == "t-9");
         CHECK(f.dispatcher.inProgress() == 0);
     }
-    SECTION("its caller has gone")
+    SECTION("its caller has disconnected")
     {
         f.dispatcher.onCallerGone(1);
         f.peers.sent.clear();
@@ -321,7 +322,7 @@
     }
 }
 
-TEST_CASE("At the deadline the request is cancelled and answered")
+TEST_CASE("A request is cancelled and refused at its deadline")
 {
     Fixture f;
     const auto reply = f.startKeyed();
@@ -337,7 +338,7 @@
     CHECK(reply->responses.size() == 1);
 }
 
-TEST_CASE("A hint is followed at once, but not in circles")
+TEST_CASE("An owner hint is followed without delay, but not in a loop")
 {
     Fixture f;
     const auto reply = f.startKeyed();
@@ -368,7 +369,7 @@
     CHECK(reply->responses[0].status == 200);
 }
 
-TEST_CASE("A read that got too old on the way is read again with more room")
+TEST_CASE("A read that arrives too old is retried with a lower age limit")
 {
     Fixture f;
     const auto reply = f.start(statementOf("browse"));
@@ -389,7 +390,7 @@
     CHECK(reply->responses[0].status == 200);
 }
 
-TEST_CASE("Final refusals are passed on as the owner gave them")
+TEST_CASE("Final refusals of the owner are forwarded unchanged")
 {
     Fixture f;
     const auto reply = f.startKeyed();
@@ -403,7 +404,7 @@
           != std::string::npos);
 }
 
-TEST_CASE("Requests in progress are bounded by team and as a whole")
+TEST_CASE("Requests in progress are limited per team and in total")
 {
     ManualTimerService timers;
     RequestTable table(timers, 4, [](const PendingPtr &) {});
@@ -427,7 +428,7 @@
     CHECK(table.size() == 4);
 }
 
-TEST_CASE("Finished requests with far deadlines leave nothing behind, and open ones are called out")
+TEST_CASE("Deadlines of finished requests are removed, and those of open ones expire")
 {
     ManualTimerService timers;
     int expired = 0;
--- a/tests/entry/entryfixtures.h
+++ b/tests/entry/entryfixtures.h
@@ -8,7 +8,7 @@
 
 #include <deque>
 
-// Fakes of what surrounds the entry's decisions, on a manual clock.
+// Fakes and test data for the entry's request handling.
 namespace kelptally::entry {
 
 constexpr const char *ownerA = "127.0.0.1:7001";
@@ -16,7 +16,7 @@
 constexpr const char *callerKey = "caller key";
 constexpr const char *tokenKey = "token key";
 
-// Keeps what is sent on each link; a link can be made to refuse.
+// Records the messages sent; sending can be made to fail.
 class FakePeerLinks : public inner::PeerLinks
 {
 public:
@@ -42,7 +42,7 @@
         return absl::OkStatus();
     }
 
-    // Takes the oldest message, which must be of this type.
+    // Removes and returns the oldest message, which must be of this type.
     template <typename M>
     M take()
     {
--- a/tests/entry/entryprocess_test.cpp
+++ b/tests/entry/entryprocess_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// An owner process that says where groups are and answers what it is told to.
+// An owner process that claims all groups and sends the answers that the test chooses.
 class FakeOwner : public inner::RecordedEvents
 {
 public:
@@ -76,7 +76,7 @@
         boost::asio::write(socket_, boost::asio::buffer(request));
     }
 
-    // Everything until the text that ends the answer's body, or until the connection is closed.
+    // Reads until the closing brace of the answer's body or the end of the connection.
     std::string read()
     {
         std::string answer;
@@ -102,7 +102,7 @@
     settings.address = "127.0.0.1";
     const std::string address = inner::freeAddress();
     settings.peerPort = std::stoi(address.substr(address.find(':') + 1));
-    // Nobody listens there: the store is down throughout.
+    // Nothing listens there: the store is unavailable throughout.
     settings.tableService = inner::freeAddress();
     settings.peerKey = "peer key";
     settings.tokenKey = tokenKey;
@@ -143,7 +143,7 @@
 
 } // namespace
 
-TEST_CASE("Answers that come out of order reach the callers they belong to")
+TEST_CASE("Answers that arrive out of order are sent to the right callers")
 {
     Fixture f;
     HttpClient first(f.entry.callerPort());
@@ -158,7 +158,7 @@
     CHECK(second.read().find("[[\"second\"]]") != std::string::npos);
 }
 
-TEST_CASE("A planned stop answers what is in flight, and then is done")
+TEST_CASE("Draining completes after the requests in flight are answered")
 {
     Fixture f;
     HttpClient client(f.entry.callerPort());
@@ -173,7 +173,7 @@
     CHECK(inner::becomesTrue([&] { return f.entry.drained(); }));
 }
 
-TEST_CASE("A caller that goes away has its request cancelled")
+TEST_CASE("The request of a caller that disconnects is cancelled")
 {
     Fixture f;
     HttpClient client(f.entry.callerPort());
@@ -185,7 +185,7 @@
     CHECK(cancel.requestId == f.owner.execute(0).requestId);
 }
 
-TEST_CASE("Refusals of the entry itself are problem documents and counted")
+TEST_CASE("Refusals by the entry are sent as problem documents and counted")
 {
     Fixture f;
     HttpClient client(f.entry.callerPort());
--- a/tests/entry/ownerdirectory_test.cpp
+++ b/tests/entry/ownerdirectory_test.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("An owner is found by its row and remembered")
+TEST_CASE("An owner is read from its row and cached")
 {
     Fixture f;
     f.rows.row = rowOf(ownerA);
@@ -46,7 +46,7 @@
     CHECK_FALSE(f.directory.owner("deposits"));
 }
 
-TEST_CASE("Processes are asked when the store is down")
+TEST_CASE("The owner is located through other processes when the store is down")
 {
     Fixture f;
     f.rows.row = absl::UnavailableError("down");
@@ -61,13 +61,13 @@
     f.directory.onLocateAnswer(located(ownerB, 4));
     REQUIRE(f.found.size() == 1);
     CHECK(f.found[0] == ownerB);
-    // An older answer, and one that names no process of ours, change nothing.
+    // An answer of an older epoch and one that names an unknown process are ignored.
     f.directory.onLocateAnswer(located(ownerA, 3));
     f.directory.onLocateAnswer(located("10.9.9.9:1", 9));
     CHECK(f.directory.owner("offers") == ownerB);
 }
 
-TEST_CASE("A look-up that nobody answers ends and is shared by all who wait")
+TEST_CASE("An unanswered lookup times out and is shared by concurrent callers")
 {
     Fixture f;
     f.resolve();
@@ -79,7 +79,7 @@
     CHECK_FALSE(f.found[1]);
 }
 
-TEST_CASE("A lost owner is asked for at its successors, and the store is spared")
+TEST_CASE("The successors of a lost owner are asked without further reads of the store")
 {
     Fixture f;
     f.rows.row = rowOf(ownerA, 1, {ownerB});
@@ -90,7 +90,7 @@
     f.directory.suspect("offers", ownerA);
     CHECK_FALSE(f.directory.owner("offers"));
 
-    // Within the interval the row is not read again; the successor is asked each time it is due.
+    // The row is not read again within rowReadInterval; the successor is asked each locateInterval.
     f.rows.row = absl::UnavailableError("down");
     f.timers.advance(100ms);
     f.resolve();
@@ -105,7 +105,7 @@
     CHECK(f.found[1] == ownerB);
 }
 
-TEST_CASE("Links are kept to configured processes only")
+TEST_CASE("Links are opened to configured processes only")
 {
     Fixture f;
     CHECK(f.peers.connected == std::vector<std::string> {ownerA, ownerB});
