--- a/src/entry/callerapi.cpp
+++ b/src/entry/callerapi.cpp
@@ -85,7 +85,7 @@
     keys_ = caller::callerKeys(configuration_->inventory);
 }
 
-Admitted CallerApi::admit(caller::CallerRequest request) const
+AdmissionResult CallerApi::admit(caller::CallerRequest request) const
 {
     if (!configuration_)
         return makeProblem(Reason::StoreUnavailable, "this entry has no configuration yet");
--- a/src/entry/callerapi.h
+++ b/src/entry/callerapi.h
@@ -33,7 +33,7 @@
     int teamSharePercent = 100;
 };
 
-using Admitted = std::variant<AdmittedRequest, caller::Problem>;
+using AdmissionResult = std::variant<AdmittedRequest, caller::Problem>;
 
 // Authenticates, authorises and validates callers' requests against the active configuration.
 // Performs no I/O.
@@ -44,7 +44,7 @@
 
     void configure(settings::ConfigurationPtr configuration);
 
-    Admitted admit(caller::CallerRequest request) const;
+    AdmissionResult admit(caller::CallerRequest request) const;
 
     const std::string &tokenKey() const { return tokenKey_; }
 
--- a/src/entry/entryprocess.cpp
+++ b/src/entry/entryprocess.cpp
@@ -170,7 +170,7 @@
 void EntryProcess::onArrival(Arrival arrival)
 {
     const caller::ConnectionId connection = arrival.request.connection;
-    Admitted admitted = api_.admit(std::move(arrival.request));
+    AdmissionResult admitted = api_.admit(std::move(arrival.request));
     if (auto *problem = std::get_if<caller::Problem>(&admitted)) {
         metrics_.countRefused(problem->reason);
         return arrival.reply->send(caller::problemResponse(*problem));
--- a/tests/entry/callerapi_test.cpp
+++ b/tests/entry/callerapi_test.cpp
@@ -18,7 +18,7 @@
 
 Reason refusal(const caller::CallerRequest &request)
 {
-    const Admitted admitted = configuredApi().admit(request);
+    const AdmissionResult admitted = configuredApi().admit(request);
     const auto *problem = std::get_if<caller::Problem>(&admitted);
     return problem ? problem->reason : Reason::None;
 }
