--- a/tests/entry/dispatcher_test.cpp
+++ b/tests/entry/dispatcher_test.cpp
@@ -30,7 +30,7 @@
         auto reply = std::make_shared<FakeReply>();
         dispatcher.start(std::get<AdmittedRequest>(api.admit(request)), reply, connection,
                          timers.now());
-        // What the look-up of the owner asked is not of interest here.
+        // Discards the messages of the owner lookup.
         while (!peers.sent.empty()
                && std::holds_alternative<inner::Locate>(peers.sent.front().message))
             peers.sent.pop_front();
@@ -44,7 +44,7 @@
         return start(request);
     }
 
-    // The next Execute, after any look-ups and pauses.
+    // Returns the next Execute, skipping Locate messages and retry delays.
     inner::Execute nextExecute(Duration within = 1s)
     {
         for (Duration waited(0); waited <= within; waited += 1ms, timers.advance(1ms)) {
@@ -61,7 +61,7 @@
 
     ManualTimerService timers;
     FakePeerLinks peers;
-    FakeOwnerRows rows;
+    FakeOwnershipRowReader rows;
     Metrics metrics;
     EntryMetrics entryMetrics {metrics};
     OwnerLinks links {peers};
@@ -71,7 +71,7 @@
     inner::LinkId lastLink = 0;
 };
 
-inner::ExecuteResult doneFor(const inner::Execute &execute)
+inner::ExecuteResult successFor(const inner::Execute &execute)
 {
     inner::ExecuteResult result;
     result.requestId = execute.requestId;
@@ -104,7 +104,7 @@
 
 } // namespace
 
-TEST_CASE("A request goes to its owner and its answer back, with a new token")
+TEST_CASE("A request is sent to its owner and answered with a new session token")
 {
     Fixture f;
     const auto reply = f.start(statementOf("edit"));
@@ -114,7 +114,7 @@
     CHECK(execute.deadlineIn > Duration(1900ms));
     CHECK(execute.deadlineIn < Duration(2s));
     CHECK(f.dispatcher.inProgress() == 1);
-    inner::ExecuteResult result = doneFor(execute);
+    inner::ExecuteResult result = successFor(execute);
     result.position = Position {5, 77};
     f.dispatcher.onResult(linkA, result);
     REQUIRE(reply->responses.size() == 1);
@@ -125,11 +125,11 @@
     CHECK(f.dispatcher.inProgress() == 0);
 }
 
-TEST_CASE("A token changes only with what the session has seen")
+TEST_CASE("The session token changes only when the session's position advances")
 {
     Fixture f;
     decision::SessionToken session;
-    SECTION("nothing new")
+    SECTION("position not advanced")
     {
         session.advance("offers", {5, 77});
     }
@@ -141,56 +141,56 @@
     caller::CallerRequest request = statementOf("fresh");
     request.sessionToken = session.seal(tokenKey);
     const auto reply = f.start(request);
-    inner::ExecuteResult result = doneFor(f.nextExecute());
+    inner::ExecuteResult result = successFor(f.nextExecute());
     result.position = Position {5, 76};
     f.dispatcher.onResult(linkA, result);
     CHECK(reply->header("Kelptally-Session") == request.sessionToken);
 }
 
-TEST_CASE("Late, repeated and foreign answers reach nobody")
+TEST_CASE("Late, duplicate and unknown answers are dropped")
 {
     Fixture f;
     const auto first = f.start(statementOf("edit"), 1);
-    const inner::Execute one = f.nextExecute();
+    const inner::Execute firstExecute = f.nextExecute();
     const auto second = f.start(statementOf("edit"), 2);
-    const inner::Execute two = f.nextExecute();
-    CHECK(one.requestId != two.requestId);
+    const inner::Execute secondExecute = f.nextExecute();
+    CHECK(firstExecute.requestId != secondExecute.requestId);
 
-    f.dispatcher.onResult(linkB, doneFor(one));
+    f.dispatcher.onResult(linkB, successFor(firstExecute));
     CHECK(first->responses.empty());
-    inner::ExecuteResult unknown = doneFor(one);
+    inner::ExecuteResult unknown = successFor(firstExecute);
     unknown.requestId += 1;
     f.dispatcher.onResult(linkA, unknown);
-    f.dispatcher.onResult(linkA, doneFor(two));
-    f.dispatcher.onResult(linkA, doneFor(two));
+    f.dispatcher.onResult(linkA, successFor(secondExecute));
+    f.dispatcher.onResult(linkA, successFor(secondExecute));
     CHECK(first->responses.empty());
     CHECK(second->responses.size() == 1);
 
-    // The first attempt's answer comes after the second attempt was sent.
-    f.dispatcher.onResult(linkA, refusalFor(one, Reason::QueueFull, Executed::No));
-    const inner::Execute again = f.nextExecute();
-    CHECK(again.requestId != one.requestId);
-    CHECK(again.attempt == 1);
-    f.dispatcher.onResult(linkA, doneFor(one));
+    // The answer to the first attempt arrives after the second attempt was sent.
+    f.dispatcher.onResult(linkA, refusalFor(firstExecute, Reason::QueueFull, Executed::No));
+    const inner::Execute retriedExecute = f.nextExecute();
+    CHECK(retriedExecute.requestId != firstExecute.requestId);
+    CHECK(retriedExecute.attempt == 1);
+    f.dispatcher.onResult(linkA, successFor(firstExecute));
     CHECK(first->responses.empty());
-    f.dispatcher.onResult(linkA, doneFor(again));
+    f.dispatcher.onResult(linkA, successFor(retriedExecute));
     CHECK(first->responses.size() == 1);
     CHECK(f.metrics.toText().find("kelptally_entry_answers_dropped_total{cause=\"late\"} 4")
           != std::string::npos);
 }
 
-TEST_CASE("An answer whose counts are wrong is not passed on")
+TEST_CASE("An answer with wrong counts is refused as an internal error")
 {
     Fixture f;
     const auto reply = f.start(statementOf("edit"));
-    inner::ExecuteResult result = doneFor(f.nextExecute());
+    inner::ExecuteResult result = successFor(f.nextExecute());
     result.rowCount = 2;
     f.dispatcher.onResult(linkA, result);
     CHECK(reasonOf(*reply) == "internal");
     CHECK(executedOf(*reply) == "yes");
 }
 
-TEST_CASE("What was never sent is tried again until its deadline, and then was not run")
+TEST_CASE("An unsent request is retried until its deadline and reported as not executed")
 {
     Fixture f;
     f.peers.refuseWith = absl::UnavailableError("down");
@@ -202,7 +202,7 @@
         f.peers.refuseWith = absl::OkStatus();
         const inner::Execute execute = f.nextExecute();
         CHECK(execute.attempt > 0);
-        f.dispatcher.onResult(linkA, doneFor(execute));
+        f.dispatcher.onResult(linkA, successFor(execute));
         CHECK(reply->responses[0].status == 200);
     }
     SECTION("it does not")
@@ -216,7 +216,8 @@
     }
 }
 
-TEST_CASE("A keyed write whose link broke goes to the next owner; without one it stays unknown")
+TEST_CASE(
+    "A keyed write whose link broke is retried at the next owner, else its outcome is unknown")
 {
     Fixture f;
     const auto reply = f.startKeyed();
@@ -224,13 +225,13 @@
     f.links.onDown(linkA);
     f.dispatcher.onLinkDown(linkA);
     CHECK(reply->responses.empty());
-    SECTION("the next owner knows its key")
+    SECTION("the next owner replays the result")
     {
         f.rows.row = rowOf(ownerB, 2);
         const inner::Execute second = f.nextExecute();
         CHECK(f.lastLink == linkB);
         CHECK(second.key == first.key);
-        inner::ExecuteResult result = doneFor(second);
+        inner::ExecuteResult result = successFor(second);
         result.replayed = true;
         f.dispatcher.onResult(linkB, result);
         CHECK(reply->body().find("replayed")->boolean);
@@ -246,12 +247,12 @@
         f.rows.row = rowOf(ownerB, 2);
         f.dispatcher.onResult(linkB,
                               refusalFor(f.nextExecute(), Reason::StatementFailed, Executed::No));
-        // That attempt was not run, but the first may have been.
+        // This attempt was not executed, but the first may have been.
         CHECK(executedOf(*reply) == "unknown");
     }
 }
 
-TEST_CASE("A step of a transaction is not sent twice")
+TEST_CASE("A transaction step is not retried")
 {
     Fixture f;
     caller::CallerRequest request;
@@ -268,26 +269,26 @@
         REQUIRE(reply->responses.size() == 1);
         CHECK(executedOf(*reply) == "unknown");
     }
-    SECTION("its caller goes away")
+    SECTION("its caller disconnects")
     {
         f.dispatcher.onCallerGone(1);
         const auto cancel = f.peers.take<inner::Cancel>();
         CHECK(cancel.requestId == execute.requestId);
         CHECK(cancel.transaction == request.transaction);
-        f.dispatcher.onResult(linkB, doneFor(execute));
+        f.dispatcher.onResult(linkB, successFor(execute));
         CHECK(reply->responses.empty());
         CHECK(f.dispatcher.inProgress() == 0);
     }
 }
 
-TEST_CASE("A transaction that was begun for nobody is ended")
+TEST_CASE("A transaction whose caller is gone is cancelled when its Begin is answered")
 {
     Fixture f;
     caller::CallerRequest request = statementOf("edit");
     request.operation = caller::CallerOperation::Begin;
     const auto reply = f.start(request);
     const inner::Execute execute = f.nextExecute();
-    inner::ExecuteResult begun = doneFor(execute);
+    inner::ExecuteResult begun = successFor(execute);
     begun.transaction = "t-9";
     SECTION("in time")
     {
@@ -295,7 +296,7 @@
         CHECK(reply->body().textOf("transaction") == "t-9");
         CHECK(f.dispatcher.inProgress() == 0);
     }
-    SECTION("its caller has gone")
+    SECTION("its caller has disconnected")
     {
         f.dispatcher.onCallerGone(1);
         f.peers.sent.clear();
@@ -321,7 +322,7 @@
     }
 }
 
-TEST_CASE("At the deadline the request is cancelled and answered")
+TEST_CASE("A request is cancelled and refused at its deadline")
 {
     Fixture f;
     const auto reply = f.startKeyed();
@@ -333,11 +334,11 @@
     CHECK(reasonOf(*reply) == "deadline_exceeded");
     CHECK(executedOf(*reply) == "unknown");
     CHECK(f.peers.take<inner::Cancel>().requestId == execute.requestId);
-    f.dispatcher.onResult(linkA, doneFor(execute));
+    f.dispatcher.onResult(linkA, successFor(execute));
     CHECK(reply->responses.size() == 1);
 }
 
-TEST_CASE("A hint is followed at once, but not in circles")
+TEST_CASE("An owner hint is followed without delay, but not in a loop")
 {
     Fixture f;
     const auto reply = f.startKeyed();
@@ -364,18 +365,18 @@
     CHECK(f.peers.sent.empty());
     execute = f.nextExecute();
     CHECK(f.timers.now() > before);
-    f.dispatcher.onResult(f.lastLink, doneFor(execute));
+    f.dispatcher.onResult(f.lastLink, successFor(execute));
     CHECK(reply->responses[0].status == 200);
 }
 
-TEST_CASE("A read that got too old on the way is read again with more room")
+TEST_CASE("A read that arrives too old is retried with a lower age limit")
 {
     Fixture f;
     const auto reply = f.start(statementOf("browse"));
     inner::Execute execute = f.nextExecute();
     REQUIRE(execute.statedAge);
     const Duration firstAge = *execute.statedAge;
-    inner::ExecuteResult result = doneFor(execute);
+    inner::ExecuteResult result = successFor(execute);
     result.fromReplica = true;
     result.age = firstAge;
     f.timers.advance(100ms);
@@ -389,7 +390,7 @@
     CHECK(reply->responses[0].status == 200);
 }
 
-TEST_CASE("Final refusals are passed on as the owner gave them")
+TEST_CASE("Final refusals of the owner are forwarded unchanged")
 {
     Fixture f;
     const auto reply = f.startKeyed();
@@ -403,7 +404,7 @@
           != std::string::npos);
 }
 
-TEST_CASE("Requests in progress are bounded by team and as a whole")
+TEST_CASE("Requests in progress are limited per team and in total")
 {
     ManualTimerService timers;
     RequestTable table(timers, 4, [](const PendingPtr &) {});
@@ -427,7 +428,7 @@
     CHECK(table.size() == 4);
 }
 
-TEST_CASE("Finished requests with far deadlines leave nothing behind, and open ones are called out")
+TEST_CASE("Deadlines of finished requests are removed, and those of open ones expire")
 {
     ManualTimerService timers;
     int expired = 0;
@@ -443,7 +444,7 @@
         REQUIRE(table.add(finished) == Reason::None);
         table.remove(finished);
     }
-    CHECK(table.watched() < 10'000);
+    CHECK(table.deadlineCount() < 10'000);
     CHECK(table.size() == 1);
     timers.advance(1h);
     CHECK(expired == 1);
--- a/tests/host/fleetwork_test.cpp
+++ b/tests/host/fleetwork_test.cpp
@@ -244,20 +244,20 @@
                 list(i, index, 1);
     }
 
-    double visits()
+    double scannedEntries()
     {
         double sum = 0;
         for (const char *part : {"servers", "owners", "retold_groups"})
-            sum += metrics.visits(part).Value();
+            sum += metrics.scannedEntries(part).Value();
         return sum;
     }
     // Returns the visits of the action and of the second after it.
     double visitsDuring(const std::function<void()> &action)
     {
-        const double before = visits();
+        const double before = scannedEntries();
         action();
         timers.advance(1s);
-        return visits() - before;
+        return scannedEntries() - before;
     }
 
     const int groups;
@@ -298,11 +298,11 @@
         for (const int groups : {10, 100, 1000}) {
             CAPTURE(owned, groups);
             SingleHost host(groups, owned);
-            const double visits = host.visitsDuring([&] {
+            const double scannedEntries = host.visitsDuring([&] {
                 host.configure(1);
                 host.listAll();
             });
-            CHECK(visits <= maxVisitsPerEvent * groups);
+            CHECK(scannedEntries <= maxVisitsPerEvent * groups);
         }
     }
 }
--- a/tests/host/modelcluster.cpp
+++ b/tests/host/modelcluster.cpp
@@ -29,7 +29,7 @@
         EventLogOptions options;
         options.level = enabled ? LogLevel::Debug : LogLevel::Error;
         options.linesPerSecond = 100'000;
-        options.queueLines = enabled ? 1 << 16 : 16;
+        options.queueCapacity = enabled ? 1 << 16 : 16;
         options.host = "host-" + std::to_string(host);
         log = std::make_unique<EventLog>(options);
     }
