--- a/src/backend/sqltraits.cpp
+++ b/src/backend/sqltraits.cpp
@@ -369,11 +369,11 @@
     if (traits.usesCopy)
         return "COPY is not supported";
     if (traits.readsSessionState)
-        return "functions that read the session's last statement are not allowed: use RETURNING";
+        return "functions that return session state are not allowed: use RETURNING";
     if (traits.referencesInternals)
         return "access to kelptally's own tables and functions is not allowed";
     if (readOnly && !traits.readsOnly)
-        return "a read-only request cannot write";
+        return "a read-only request may only read";
     return {};
 }
 
--- a/tests/backend/sqltraits_test.cpp
+++ b/tests/backend/sqltraits_test.cpp
@@ -39,7 +39,7 @@
     }
 }
 
-TEST_CASE("read-only requests cannot write")
+TEST_CASE("read-only requests may only read")
 {
     for (const char *sql : {"SELECT 1", "(SELECT 1) UNION SELECT 2", "VALUES (1)", "TABLE a",
                             "WITH a AS (SELECT 'UPDATE') SELECT * FROM a", "EXPLAIN SELECT 1"}) {
--- a/tests/backend/writeflow_test.cpp
+++ b/tests/backend/writeflow_test.cpp
@@ -351,7 +351,7 @@
             CHECK(fixture.decisions() == "1");
             break;
         case WriteState::NotRun:
-            // A resolved request is final: delayed attempts must not commit. Otherwise only this
+            // Resolved as not run: delayed earlier attempts must not commit. Otherwise only this
             // attempt did not run.
             if (resolves) {
                 CHECK_FALSE(acknowledged);
