--- a/tests/decision/fairshare_test.cpp
+++ b/tests/decision/fairshare_test.cpp
@@ -27,7 +27,7 @@
 
 struct Outcomes
 {
-    Outcome greedy;
+    Outcome overloading;
     Outcome others;
 };
 
@@ -40,25 +40,25 @@
     struct Waiting
     {
         WaitingStatement statement;
-        bool greedy = false;
+        bool overloading = false;
     };
-    StartTimeFairQueuing turns;
+    StartTimeFairQueuing fairQueuing;
     std::vector<Waiting> queue;
     std::vector<Instant> freeAt(slots, start);
     Outcomes outcomes;
     for (Instant now = start; now < start + 10s; now += 1ms) {
         for (int organisation = 0; organisation < 20; ++organisation) {
-            const bool greedy = organisation == 0;
-            if (chance(random) >= 0.006 * (greedy ? loadFactor : 1))
+            const bool overloading = organisation == 0;
+            if (chance(random) >= 0.006 * (overloading ? loadFactor : 1))
                 continue;
             Waiting waiting;
             waiting.statement = makeWaitingStatement(now, 250ms, 800ms, 2, false);
             waiting.statement.service = work;
             waiting.statement.startTag =
-                turns.onArrival("org" + std::to_string(organisation), work);
-            waiting.greedy = greedy;
+                fairQueuing.onArrival("org" + std::to_string(organisation), work);
+            waiting.overloading = overloading;
             queue.push_back(waiting);
-            ++(greedy ? outcomes.greedy : outcomes.others).asked;
+            ++(overloading ? outcomes.overloading : outcomes.others).asked;
         }
         queue.erase(std::remove_if(queue.begin(), queue.end(),
                                    [&](const Waiting &each) {
@@ -67,7 +67,7 @@
                     queue.end());
         if (fair)
             for (Waiting &each : queue)
-                each.statement.overShare = turns.isOverShare(each.statement.startTag);
+                each.statement.overShare = fairQueuing.isOverShare(each.statement.startTag);
         for (Instant &slot : freeAt) {
             if (slot > now || queue.empty())
                 continue;
@@ -76,9 +76,10 @@
                     return precedes(a.statement, b.statement, now);
                 });
             slot = now + work;
-            turns.onStart(next->statement.startTag);
-            ++(next->greedy ? outcomes.greedy : outcomes.others).inTime;
-            (next->greedy ? outcomes.greedy : outcomes.others).inTime -= slot > next->statement.due;
+            fairQueuing.onStart(next->statement.startTag);
+            ++(next->overloading ? outcomes.overloading : outcomes.others).inTime;
+            (next->overloading ? outcomes.overloading : outcomes.others).inTime -=
+                slot > next->statement.due;
             queue.erase(next);
         }
     }
@@ -94,31 +95,32 @@
     const Outcomes fair = simulate(true, 40);
     INFO(byDueDate.others.share() << " of the others in time by due date, " << fair.others.share()
                                   << " by fair queuing; of the overloading one "
-                                  << byDueDate.greedy.share() << " and " << fair.greedy.share());
+                                  << byDueDate.overloading.share() << " and "
+                                  << fair.overloading.share());
     CHECK(byDueDate.others.share() < 0.75);
     CHECK(fair.others.share() > 0.95);
     // Capacity that the others leave is used.
-    CHECK(fair.greedy.inTime + fair.others.inTime
-          >= 0.95 * (byDueDate.greedy.inTime + byDueDate.others.inTime));
+    CHECK(fair.overloading.inTime + fair.others.inTime
+          >= 0.95 * (byDueDate.overloading.inTime + byDueDate.others.inTime));
 }
 
 TEST_CASE("Fair queuing costs little throughput at normal load")
 {
     const Outcomes byDueDate = simulate(false, 1);
     const Outcomes fair = simulate(true, 1);
-    CHECK(fair.others.inTime + fair.greedy.inTime
-          >= 0.99 * (byDueDate.others.inTime + byDueDate.greedy.inTime));
+    CHECK(fair.others.inTime + fair.overloading.inTime
+          >= 0.99 * (byDueDate.others.inTime + byDueDate.overloading.inTime));
 }
 
 TEST_CASE("Start tags give no credit for idle time and detect organisations over their share")
 {
-    StartTimeFairQueuing turns;
+    StartTimeFairQueuing fairQueuing;
     for (int i = 0; i < 20; ++i)
-        turns.onArrival("a", 10ms);
-    const Duration last = turns.onArrival("a", 10ms);
-    CHECK(turns.isOverShare(last));
-    turns.onStart(last);
-    CHECK(!turns.isOverShare(last));
+        fairQueuing.onArrival("a", 10ms);
+    const Duration last = fairQueuing.onArrival("a", 10ms);
+    CHECK(fairQueuing.isOverShare(last));
+    fairQueuing.onStart(last);
+    CHECK(!fairQueuing.isOverShare(last));
     // The first statement of b starts at the current virtual time.
-    CHECK(turns.onArrival("b", 10ms) == last);
+    CHECK(fairQueuing.onArrival("b", 10ms) == last);
 }
