--- a/src/core/eventlog.cpp
+++ b/src/core/eventlog.cpp
@@ -26,9 +26,9 @@
     {"error", LogLevel::Error, spdlog::level::err},
 }};
 
-constexpr Duration shareTime = std::chrono::seconds(1);
-// Events and reasons are fixed words of the code, so there are few; a bound all the same.
-constexpr std::size_t maxShares = 1024;
+constexpr Duration rateWindowLength = std::chrono::seconds(1);
+// Limits the memory for rate windows. Events and reasons are constants, so few are expected.
+constexpr std::size_t maxRateWindows = 1024;
 
 } // namespace
 
@@ -45,13 +45,13 @@
 
 struct EventLog::Private
 {
-    explicit Private(std::size_t queueLines)
-        : pool(std::make_shared<spdlog::details::thread_pool>(queueLines, 1)),
+    explicit Private(std::size_t queueCapacity)
+        : pool(std::make_shared<spdlog::details::thread_pool>(queueCapacity, 1)),
           logger(std::make_shared<spdlog::async_logger>(
               "kelptally", std::make_shared<spdlog::sinks::stdout_sink_mt>(), pool,
               spdlog::async_overflow_policy::overrun_oldest))
     {
-        // The time of day stands in the lines and nowhere else.
+        // The formatter writes the wall-clock time and opens the JSON object.
         logger->set_formatter(std::make_unique<spdlog::pattern_formatter>(
             "{\"time\":\"%Y-%m-%dT%H:%M:%S.%eZ\",%v", spdlog::pattern_time_type::utc));
         logger->set_level(spdlog::level::trace);
@@ -62,7 +62,7 @@
 };
 
 EventLog::EventLog(const EventLogOptions &options)
-    : options_(options), d_(std::make_unique<Private>(options.queueLines))
+    : options_(options), d_(std::make_unique<Private>(options.queueCapacity))
 { }
 
 EventLog::~EventLog() = default;
@@ -84,18 +84,18 @@
     std::string name(event);
     name += '/';
     name += reason;
-    if (shares_.size() >= maxShares)
-        shares_.clear();
-    Share &share = shares_[name];
+    if (rateWindows_.size() >= maxRateWindows)
+        rateWindows_.clear();
+    RateWindow &window = rateWindows_[name];
     const Instant now = BootClock::now();
-    std::uint64_t leftOut = 0;
-    if (now - share.since >= shareTime) {
-        leftOut = share.leftOut;
-        share = {now, 0, 0};
+    std::uint64_t suppressed = 0;
+    if (now - window.since >= rateWindowLength) {
+        suppressed = window.suppressed;
+        window = {now, 0, 0};
     }
-    if (++share.lines > options_.linesPerSecond) {
-        ++share.leftOut;
-        ++leftOut_;
+    if (++window.lines > options_.linesPerSecond) {
+        ++window.suppressed;
+        ++suppressed_;
         return {nullptr, level};
     }
     LogLine line(this, level);
@@ -106,14 +106,14 @@
     line.with("event", event);
     if (!reason.empty())
         line.with("reason", reason);
-    if (leftOut > 0)
-        line.with("left_out", leftOut);
+    if (suppressed > 0)
+        line.with("left_out", suppressed);
     return line;
 }
 
 void EventLog::write(LogLevel level, std::string text)
 {
-    // The formatter has opened the object and written the time.
+    // Drops the opening brace, which the formatter writes together with the time.
     text.erase(0, 1);
     d_->logger->log(levels[static_cast<std::size_t>(level)].spd, spdlog::string_view_t(text));
 }
--- a/src/entry/entrymetrics.h
+++ b/src/entry/entrymetrics.h
@@ -4,21 +4,21 @@
 
 namespace kelptally::entry {
 
-// What an entry counts. Callable from any thread.
+// Metrics of the entry process. Thread-safe.
 class EntryMetrics
 {
 public:
     explicit EntryMetrics(Metrics &metrics);
 
     void countAnswered(Duration took);
-    // A final refusal, by its reason.
+    // Counts an answer that refuses a request; retried failures are counted by countRetry().
     void countRefused(Reason reason);
     void countRetry(Reason reason);
     void countCallerGone();
-    // Answers of owners that went to no caller.
+    // Answers of owners that were dropped.
     void countLateAnswer();
     void countDamagedAnswer();
-    void countStaleOnTheWay();
+    void countStaleAnswer();
     void setInFlight(std::size_t count);
     void setConnections(int count);
     void setOwnerLinks(std::size_t count);
@@ -29,7 +29,7 @@
     prometheus::Counter &callerGone_;
     prometheus::Counter &lateAnswers_;
     prometheus::Counter &damagedAnswers_;
-    prometheus::Counter &staleOnTheWay_;
+    prometheus::Counter &staleAnswers_;
     prometheus::Gauge &inFlight_;
     prometheus::Gauge &connections_;
     prometheus::Gauge &ownerLinks_;
--- a/src/entry/entryprocess.h
+++ b/src/entry/entryprocess.h
@@ -14,17 +14,18 @@
 
 namespace kelptally::entry {
 
-// One entry process: the callers thread with the HTTP server, the requests thread with all
-// decisions and the calls to the table service, and the links' thread.
+// The entry process. Threads: callers runs the HTTP server, requests runs the dispatcher and the
+// table service client, and the peer links have a thread of their own.
 class EntryProcess : public admin::FrameProgram, public RequestEvents
 {
 public:
     EntryProcess(const settings::ProcessSettings &settings, Metrics &metrics);
     ~EntryProcess() override;
 
-    // Opens the peer endpoint. The frame's part is told of the links and their events.
+    // Opens the peer and caller endpoints and starts the threads. peers receives the events of the
+    // links and must stay valid until stop().
     absl::Status start(admin::AdminPeers &peers);
-    // Cuts off what is in progress.
+    // Stops without waiting for requests in progress.
     void stop();
 
     void install(settings::ConfigurationPtr configuration) override;
@@ -43,7 +44,7 @@
     int callerPort() const { return server_.port(); }
 
 private:
-    class TableRows;
+    class TableServiceRowReader;
 
     void configure(const settings::ConfigurationPtr &configuration);
 
@@ -58,15 +59,15 @@
     CallerApi api_;
     admin::AdminPeers *adminPeers_ = nullptr;
     std::unique_ptr<inner::PeerLinks> links_;
-    // Used and destroyed on the requests thread, or while it does not run.
+    // Accessed on the requests thread only while it runs.
     std::unique_ptr<services::TableService> table_;
-    std::unique_ptr<OwnerRows> rows_;
+    std::unique_ptr<OwnershipRowReader> rows_;
     std::unique_ptr<OwnerLinks> ownerLinks_;
     std::unique_ptr<OwnerDirectory> directory_;
     std::unique_ptr<Dispatcher> dispatcher_;
     std::atomic<ConfigVersion> configVersion_ {0};
     std::atomic<std::size_t> inProgress_ {0};
-    std::atomic<std::size_t> linksUp_ {0};
+    std::atomic<std::size_t> connectedLinks_ {0};
     std::atomic<bool> serving_ {false};
     std::atomic<bool> draining_ {false};
     std::atomic<bool> drained_ {false};
--- a/src/group/grouprunnertransactions.cpp
+++ b/src/group/grouprunnertransactions.cpp
@@ -4,7 +4,7 @@
 
 #include <limits>
 
-// The ends of transactions other than by a commit.
+// Rollback and cleanup of transactions.
 namespace kelptally::group {
 
 using session::commits;
@@ -14,26 +14,27 @@
     rollBack({origin, end.session}, end.begunBy);
 }
 
-// Ends what a statement of at most this number has begun.
+// Rolls back the session's transaction if its first statement's number is at most begunBy.
 void GroupRunner::rollBack(const Origin &origin, inner::RequestId begunBy)
 {
     const auto open = transactions_.find(origin);
     if (open == transactions_.end())
-        return giveUpBegin(origin, begunBy);
+        return cancelBegin(origin, begunBy);
     if (open->second.begunBy > begunBy)
         return;
-    // 1. While a statement runs in it, only the end of the connection ends it; a commit that was
-    // sent may have taken effect.
+    // 1. While a statement is running, only closing the connection ends the transaction. A commit
+    // that was sent may have taken effect.
     if (open->second.job) {
         const JobPtr job = open->second.job;
-        const bool mayStay = job->running && commits(job->statement);
+        const bool mayHaveCommitted = job->running && commits(job->statement);
         if (!job->running)
             queue_.remove(job);
-        refuse(job, mayStay ? Reason::Unconfirmed : Reason::TransactionEnded,
-               mayStay ? Executed::Unknown : Executed::No, "the caller ended the transaction");
-        return forgetTransaction(origin, true);
+        refuse(job, mayHaveCommitted ? Reason::Unconfirmed : Reason::TransactionEnded,
+               mayHaveCommitted ? Executed::Unknown : Executed::No,
+               "the caller ended the transaction");
+        return removeTransaction(origin, true);
     }
-    // 2. Otherwise the connection is rolled back and used again.
+    // 2. Otherwise roll back and reuse the connection.
     const Transaction transaction = open->second;
     transactions_.erase(open);
     GroupServer *server = find(transaction.server);
@@ -44,7 +45,7 @@
     }
     ServerCommand command;
     command.kind = CommandKind::Rollback;
-    server->sent();
+    server->onSend();
     transaction.connection->connection->run(
         {command}, [this, alive = alive_, transaction](BatchResult result) {
             GroupServer *server = *alive ? find(transaction.server) : nullptr;
@@ -56,12 +57,12 @@
                 server->giveBack(transaction.connection);
             else
                 server->discard(transaction.connection);
-            pumpSoon();
+            scheduleDispatch();
         });
 }
 
-// The transaction has not begun yet; it must not do so for nobody.
-void GroupRunner::giveUpBegin(const Origin &origin, inner::RequestId begunBy)
+// Cancels a transaction that has not begun yet, as its caller no longer waits for it.
+void GroupRunner::cancelBegin(const Origin &origin, inner::RequestId begunBy)
 {
     std::vector<JobPtr> jobs(queue_.begin(), queue_.end());
     jobs.insert(jobs.end(), running_.begin(), running_.end());
@@ -75,7 +76,7 @@
     }
 }
 
-void GroupRunner::forgetTransaction(const Origin &origin, bool close)
+void GroupRunner::removeTransaction(const Origin &origin, bool close)
 {
     const auto open = transactions_.find(origin);
     if (open == transactions_.end())
@@ -89,14 +90,14 @@
         transaction.connection->connection->close();
 }
 
-void GroupRunner::onOriginGone(inner::LinkId origin)
+void GroupRunner::onEntryDisconnected(inner::LinkId origin)
 {
-    std::vector<Origin> gone;
+    std::vector<Origin> origins;
     for (const auto &[key, transaction] : transactions_)
         if (key.first == origin)
-            gone.push_back(key);
+            origins.push_back(key);
     constexpr auto all = std::numeric_limits<inner::RequestId>::max();
-    for (const Origin &key : gone)
+    for (const Origin &key : origins)
         rollBack(key, all);
 }
 
--- a/src/group/ownership.cpp
+++ b/src/group/ownership.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 OwnershipTable::OwnershipTable(const Parts &parts, OwnershipEvents &events)
-    : parts_(parts), visits_(parts.metrics.visits("owners")), events_(events),
+    : parts_(parts), visits_(parts.metrics.scannedEntries("owners")), events_(events),
       follower_({parts.timers, parts.feed, parts.log}, table, feedPollTimeout,
                 {[this](const services::TableRow &row) { applyRow(row); },
                  [this](const std::string &key) { unreadableRows_.insert(key); },
@@ -43,7 +43,7 @@
     const std::set<GroupName> wantedGroups = std::move(wantedGroups_);
     wantedGroups_.clear();
     for (const GroupName &group : wantedGroups)
-        wantOwner(group);
+        requestOwner(group);
     const std::map<GroupName, std::size_t> proactiveClaims = std::move(pendingProactiveClaims_);
     pendingProactiveClaims_.clear();
     for (const auto &[group, groups] : proactiveClaims)
@@ -105,7 +105,7 @@
     return true;
 }
 
-void OwnershipTable::learnOwner(const GroupName &group, const session::OwnerRef &owner)
+void OwnershipTable::applyReportedOwner(const GroupName &group, const session::OwnerRef &owner)
 {
     Entry &entry = entries_[group];
     if (owner.process.address.empty() || (entry.known && owner.epoch <= entry.record.epoch))
--- a/src/inner/cborreader.h
+++ b/src/inner/cborreader.h
@@ -11,11 +11,11 @@
 
 namespace kelptally::inner {
 
-// One item of a CBOR document. Its text lies in the document's bytes.
+// One item of a CBOR document. Its text refers to the document's bytes.
 struct CborItem
 {
     enum Type : std::uint8_t {
-        // None of the others, which messages don't have.
+        // Any other type, which is not used in messages.
         Unknown,
         Null,
         Flag,
@@ -25,19 +25,18 @@
         Array,
     };
     Type type = Unknown;
-    // Flag: 0 or 1; Array: count of its elements; Negative: the two's complement.
+    // Flag: 0 or 1; Array: number of elements; Negative: two's complement.
     std::uint64_t number = 0;
     std::string_view text;
 };
 
-// Takes the next item off the front of a document, without allocating and without looking into it.
-// False when it is cut short or not CBOR.
-bool takeCborItem(std::string_view &bytes, CborItem &item);
+// Consumes the next item of a document without allocating; of an array, only its head. Returns
+// false when it is truncated or not CBOR.
+bool readCborItem(std::string_view &bytes, CborItem &item);
 
-// Reads the fields of records; see layout(). Counts and lengths are held to their bounds, and to
-// what the rest of the document can hold, before anything is allocated for them. After the first
-// mistake it reads nothing more. A record may be shorter than this build's (the fields it lacks
-// keep their defaults) or longer (what this build doesn't know is skipped).
+// Reads the fields of records; see layout(). Counts and lengths are checked against their bounds
+// and the remaining bytes before memory is allocated. Stops at the first error. In a shorter record
+// the missing fields keep their defaults; in a longer one the unknown fields are skipped.
 class CborReader
 {
 public:
@@ -45,7 +44,7 @@
 
     const absl::Status &status() const { return status_; }
 
-    // What a record lacks keeps its defaults, whatever was wanted of the writer.
+    // Optional fields are always read: missing ones keep their defaults.
     static bool hasMore(bool) { return true; }
 
     template <typename T>
@@ -82,11 +81,11 @@
         unsigned value = static_cast<unsigned>(into);
         number(value);
         if (value > static_cast<unsigned>(last))
-            return fail("a choice is unknown");
+            return fail("an enumerator is unknown");
         into = static_cast<E>(value);
     }
 
-    // A reason that this build doesn't know yet reads as Internal.
+    // An unknown reason, as from a newer version, reads as Internal.
     void reason(Reason &into)
     {
         std::string name;
@@ -99,18 +98,18 @@
 
     void duration(Duration &into)
     {
-        const bool negative = more() && next_.type == CborItem::Negative;
+        const bool negative = hasNext() && next_.type == CborItem::Negative;
         CborItem item;
         if (!take(negative ? CborItem::Negative : CborItem::Unsigned, item))
             return;
-        const auto longest = static_cast<std::uint64_t>(Duration::max().count());
-        if ((negative ? ~item.number : item.number) > longest)
+        const auto maxNanoseconds = static_cast<std::uint64_t>(Duration::max().count());
+        if ((negative ? ~item.number : item.number) > maxNanoseconds)
             return fail("a duration is too long");
         into = Duration(static_cast<Duration::rep>(item.number));
     }
     void duration(std::optional<Duration> &into)
     {
-        if (!more() || skipNull())
+        if (!hasNext() || skipNull())
             return;
         duration(into.emplace());
     }
@@ -138,15 +137,15 @@
         CborItem item;
         if (!take(CborItem::Array, item))
             return;
-        const std::uint64_t outer = left_;
-        left_ = item.number;
+        const std::uint64_t outer = remaining_;
+        remaining_ = item.number;
         readFields(into);
-        left_ = outer;
+        remaining_ = outer;
     }
     template <typename T>
     void record(std::optional<T> &into)
     {
-        if (!more() || skipNull())
+        if (!hasNext() || skipNull())
             return;
         record(into.emplace());
     }
@@ -156,15 +155,15 @@
         list(into, maxCount, [this](T &value) { record(value); });
     }
 
-    // Enters the array of the whole message and gives the number of its type.
+    // Enters the array of the message and returns the number of its type.
     std::size_t enterMessage()
     {
         std::size_t type = 0;
         CborItem item;
         if (!take(CborItem::Array, item))
-            fail("the message is no array");
-        left_ = item.number;
-        if (left_ == 0)
+            fail("the message is not an array");
+        remaining_ = item.number;
+        if (remaining_ == 0)
             fail("the message has no type");
         number(type);
         return type;
@@ -174,11 +173,11 @@
     {
         readFields(into);
         if (next_.type != CborItem::Unknown || !bytes_.empty())
-            fail("bytes follow the message");
+            fail("the message has trailing bytes");
     }
 
 private:
-    bool more() const { return status_.ok() && left_ != 0; }
+    bool hasNext() const { return status_.ok() && remaining_ != 0; }
 
     void fail(std::string_view what)
     {
@@ -186,7 +185,7 @@
             status_ = absl::InvalidArgumentError(std::string(what));
     }
 
-    // Looks at the item that follows.
+    // Decodes the next item into next_.
     void advance()
     {
         next_ = CborItem();
@@ -194,17 +193,17 @@
             return;
         if (++items_ > maxItems)
             return fail("the message has too many items");
-        if (!takeCborItem(bytes_, next_) || next_.type == CborItem::Unknown)
-            return fail("the message is cut short or holds what no message has");
-        // Each element takes a byte at least.
+        if (!readCborItem(bytes_, next_) || next_.type == CborItem::Unknown)
+            return fail("the message is truncated or has an unsupported type");
+        // Each element takes at least one byte.
         if (next_.type == CborItem::Array && next_.number > bytes_.size())
-            return fail("an array is cut short");
+            return fail("an array is truncated");
     }
 
-    // The next element of the current array; false at its end or when it is of another type.
+    // Consumes the next element of the current array; false at its end or when it has another type.
     bool take(CborItem::Type type, CborItem &item)
     {
-        if (!more())
+        if (!hasNext())
             return false;
         if (next_.type != type) {
             fail(next_.type == CborItem::Unknown ? "the message ends early"
@@ -212,7 +211,7 @@
             return false;
         }
         item = next_;
-        --left_;
+        --remaining_;
         advance();
         return true;
     }
@@ -220,21 +219,21 @@
     bool skipNull()
     {
         CborItem item;
-        return more() && next_.type == CborItem::Null && take(CborItem::Null, item);
+        return hasNext() && next_.type == CborItem::Null && take(CborItem::Null, item);
     }
 
     template <typename T>
     void readFields(T &into)
     {
         layout(*this, into, into);
-        while (more())
+        while (hasNext())
             skip();
     }
 
-    // Passes over one element with all that it holds.
+    // Skips one element with all nested ones.
     void skip()
     {
-        --left_;
+        --remaining_;
         for (std::uint64_t open = 1; open != 0 && status_.ok(); --open) {
             if (next_.type == CborItem::Unknown)
                 return fail("the message ends early");
@@ -252,22 +251,22 @@
             return;
         if (item.number > maxCount)
             return fail("a list is too long");
-        const std::uint64_t outer = left_;
-        left_ = item.number;
+        const std::uint64_t outer = remaining_;
+        remaining_ = item.number;
         into.resize(item.number);
         for (T &value : into) {
             if (!status_.ok())
                 return;
             each(value);
         }
-        left_ = outer;
+        remaining_ = outer;
     }
 
     std::string_view bytes_;
-    // Looked at and not yet taken; Unknown at the end of the document.
+    // Next item, not yet consumed; Unknown at the end of the document.
     CborItem next_;
-    // Elements of the current array that are not read yet.
-    std::uint64_t left_ = 1;
+    // Elements of the current array that are not yet read.
+    std::uint64_t remaining_ = 1;
     std::size_t items_ = 0;
     absl::Status status_;
 };
--- a/src/owner/groupdirectory.cpp
+++ b/src/owner/groupdirectory.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-// An answer about an owner waits this long for the table service.
-constexpr Duration locateWait = std::chrono::milliseconds(500);
-// First hosts of a group by its hash, which keep links to each other: owner, two successors, and
-// as many to replace them.
+// Maximum time that a Locate waits for the table service.
+constexpr Duration locateTimeout = std::chrono::milliseconds(500);
+// Number of hosts per group, chosen by its hash, that keep links to each other: the owner, two
+// successors and the same number of replacements.
 constexpr std::size_t candidateCount = 6;
-// How soon a new role of this process brings the links that it needs.
+// Interval between checks of which links are needed.
 constexpr Duration connectPeriod = std::chrono::seconds(1);
-// Requests in progress over all groups.
+// Limit of requests in progress over all groups.
 constexpr std::size_t maxRequests = 50'000;
 
 settings::RequestClass defaultClass(const inner::Execute &execute)
@@ -39,7 +39,7 @@
 
 GroupDirectory::~GroupDirectory() = default;
 
-// ---- Configuration and members ----
+// ---- Configuration and membership ----
 
 void GroupDirectory::configure(const settings::ConfigurationPtr &configuration)
 {
@@ -60,27 +60,28 @@
     membership_.onPeerUp(ports_.timers.now(), ports_.self);
     for (const auto &[link, process] : peers_)
         membership_.onPeerUp(ports_.timers.now(), process);
-    findOwnGroups();
+    findCandidateGroups();
     connectPeers();
     membershipChanged_ = true;
 }
 
-void GroupDirectory::findOwnGroups()
+void GroupDirectory::findCandidateGroups()
 {
-    ownGroups_.clear();
+    candidateGroups_.clear();
     for (const settings::Group &group : configuration_->inventory.groups) {
         std::vector<std::string> candidates = membership_.candidates(group.name, candidateCount);
         const std::string &self = ports_.self.address;
         if (std::find(candidates.begin(), candidates.end(), self) != candidates.end())
-            ownGroups_.emplace(group.name, std::move(candidates));
+            candidateGroups_.emplace(group.name, std::move(candidates));
     }
 }
 
-// Links are kept to the other candidates of the groups that concern this process.
+// Keeps links to the other candidates of each group that this process is a candidate for or has a
+// role in.
 void GroupDirectory::connectPeers()
 {
     std::set<std::string> wanted;
-    for (const auto &[name, candidates] : ownGroups_)
+    for (const auto &[name, candidates] : candidateGroups_)
         wanted.insert(candidates.begin(), candidates.end());
     for (const auto &[name, runtime] : runtimes_) {
         if (runtime->ownership().role() == decision::OwnershipRole::Unlisted)
@@ -89,13 +90,13 @@
             wanted.insert(std::move(address));
     }
     wanted.erase(ports_.self.address);
-    for (const std::string &address : connected_)
+    for (const std::string &address : connectedAddresses_)
         if (wanted.count(address) == 0)
             ports_.links.drop(address);
     for (const std::string &address : wanted)
-        if (connected_.count(address) == 0)
+        if (connectedAddresses_.count(address) == 0)
             ports_.links.connect(address);
-    connected_ = std::move(wanted);
+    connectedAddresses_ = std::move(wanted);
 }
 
 void GroupDirectory::onPeerUp(inner::LinkId link, const inner::Hello &peer)
@@ -107,7 +108,7 @@
         runtime->ownership().onIncarnation(peer.process);
 }
 
-// The callers behind a lost link get no answer from here any more.
+// Cancels the link's requests, as their answers can no longer be sent.
 void GroupDirectory::onPeerDown(inner::LinkId link)
 {
     const auto peer = peers_.find(link);
@@ -144,7 +145,7 @@
         return;
     membershipChanged_ = false;
     std::set<GroupName> names;
-    for (const auto &[name, candidates] : ownGroups_)
+    for (const auto &[name, candidates] : candidateGroups_)
         names.insert(name);
     for (const auto &[name, runtime] : runtimes_)
         names.insert(name);
@@ -156,13 +157,14 @@
 {
     const ZoneName zone = group.servers.empty() ? ZoneName() : group.servers.front().zone;
     const auto owner = membership_.preferredOwner(group.name, zone);
-    const bool candidate = ownGroups_.count(group.name) != 0;
+    const bool candidate = candidateGroups_.count(group.name) != 0;
     const bool wanted = candidate && !draining_ && owner && *owner == ports_.self;
     GroupRuntime *known = wanted ? runtime(group.name) : findRuntime(group.name);
     if (!known)
         return;
     known->ownership().setPreferredOwner(wanted);
-    known->ownership().setSuccessorCandidates(membership_.successorChoice(group.name, ports_.self));
+    known->ownership().setSuccessorCandidates(
+        membership_.successorCandidates(group.name, ports_.self));
 }
 
 GroupRuntime *GroupDirectory::findRuntime(const GroupName &group)
@@ -179,16 +181,16 @@
         configuration_ ? configuration_->inventory.findGroup(group) : nullptr;
     if (!settings)
         return nullptr;
-    auto made =
+    auto created =
         std::make_unique<GroupRuntime>(*settings, configuration_, ports_, heartbeats_, responder_);
-    GroupRuntime *result = made.get();
-    runtimes_.emplace(group, std::move(made));
-    result->ownership().setSuccessorCandidates(membership_.successorChoice(group, ports_.self));
+    GroupRuntime *result = created.get();
+    runtimes_.emplace(group, std::move(created));
+    result->ownership().setSuccessorCandidates(membership_.successorCandidates(group, ports_.self));
     result->refreshOwner();
     return result;
 }
 
-// ---- Time ----
+// ---- Periodic work ----
 
 void GroupDirectory::tick()
 {
@@ -240,7 +242,7 @@
     request->execute = std::move(execute);
     request->arrived = ports_.timers.now();
     request->deadline = request->arrived + request->execute.deadlineIn;
-    request->number = ++lastNumber_;
+    request->number = ++lastRequestNumber_;
     classify(*request);
     if (requestCount_ >= maxRequests) {
         refuse(*request, Reason::QueueFull);
@@ -251,7 +253,7 @@
         refuse(*request, configuration_ ? Reason::UnknownGroup : Reason::NoOwner);
         return;
     }
-    // An id that is in progress on this link is not run a second time; its first answer counts.
+    // A repeated id is ignored while its first request is in progress on the same link.
     if (!requests_[link].emplace(request->execute.requestId, request).second)
         return;
     ++requestCount_;
@@ -323,8 +325,8 @@
     if (group)
         group->refreshOwner();
     if (group && group->ownerAddress().empty())
-        locates_.push_back(
-            {link, locate.requestId, locate.group, ports_.timers.now() + locateWait});
+        waitingLocates_.push_back(
+            {link, locate.requestId, locate.group, ports_.timers.now() + locateTimeout});
     else
         sendLocation(link, locate.requestId, locate.group);
 }
@@ -346,18 +348,18 @@
 void GroupDirectory::answerLocates()
 {
     std::vector<WaitingLocate> waiting;
-    waiting.swap(locates_);
+    waiting.swap(waitingLocates_);
     for (WaitingLocate &locate : waiting) {
         GroupRuntime *group = findRuntime(locate.group);
         const bool known = group && !group->ownerAddress().empty();
-        if (known || ports_.timers.now() >= locate.until)
+        if (known || ports_.timers.now() >= locate.expiresAt)
             sendLocation(locate.link, locate.requestId, locate.group);
         else
-            locates_.push_back(std::move(locate));
+            waitingLocates_.push_back(std::move(locate));
     }
 }
 
-// ---- Operators ----
+// ---- Operator requests ----
 
 void GroupDirectory::handle(inner::LinkId link, inner::OperatorRequest &&request)
 {
--- a/src/owner/groupservers.cpp
+++ b/src/owner/groupservers.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-// Successors keep this many connections of each server ready beside the slots: one for control.
+// Connections to each server beside the slots: the control connection.
 constexpr int controlConnections = 1;
 constexpr int successorCount = 2;
-// A successor's reserve is at most this part of a server's connections.
+// A successor's reserve is at most 1 / reserveDivisor of a server's connections.
 constexpr int reserveDivisor = 5;
 
-int reserveOf(const settings::Server &server)
+int successorReserve(const settings::Server &server)
 {
     const int wanted = server.slots + controlConnections;
     return std::max(1 + controlConnections, std::min(wanted, server.connections / reserveDivisor));
@@ -31,50 +31,52 @@
 
 void GroupServers::configure(const settings::Group &group, const settings::Inventory &inventory)
 {
-    removeLeft(group);
+    removeStaleServers(group);
     group_ = group;
     for (const auto &server : group.servers) {
         auto &entry = servers_[server.name];
-        if (!entry.lane)
-            entry.lane = std::make_shared<ServerLane>(group, server, inventory.limits, ports_);
-        entry.lane->configure(server, inventory.teams);
+        if (!entry.executor)
+            entry.executor =
+                std::make_shared<ServerExecutor>(group, server, inventory.limits, ports_);
+        entry.executor->configure(server, inventory.teams);
     }
-    setShare(share_);
-    LaneRefusal leaving;
+    setConnectionShare(connectionShare_);
+    WorkRefusal leaving;
     leaving.reason = Reason::Draining;
     leaving.unreachable = true;
-    leaving.detail = "the server is leaving";
+    leaving.detail = "server is being removed";
     for (auto &[name, server] : servers_)
         if (isLeaving(name) && primary_ != name)
-            server.lane->refuseAll(leaving);
+            server.executor->refuseAll(leaving);
 }
 
-void GroupServers::removeLeft(const settings::Group &group)
+void GroupServers::removeStaleServers(const settings::Group &group)
 {
     for (auto it = servers_.begin(); it != servers_.end();) {
-        if (!isMoved(group_, group, it->first)) {
+        if (!isRemovedOrChanged(group_, group, it->first)) {
             ++it;
             continue;
         }
-        const auto lane = it->second.lane;
+        const auto executor = it->second.executor;
         freshness_.forget(it->first);
         if (primary_ == it->first)
             primary_.reset();
         it = servers_.erase(it);
-        lane->refuseAll({Reason::Draining, Duration(0), "the server has left", true});
-        lane->closeConnections(false);
+        executor->refuseAll({Reason::Draining, Duration(0),
+                             "server was removed or its address or credentials changed", true});
+        executor->closeConnections(false);
     }
 }
 
-ServerLane *GroupServers::lane(const ServerName &name)
+ServerExecutor *GroupServers::executor(const ServerName &name)
 {
     const auto found = servers_.find(name);
-    return found == servers_.end() ? nullptr : found->second.lane.get();
+    return found == servers_.end() ? nullptr : found->second.executor.get();
 }
 
 void GroupServers::release(const ServerName &name, const ConnectionPtr &connection, bool reusable)
 {
-    if (ServerLane *known = lane(name))
+    if (ServerExecutor *known = executor(name))
         known->release(connection, reusable);
     else
         connection->close();
@@ -84,7 +86,7 @@
 {
     const auto found = servers_.find(name);
     return found == servers_.end()
-        || found->second.lane->server().presence == settings::Presence::Leaving;
+        || found->second.executor->server().presence == settings::Presence::Leaving;
 }
 
 void GroupServers::onReport(const ServerName &name, Instant sentAt,
@@ -105,7 +107,7 @@
     }
 }
 
-// A server that does not answer may come back with less than it had.
+// The replica's last position is dropped, as the server may come back with less data.
 void GroupServers::onUnreachable(const ServerName &name)
 {
     const auto found = servers_.find(name);
@@ -127,10 +129,11 @@
     primarySince_ = now;
     acknowledged_.reset();
     freshness_.onNewTerm(term, history);
-    // One slot of the primary stays free for what must go there.
+    // Browse reads may use all slots of the primary but one, which is kept for requests that need
+    // the primary.
     for (auto &[name, server] : servers_) {
-        const int slots = server.lane->server().slots;
-        server.lane->setBrowseSlots(name == primary ? std::max(1, slots - 1) : 0);
+        const int slots = server.executor->server().slots;
+        server.executor->setBrowseSlots(name == primary ? std::max(1, slots - 1) : 0);
     }
 }
 
@@ -164,7 +167,7 @@
 {
     views(now);
     for (decision::ServerView &view : views_) {
-        const decision::Admission &admission = servers_.at(view.name).lane->admission();
+        const decision::Admission &admission = servers_.at(view.name).executor->admission();
         view.queueDelay = admission.expectedWait(requestClass, team);
     }
     return views_;
@@ -173,8 +176,8 @@
 decision::ServerView GroupServers::viewOf(const ServerName &name, const Server &server,
                                           Instant now) const
 {
-    const settings::Server &settings = server.lane->server();
-    const decision::Admission &admission = server.lane->admission();
+    const settings::Server &settings = server.executor->server();
+    const decision::Admission &admission = server.executor->admission();
     decision::ServerView view;
     view.name = name;
     view.zone = settings.zone;
@@ -208,59 +211,60 @@
     status.draining = view.draining;
     status.position = found->second.position;
     status.lag = view.age.value_or(Duration(0));
-    status.connectionsOpen = found->second.lane->openConnections();
+    status.connectionsOpen = found->second.executor->openConnections();
     status.slotsBusy = view.busy;
     status.queued = view.queued;
     return status;
 }
 
-// The counts of owner and successors together stay within the server's connections at every
-// moment: the old owner closes down to its reserve before it gives the group away.
-int GroupServers::connectionLimit(const settings::Server &server, Share share)
+// The shares of the owner and its successors never exceed the server's connections in total: the
+// old owner reduces its connections to the reserve before it hands the group over.
+int GroupServers::connectionLimit(const settings::Server &server, ConnectionShare share)
 {
-    const int reserve = reserveOf(server);
+    const int reserve = successorReserve(server);
     switch (share) {
-    case Share::None:
+    case ConnectionShare::None:
         return 0;
-    case Share::Reserve:
+    case ConnectionShare::Reserve:
         return reserve - controlConnections;
-    case Share::Owner:
+    case ConnectionShare::Owner:
         return std::max(reserve, server.connections - successorCount * reserve)
             - controlConnections;
     }
     return 0;
 }
 
-void GroupServers::setShare(Share share, std::function<void()> withinShare)
+void GroupServers::setConnectionShare(ConnectionShare share, std::function<void()> onWithinShare)
 {
-    share_ = share;
-    const auto left = std::make_shared<std::size_t>(servers_.size());
-    const auto notice = [left, withinShare] {
-        if (--*left == 0 && withinShare)
-            withinShare();
+    connectionShare_ = share;
+    const auto remaining = std::make_shared<std::size_t>(servers_.size());
+    const auto onLaneWithinLimit = [remaining, onWithinShare] {
+        if (--*remaining == 0 && onWithinShare)
+            onWithinShare();
     };
     for (auto &[name, server] : servers_)
-        server.lane->setConnectionLimit(connectionLimit(server.lane->server(), share), notice);
+        server.executor->setConnectionLimit(connectionLimit(server.executor->server(), share),
+                                            onLaneWithinLimit);
 }
 
 std::size_t GroupServers::transactionLimit() const
 {
     int limit = 1;
     for (const auto &[name, server] : servers_) {
-        const settings::Server &settings = server.lane->server();
-        limit = std::max(limit, connectionLimit(settings, Share::Owner) - settings.slots);
+        const settings::Server &settings = server.executor->server();
+        limit = std::max(limit, connectionLimit(settings, ConnectionShare::Owner) - settings.slots);
     }
     return static_cast<std::size_t>(limit);
 }
 
 void GroupServers::warm()
 {
-    if (share_ == Share::None)
+    if (connectionShare_ == ConnectionShare::None)
         return;
     for (auto &[name, server] : servers_) {
-        const settings::Server &settings = server.lane->server();
-        const int open = std::min(settings.slots, reserveOf(settings) - controlConnections);
-        server.lane->warm(settings.presence == settings::Presence::Active ? open : 0);
+        const settings::Server &settings = server.executor->server();
+        const int open = std::min(settings.slots, successorReserve(settings) - controlConnections);
+        server.executor->warm(settings.presence == settings::Presence::Active ? open : 0);
     }
 }
 
--- a/src/owner/ownershipdriver.h
+++ b/src/owner/ownershipdriver.h
@@ -8,38 +8,39 @@
 
 namespace kelptally::owner {
 
-// Told when this process may serve the group and when it must stop.
+// Receives the events of an OwnershipDriver.
 class OwnershipListener
 {
 public:
     virtual ~OwnershipListener() = default;
 
+    // This process is the owner and may serve the group.
     virtual void onStartServing(const decision::StartServing &start) = 0;
     virtual void onStopServing(const std::string &reason) = 0;
-    // The row as known has changed: new owner, successors or role.
+    // The row was read, or a write of it has ended: the owner, successors or role may have changed.
     virtual void onRowChanged() = 0;
 };
 
-// Carries out what the ownership decision of one group asks for: rows in the table service, lease
-// requests and hand-overs to other processes.
+// Executes the actions of one group's ownership decision: reads and writes of its row in the table
+// service, lease requests and hand-over notifications to other processes.
 class OwnershipDriver
 {
 public:
     OwnershipDriver(GroupName group, OwnerPorts &ports, HeartbeatBatch &heartbeats,
                     OwnershipListener &listener);
 
-    // Reads the row again unless that is under way.
+    // Reads the row again unless a read is pending.
     void refresh();
     std::optional<inner::GroupHeartbeatAnswer> onHeartbeat(const ProcessId &from,
                                                            const inner::GroupHeartbeat &heartbeat);
     void onHeartbeatAnswer(const ProcessId &from, const inner::GroupHeartbeatAnswer &answer);
-    void onIncarnation(const ProcessId &heard);
+    void onIncarnation(const ProcessId &liveProcess);
     void onProcessGone(const ProcessId &process);
-    void setSuccessorCandidates(std::vector<ProcessId> choice);
-    void setPreferredOwner(bool wanted);
+    void setSuccessorCandidates(std::vector<ProcessId> candidates);
+    void setPreferredOwner(bool isPreferred);
     void setPrimary(Term term, const ServerName &primary);
     void beginHandOver();
-    // Why the row of a hand-over that was begun is not written yet.
+    // Returns why the row of a started hand-over is not written yet.
     decision::HandOverWait handOverWait() const { return ownership_.handOverWait(now()); }
     void onHandOver(OwnerEpoch newEpoch);
     void tick();
@@ -58,9 +59,9 @@
     void carryOut(const decision::StartServing &action);
     void carryOut(const decision::StopServing &action);
     void carryOut(const decision::SendHandOver &action);
-    void onRead(const absl::StatusOr<std::optional<services::TableRow>> &read);
-    void onWritten(const decision::OwnershipRow &row,
-                   const absl::StatusOr<std::vector<std::string>> &tags);
+    void onRowRead(const absl::StatusOr<std::optional<services::TableRow>> &read);
+    void onRowWritten(const decision::OwnershipRow &row,
+                      const absl::StatusOr<std::vector<std::string>> &etags);
     Instant now() const { return ports_.timers.now(); }
 
     const GroupName group_;
@@ -70,7 +71,7 @@
     decision::Ownership ownership_;
     Term term_ = 0;
     ServerName primary_;
-    // Answers of the table service that arrive after this object is gone are dropped.
+    // Guards callbacks that may run after this object was destroyed.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/owner/recordpurge.cpp
+++ b/src/owner/recordpurge.cpp
@@ -4,53 +4,53 @@
 
 namespace {
 
-// Chosen: at most 10 records a second, above any rate at which a group of today records keys for a
-// day.
+// Together these allow 10 deletions per second, which must exceed the mean rate of new keys.
 constexpr Duration purgePeriod = std::chrono::seconds(20);
-constexpr int purgeLimit = 200;
-constexpr Duration purgeDeadline = std::chrono::seconds(2);
-// Work of no request: numbers of requests begin at 1.
-constexpr decision::WorkId purgeWork = 0;
+constexpr int maxRecordsPerPurge = 200;
+constexpr Duration purgeTimeout = std::chrono::seconds(2);
+// Reserved work id; request numbers start at 1.
+constexpr decision::WorkId purgeWorkId = 0;
 
 } // namespace
 
 void RecordPurge::tick()
 {
     const Instant now = context_.now();
-    if (now < next_ || !context_.primaryTerm())
+    if (now < nextPurge_ || !context_.primaryTerm())
         return;
-    next_ = now + purgePeriod;
-    ServerLane *lane = context_.servers.lane(*context_.failover.decision()->primary());
-    if (lane && lane->admission().busy() == 0 && context_.ownership.holdsLease())
-        run(*lane);
+    nextPurge_ = now + purgePeriod;
+    ServerExecutor *executor = context_.servers.executor(*context_.failover.decision()->primary());
+    if (executor && executor->admission().busy() == 0 && context_.ownership.holdsLease())
+        run(*executor);
 }
 
-void RecordPurge::run(ServerLane &lane)
+void RecordPurge::run(ServerExecutor &executor)
 {
-    const ServerName server = lane.server().name;
-    LaneWork work;
-    work.work.id = purgeWork;
+    const ServerName server = executor.server().name;
+    ExecutorWork work;
+    work.work.id = purgeWorkId;
     work.work.requestClass = settings::RequestClass::Browse;
-    work.work.deadline = context_.now() + purgeDeadline;
-    work.refused = [](const LaneRefusal &) {};
+    work.work.deadline = context_.now() + purgeTimeout;
+    work.refused = [](const WorkRefusal &) {};
     std::weak_ptr<bool> alive = alive_;
-    work.start = [this, alive, server, own = work.work](const ConnectionPtr &connection) {
+    work.start = [this, alive, server, workItem = work.work](const ConnectionPtr &connection) {
         if (alive.expired())
             return;
-        const Instant began = context_.now();
-        connection->run(
-            backend::makePurgeBatch(context_.statements(), context_.ownership.epoch(),
-                                    std::chrono::system_clock::now(),
-                                    context_.limits().keyRetention, purgeLimit),
-            [this, alive, server, own, began, connection](const backend::BatchResult &result) {
-                ServerLane *used = alive.expired() ? nullptr : context_.servers.lane(server);
-                if (!used)
-                    return;
-                used->finished(own, context_.now() - began);
-                used->release(connection, !result.connectionLost);
-            });
+        const Instant startedAt = context_.now();
+        connection->run(backend::makePurgeBatch(context_.statements(), context_.ownership.epoch(),
+                                                std::chrono::system_clock::now(),
+                                                context_.limits().keyRetention, maxRecordsPerPurge),
+                        [this, alive, server, workItem, startedAt,
+                         connection](const backend::BatchResult &result) {
+                            ServerExecutor *currentLane =
+                                alive.expired() ? nullptr : context_.servers.executor(server);
+                            if (!currentLane)
+                                return;
+                            currentLane->finished(workItem, context_.now() - startedAt);
+                            currentLane->release(connection, !result.connectionLost);
+                        });
     };
-    lane.submit(std::move(work));
+    executor.submit(std::move(work));
 }
 
 } // namespace kelptally::owner
--- a/src/owner/serverlane.h
+++ b/src/owner/serverexecutor.h
@@ -14,51 +14,52 @@
 
 using ConnectionPtr = std::shared_ptr<backend::Connection>;
 
-// Why work left a lane without having started.
-struct LaneRefusal
+// Why work was refused before it started.
+struct WorkRefusal
 {
     Reason reason = Reason::None;
     Duration retryAfter {0};
     std::string detail;
-    // No connection to the server could be had; another server may do.
+    // No connection to the server could be opened; another server may answer.
     bool unreachable = false;
 };
 
-// Work for one server: exactly one of its functions is called, unless it is cancelled.
-struct LaneWork
+// Work for one server. Exactly one of the functions is called, unless the work is cancelled.
+struct ExecutorWork
 {
     decision::Work work;
-    // A transaction's own connection; nothing: one of the pool.
+    // Connection of a transaction; null to take one from the pool.
     ConnectionPtr pinned;
     std::function<void(ConnectionPtr)> start;
-    std::function<void(const LaneRefusal &)> refused;
+    std::function<void(const WorkRefusal &)> refused;
 };
 
-// The way to one server: its queue and slots, and the pool of connections under them.
-class ServerLane : public std::enable_shared_from_this<ServerLane>
+// Runs work on one server: queues it, admits it to a limited number of slots and supplies pooled
+// connections.
+class ServerExecutor : public std::enable_shared_from_this<ServerExecutor>
 {
 public:
-    ServerLane(const settings::Group &group, const settings::Server &server,
-               const settings::Limits &limits, OwnerPorts &ports);
+    ServerExecutor(const settings::Group &group, const settings::Server &server,
+                   const settings::Limits &limits, OwnerPorts &ports);
 
-    void submit(LaneWork work);
-    // Takes waiting work away; false when it has started or is unknown.
+    void submit(ExecutorWork work);
+    // Removes queued work; returns false if it has started or is unknown.
     bool cancel(decision::WorkId id);
 
-    // Ends the use of a slot that start() began; without a service time nothing was run.
+    // Frees the slot of started work. No service time means that nothing ran.
     void finished(const decision::Work &work, std::optional<Duration> serviceTime);
-    // Gives a connection back to the pool, or closes it when its state is not known to be clean.
+    // Returns a connection to the pool, which closes it unless it is reusable.
     void release(const ConnectionPtr &connection, bool reusable);
 
-    // Refuses everything that waits.
-    void refuseAll(const LaneRefusal &refusal);
-    // Closes idle connections now and those in use when given back; those in use are cut at once
-    // when told so.
-    void closeConnections(bool cutRunning);
-    // Refuses what can no longer be done in time.
+    // Refuses all queued work.
+    void refuseAll(const WorkRefusal &refusal);
+    // Closes idle connections now, and connections in use when they are released or, with
+    // abortRunning, at once.
+    void closeConnections(bool abortRunning);
+    // Refuses queued work that can no longer meet its deadline.
     void expire();
 
-    // The notice comes once no more connections are counted than the limit allows.
+    // Calls withinLimit once the number of connections is within the limit.
     void setConnectionLimit(int limit, std::function<void()> withinLimit = {});
     void configure(const settings::Server &server, const std::vector<settings::Team> &teams);
     void warm(int connections);
@@ -70,17 +71,17 @@
     int openConnections() const { return pool_->counted(); }
 
 private:
-    void pump();
-    void startDue();
+    void dispatch();
+    void startAdmitted();
     void start(const decision::Work &work);
-    void dropLate();
+    void refuseDropped();
     void onConnection(decision::WorkId id, const absl::Status &status, ConnectionPtr connection);
-    void refuse(decision::WorkId id, const LaneRefusal &refusal);
+    void refuse(decision::WorkId id, const WorkRefusal &refusal);
 
-    struct Waiting
+    struct PendingWork
     {
-        LaneWork lane;
-        // Waits for a connection with its slot taken.
+        ExecutorWork queued;
+        // Holds a slot and waits for a connection.
         bool hasSlot = false;
         backend::ConnectionPool::RequestId request = 0;
     };
@@ -89,10 +90,10 @@
     settings::Server server_;
     decision::Admission admission_;
     std::shared_ptr<backend::ConnectionPool> pool_;
-    std::unordered_map<decision::WorkId, Waiting> works_;
+    std::unordered_map<decision::WorkId, PendingWork> pendingWorks_;
     int connectionLimit_ = 0;
-    bool pumping_ = false;
-    bool pumpAgain_ = false;
+    bool dispatching_ = false;
+    bool dispatchAgain_ = false;
 };
 
 } // namespace kelptally::owner
--- a/src/services/httpclient.cpp
+++ b/src/services/httpclient.cpp
@@ -25,19 +25,16 @@
 using Tcp = asio::ip::tcp;
 using Error = boost::system::error_code;
 
-// A process has a handful of calls to the platform open at once; a slow one must not hold up the
-// others. Chosen, not measured.
+// More than one, so that a slow call doesn't block the others.
 constexpr std::size_t maxConnections = 4;
 constexpr std::size_t maxQueued = 256;
-// A configuration document of the largest size in JSON, with room for its escapes.
+// Holds the largest configuration document as escaped JSON.
 constexpr std::uint64_t maxResponseBytes = 16u << 20;
 constexpr unsigned httpVersion = 11;
-// A GET on a connection used before is sent again on a new one after this long without an answer:
-// the store's slowest answers that were measured took 400 ms.
-constexpr Duration silentAfter = std::chrono::milliseconds(500);
-// A connection whose last answer is older may have gone silent: only a GET, which may be sent
-// twice, uses it. Chosen, not measured: opening a connection costs one round trip.
-constexpr Duration trustedFor = std::chrono::seconds(1);
+// A GET without an answer for this long on a reused connection is retried on a new one.
+constexpr Duration silenceTimeout = std::chrono::milliseconds(500);
+// Requests that can't be retried use a connection only if it answered within this time.
+constexpr Duration maxIdleForWrites = std::chrono::seconds(1);
 
 http::verb verbOf(HttpMethod method)
 {
@@ -52,18 +49,18 @@
     return http::verb::get;
 }
 
-// A call that waits for changes sends nothing, so only probes tell that its other end is gone.
-void keepAlive(Tcp::socket &socket)
+// Detects a dead peer during a long poll, in which nothing is sent.
+void enableKeepAlive(Tcp::socket &socket)
 {
     constexpr int idleSeconds = 1;
-    constexpr int pauseSeconds = 1;
-    constexpr int unanswered = 3;
+    constexpr int intervalSeconds = 1;
+    constexpr int maxProbes = 3;
     Error ignored;
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
     const int handle = socket.native_handle();
     ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &idleSeconds, sizeof idleSeconds);
-    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &pauseSeconds, sizeof pauseSeconds);
-    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &unanswered, sizeof unanswered);
+    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &intervalSeconds, sizeof intervalSeconds);
+    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &maxProbes, sizeof maxProbes);
 }
 
 std::string unquoted(boost::beast::string_view tag)
@@ -73,14 +70,14 @@
     return std::string(tag);
 }
 
-// One call on its way.
+// A queued or running call.
 struct Job
 {
     HttpRequest request;
     HttpCallback callback;
     TimerId timer = 0;
     TimerId silenceTimer = 0;
-    // Whether any byte may have left this process.
+    // Whether any byte may have been sent.
     bool sent = false;
     bool retried = false;
     bool done = false;
@@ -89,7 +86,7 @@
 
 } // namespace
 
-// The calls waiting and the connections that carry them.
+// Queue of calls and pool of connections.
 class HttpClient::Pool : public std::enable_shared_from_this<Pool>
 {
 public:
@@ -102,7 +99,7 @@
     }
 
     void send(HttpRequest request, Duration timeout, HttpCallback callback);
-    void giveUpOpenCalls();
+    void abortOpenCalls();
     void close();
     Duration timeout() const { return timeout_; }
 
@@ -112,12 +109,12 @@
 
     void dispatch();
     ConnectionPtr takeConnection(const Job &job);
-    void watchSilence(const JobPtr &job);
-    void onSilent(const JobPtr &job);
-    void drop(const JobPtr &job);
+    void startSilenceTimer(const JobPtr &job);
+    void onSilenceTimeout(const JobPtr &job);
+    void closeConnectionOf(const JobPtr &job);
     void release(const ConnectionPtr &connection);
     void remove(const ConnectionPtr &connection);
-    void expire(const JobPtr &job);
+    void onTimeout(const JobPtr &job);
     void retry(const JobPtr &job);
     void finish(const JobPtr &job, absl::StatusOr<HttpResponse> result);
 
@@ -131,7 +128,7 @@
     std::vector<ConnectionPtr> busy_;
 };
 
-// One connection, with one call at a time. After any failure it is closed and never used again.
+// A connection, with one call at a time. It is closed after any failure.
 class HttpClient::Pool::Connection : public std::enable_shared_from_this<Connection>
 {
 public:
@@ -139,13 +136,13 @@
 
     void run(JobPtr job);
     void close();
-    // Whatever still happens on the connection tells nothing of the call.
-    void forgetJob() { job_ = nullptr; }
-    // Whether the server still holds the connection open, as far as it has told.
+    // Later events of the connection no longer affect the call.
+    void detachJob() { job_ = nullptr; }
+    // Whether the connection is open and has no unexpected input.
     bool isAlive();
     const JobPtr &job() const { return job_; }
     bool isReused() const { return reused_; }
-    // When it last answered; the beginning of time before that.
+    // Time of the last answer; Instant() before the first one.
     Instant answeredAt() const { return answeredAt_; }
 
 private:
@@ -198,7 +195,7 @@
         self->connected_ = true;
         Error ignored;
         self->socket_.set_option(Tcp::no_delay(true), ignored);
-        keepAlive(self->socket_);
+        enableKeepAlive(self->socket_);
         self->write();
     });
 }
@@ -240,7 +237,7 @@
     const JobPtr job = std::move(job_);
     job_ = nullptr;
     answeredAt_ = pool->timers_.now();
-    // Bytes beyond the answer belong to no call.
+    // A connection with bytes beyond the answer can't be reused.
     if (parser_->keep_alive() && buffer_.size() == 0)
         pool->release(shared_from_this());
     else
@@ -267,7 +264,7 @@
 void HttpClient::Pool::Connection::close()
 {
     Error ignored;
-    // With a call open, what it has not delivered yet must not arrive later.
+    // A reset discards what is not sent yet, so that an aborted request can't arrive later.
     if (job_)
         socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     socket_.close(ignored);
@@ -287,16 +284,17 @@
     job->callback = std::move(callback);
     const std::weak_ptr<Pool> weak = shared_from_this();
     if (queue_.size() >= maxQueued || endpoint_.port() == 0) {
-        const char *why = endpoint_.port() == 0 ? " is no address" : ": too many calls are waiting";
-        asio::post(context_, [weak, job, why] {
+        const char *reason =
+            endpoint_.port() == 0 ? " is not an address" : ": too many calls are waiting";
+        asio::post(context_, [weak, job, reason] {
             if (const auto pool = weak.lock())
-                pool->finish(job, absl::UnavailableError(pool->address_ + why));
+                pool->finish(job, absl::UnavailableError(pool->address_ + reason));
         });
         return;
     }
     job->timer = timers_.subscribeAfter(timeout, [weak, job] {
         if (const auto pool = weak.lock())
-            pool->expire(job);
+            pool->onTimeout(job);
     });
     queue_.push_back(job);
     dispatch();
@@ -313,17 +311,17 @@
         busy_.push_back(connection);
         connection->run(job);
         if (connection->isReused() && !job->retried && job->request.method == HttpMethod::Get)
-            watchSilence(job);
+            startSilenceTimer(job);
     }
 }
 
 HttpClient::Pool::ConnectionPtr HttpClient::Pool::takeConnection(const Job &job)
 {
-    const bool mayRepeat = job.request.method == HttpMethod::Get;
+    const bool isRetryable = job.request.method == HttpMethod::Get;
     while (!idle_.empty()) {
         const ConnectionPtr connection = idle_.back();
-        // The last one answered most recently.
-        if (!mayRepeat && timers_.now() - connection->answeredAt() > trustedFor)
+        // The last idle connection is the one that answered most recently.
+        if (!isRetryable && timers_.now() - connection->answeredAt() > maxIdleForWrites)
             break;
         idle_.pop_back();
         if (connection->isAlive())
@@ -347,40 +345,41 @@
     connection->close();
 }
 
-void HttpClient::Pool::watchSilence(const JobPtr &job)
+void HttpClient::Pool::startSilenceTimer(const JobPtr &job)
 {
     const std::weak_ptr<Pool> weak = shared_from_this();
-    job->silenceTimer = timers_.subscribeAfter(job->request.heldBack + silentAfter, [weak, job] {
-        if (const auto pool = weak.lock())
-            pool->onSilent(job);
-    });
+    job->silenceTimer =
+        timers_.subscribeAfter(job->request.longPollTime + silenceTimeout, [weak, job] {
+            if (const auto pool = weak.lock())
+                pool->onSilenceTimeout(job);
+        });
 }
 
-void HttpClient::Pool::onSilent(const JobPtr &job)
+void HttpClient::Pool::onSilenceTimeout(const JobPtr &job)
 {
     if (job->done || job->retried)
         return;
-    drop(job);
+    closeConnectionOf(job);
     retry(job);
 }
 
-// Closes the connection that the call is on.
-void HttpClient::Pool::drop(const JobPtr &job)
+// Closes the call's connection.
+void HttpClient::Pool::closeConnectionOf(const JobPtr &job)
 {
     for (const auto &connection : std::vector<ConnectionPtr>(busy_)) {
         if (connection->job() != job)
             continue;
         remove(connection);
-        connection->forgetJob();
+        connection->detachJob();
     }
 }
 
-void HttpClient::Pool::expire(const JobPtr &job)
+void HttpClient::Pool::onTimeout(const JobPtr &job)
 {
     if (job->done)
         return;
     queue_.erase(std::remove(queue_.begin(), queue_.end(), job), queue_.end());
-    drop(job);
+    closeConnectionOf(job);
     const std::string text = address_ + ": no answer within the timeout";
     finish(job, job->sent ? absl::DeadlineExceededError(text) : absl::UnavailableError(text));
 }
@@ -388,7 +387,7 @@
 void HttpClient::Pool::retry(const JobPtr &job)
 {
     job->retried = true;
-    // The other idle connections are likely to be as stale.
+    // The other idle connections are likely to be dead too.
     idle_.clear();
     queue_.push_front(job);
     dispatch();
@@ -408,18 +407,18 @@
     dispatch();
 }
 
-void HttpClient::Pool::giveUpOpenCalls()
+void HttpClient::Pool::abortOpenCalls()
 {
     std::vector<JobPtr> jobs;
     for (const auto &connection : busy_) {
         if (connection->job())
             jobs.push_back(connection->job());
         connection->close();
-        connection->forgetJob();
+        connection->detachJob();
     }
     busy_.clear();
     idle_.clear();
-    const std::string text = address_ + ": given up, as other calls are answered";
+    const std::string text = address_ + ": aborted because open connections are silent";
     for (const JobPtr &job : jobs)
         finish(job, job->sent ? absl::DeadlineExceededError(text) : absl::UnavailableError(text));
     dispatch();
@@ -461,9 +460,9 @@
     pool_->send(std::move(request), timeout, std::move(callback));
 }
 
-void HttpClient::giveUpOpenCalls()
+void HttpClient::abortOpenCalls()
 {
-    pool_->giveUpOpenCalls();
+    pool_->abortOpenCalls();
 }
 
 std::string percentEncoded(const std::string &text)
--- a/src/session/catalogue.cpp
+++ b/src/session/catalogue.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Versions whose times are kept: an open transaction lasts some seconds, and sees fewer go by.
+// Number of versions whose installation times are kept, for the transactions that are open.
 constexpr std::size_t maxInstalled = 32;
 
 } // namespace
@@ -34,7 +34,7 @@
     return catalogue_ ? catalogue_->keys.organisationOf(key) : nullptr;
 }
 
-std::optional<Instant> CurrentCatalogue::followedAt(ConfigVersion version) const
+std::optional<Instant> CurrentCatalogue::supersededAt(ConfigVersion version) const
 {
     for (const Installed &each : installed_)
         if (each.version > version)
--- a/tests/backend/dutyclient.h
+++ b/tests/backend/blockingclient.h
@@ -11,18 +11,18 @@
 
 namespace kelptally::backend {
 
-// Drives connections on a duty thread from a test's own thread and waits for their callbacks.
-class DutyClient
+// Runs connections on a duty thread and blocks the test's thread until their callbacks.
+class BlockingClient
 {
 public:
     using Connected = std::pair<absl::Status, std::shared_ptr<Connection>>;
 
-    DutyClient() { thread_.start(); }
-    ~DutyClient() { thread_.stop(); }
+    BlockingClient() { thread_.start(); }
+    ~BlockingClient() { thread_.stop(); }
 
     DutyThread &thread() { return thread_; }
 
-    // Runs a function there and gives its result.
+    // Runs a function on the duty thread and returns its result.
     template <typename Function>
     auto call(Function function)
     {
@@ -45,7 +45,7 @@
         return wait(future);
     }
 
-    // A second callback throws in the duty thread and so ends the test program.
+    // A second callback throws on the duty thread, which ends the test program.
     std::future<BatchResult> start(Connection &connection, std::vector<Statement> batch)
     {
         auto promise = std::make_shared<std::promise<BatchResult>>();
--- a/tests/decision/checker_main.cpp
+++ b/tests/decision/checker_main.cpp
@@ -1,4 +1,4 @@
-#include "checkerworld.h"
+#include "checkersimulation.h"
 #include "detectionstudy.h"
 
 #include <tclap/CmdLine.h>
@@ -10,31 +10,31 @@
 #include <sstream>
 #include <thread>
 
-// Runs many random schedules against the decisions, or one from a file.
+// Model checker: runs random fault schedules, or replays one from a file.
 using namespace kelptally;
 using namespace kelptally::decision;
 
 namespace {
 
-// Leaves out faults for as long as the schedule still fails.
+// Removes all faults that are not needed to reproduce the violation.
 Schedule shrink(Schedule schedule, const CheckerOptions &options)
 {
     for (std::size_t i = 0; i < schedule.faults.size();) {
-        Schedule less = schedule;
-        less.faults.erase(less.faults.begin() + static_cast<std::ptrdiff_t>(i));
-        if (runSchedule(less, options).violation.empty())
+        Schedule reduced = schedule;
+        reduced.faults.erase(reduced.faults.begin() + static_cast<std::ptrdiff_t>(i));
+        if (runSchedule(reduced, options).violation.empty())
             ++i;
         else
-            schedule = std::move(less);
+            schedule = std::move(reduced);
     }
     return schedule;
 }
 
 void printFailure(const Schedule &schedule, const CheckerOptions &options)
 {
-    const Schedule small = shrink(schedule, options);
-    std::cout << "violation: " << runSchedule(small, options).violation << '\n'
-              << toText(small) << std::flush;
+    const Schedule minimal = shrink(schedule, options);
+    std::cout << "violation: " << runSchedule(minimal, options).violation << '\n'
+              << toText(minimal) << std::flush;
 }
 
 struct Totals
@@ -45,7 +45,7 @@
     std::size_t notRun = 0;
     std::size_t claims = 0;
     std::size_t promotions = 0;
-    Duration slowest {0};
+    Duration slowestResume {0};
 };
 
 void runRange(std::uint64_t first, std::uint64_t count, std::atomic<std::uint64_t> &next,
@@ -59,7 +59,7 @@
         totals.notRun += result.notRun;
         totals.claims += result.claims;
         totals.promotions += result.promotions;
-        totals.slowest = std::max(totals.slowest, result.resumedAfter);
+        totals.slowestResume = std::max(totals.slowestResume, result.resumedAfter);
         if (!result.violation.empty() && totals.failed++ < 3)
             printFailure(schedule, options);
     }
@@ -85,32 +85,36 @@
 
 int main(int argc, char **argv)
 {
-    TCLAP::CmdLine line(
-        "Checks ownership, failover and confirmation by random schedules of faults.");
-    TCLAP::ValueArg<std::uint64_t> count("n", "schedules", "How many", false, 1000, "count", line);
-    TCLAP::ValueArg<std::uint64_t> seed("s", "seed", "First seed", false, 1, "seed", line);
-    TCLAP::ValueArg<unsigned> threads("t", "threads", "Threads, 1 to 4", false, 4, "count", line);
-    TCLAP::ValueArg<std::string> file("r", "replay", "Schedule to run", false, "", "file", line);
-    TCLAP::ValueArg<std::string> without("w", "without",
-                                         "Check to switch off: lease, incarnation,"
-                                         " fence or majority",
-                                         false, "", "check", line);
-    TCLAP::SwitchArg detection("d", "detection", "Measures false alarms and detection times", line);
-    line.parse(argc, argv);
+    TCLAP::CmdLine commandLine(
+        "Checks ownership, failover and confirmation with random fault schedules.");
+    TCLAP::ValueArg<std::uint64_t> count("n", "schedules", "Number of schedules", false, 1000,
+                                         "count", commandLine);
+    TCLAP::ValueArg<std::uint64_t> seed("s", "seed", "First seed", false, 1, "seed", commandLine);
+    TCLAP::ValueArg<unsigned> threads("t", "threads", "Number of threads, 1 to 4", false, 4,
+                                      "count", commandLine);
+    TCLAP::ValueArg<std::string> file("r", "replay", "File with the schedule to replay", false, "",
+                                      "file", commandLine);
+    TCLAP::ValueArg<std::string> disabledCheck("w", "without",
+                                               "Check to disable: lease, incarnation,"
+                                               " fence or majority",
+                                               false, "", "check", commandLine);
+    TCLAP::SwitchArg detection("d", "detection", "Measure false positives and detection times",
+                               commandLine);
+    commandLine.parse(argc, argv);
     if (detection.getValue()) {
         printDetectionStudy(std::cout, seed.getValue());
         return 0;
     }
 
     CheckerOptions options;
-    options.ownership.lease = without.getValue() != "lease";
-    options.ownership.incarnation = without.getValue() != "incarnation";
-    options.failover.fence = without.getValue() != "fence";
-    options.requireMajority = without.getValue() != "majority";
+    options.ownership.lease = disabledCheck.getValue() != "lease";
+    options.ownership.incarnation = disabledCheck.getValue() != "incarnation";
+    options.failover.fence = disabledCheck.getValue() != "fence";
+    options.requireMajority = disabledCheck.getValue() != "majority";
     if (file.isSet())
         return replay(file.getValue(), options);
 
-    const auto begun = std::chrono::steady_clock::now();
+    const auto startedAt = std::chrono::steady_clock::now();
     Totals totals;
     std::atomic<std::uint64_t> next {0};
     std::vector<std::thread> workers;
@@ -119,11 +123,11 @@
             [&] { runRange(seed.getValue(), count.getValue(), next, options, totals); });
     for (std::thread &worker : workers)
         worker.join();
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - startedAt;
     std::cout << "schedules=" << count.getValue() << " failed=" << totals.failed
               << " acknowledged=" << totals.acknowledged << " not_run=" << totals.notRun
               << " claims=" << totals.claims << " primaries=" << totals.promotions
-              << " slowest_resume_ms=" << toMilliseconds(totals.slowest)
-              << " seconds=" << took.count() << '\n';
+              << " slowest_resume_ms=" << toMilliseconds(totals.slowestResume)
+              << " seconds=" << elapsed.count() << '\n';
     return totals.failed == 0 ? 0 : 1;
 }
--- a/tests/host/fleetwork_test.cpp
+++ b/tests/host/fleetwork_test.cpp
@@ -4,25 +4,22 @@
 #include <catch2/catch.hpp>
 #include <prometheus/counter.h>
 
-// What one host does for one event must not grow with the deployment. A host with 3,000 servers and
-// 1,000 groups before it walked over all groups for each server that it read, and over all that it
-// owned for each of these: nine tenths of its processor time at a start, and it served nobody for
-// as long. The entries that are walked over are counted, so that the verdict is the same
-// everywhere.
+// The work of a host for one event must not grow with the number of servers and groups. The tests
+// count visited entries instead of time, so that the result does not depend on the machine.
 
 using namespace kelptally;
 using namespace std::chrono_literals;
 
 namespace {
 
-constexpr char zoneHere[] = "zone-0";
+constexpr char localZone[] = "zone-0";
 constexpr int zones = 3;
 
-// The rows of a deployment with so many groups. Each has a primary and two replicas in three zones,
-// and an owner on another host.
-struct Rows : public services::TableService, public services::TableFeed
+// The ownership rows of a deployment. Each group has an owner on another host, and a primary and
+// two replicas in three zones.
+struct OwnershipRows : public services::TableService, public services::TableFeed
 {
-    explicit Rows(ManualTimerService &theTimers) : timers(theTimers) { }
+    explicit OwnershipRows(ManualTimerService &theTimers) : timers(theTimers) { }
 
     void read(const std::string &, const std::string &key, services::RowCallback callback) override
     {
@@ -75,12 +72,12 @@
             callback(std::move(snapshot));
         });
     }
-    // One that may stay open is answered by change(), or after its time.
+    // A call with a wait is answered by deliverChange() or when the wait is over.
     void changes(const std::string &, std::uint64_t after, Duration wait,
                  services::ChangesCallback callback) override
     {
         ++calls;
-        if (historyGone && wait == Duration(0)) {
+        if (historyUnavailable && wait == Duration(0)) {
             timers.subscribeAfter(4ms, [callback = std::move(callback)] {
                 callback(absl::OutOfRangeError("the history is gone"));
             });
@@ -92,11 +89,11 @@
             });
             return;
         }
-        open = std::move(callback);
-        const int asked = ++questions;
-        timers.subscribeAfter(wait, [this, after, asked] {
-            if (open && asked == questions)
-                std::exchange(open, nullptr)(changesAfter(after));
+        openCall = std::move(callback);
+        const int callNumber = ++openCallCount;
+        timers.subscribeAfter(wait, [this, after, callNumber] {
+            if (openCall && callNumber == openCallCount)
+                std::exchange(openCall, nullptr)(changesAfter(after));
         });
     }
     services::TableChanges changesAfter(std::uint64_t after) const
@@ -110,7 +107,7 @@
         return changes;
     }
 
-    void own(const GroupName &group, const std::string &address, OwnerEpoch epoch)
+    void setOwner(const GroupName &group, const std::string &address, OwnerEpoch epoch)
     {
         group::OwnershipRecord record;
         record.epoch = epoch;
@@ -118,33 +115,33 @@
         record.zone = "zone-1";
         owners[group] = {group, group::encodeOwnership(record), std::to_string(++version)};
     }
-    void change(const GroupName &group)
+    void deliverChange(const GroupName &group)
     {
-        REQUIRE(open);
+        REQUIRE(openCall);
         services::TableChanges changes;
         changes.changes.push_back({owners.at(group), false});
         changes.next = version;
         changes.serviceTime = timers.now().time_since_epoch();
-        std::exchange(open, nullptr)(std::move(changes));
+        std::exchange(openCall, nullptr)(std::move(changes));
     }
 
     ManualTimerService &timers;
     std::map<std::string, services::TableRow> owners;
     std::uint64_t version = 0;
-    services::ChangesCallback open;
-    int questions = 0;
+    services::ChangesCallback openCall;
+    int openCallCount = 0;
     int calls = 0;
-    // Runs before the next write takes effect.
+    // Called before the next write takes effect.
     std::function<void()> beforeWrite;
-    // Of the next write.
+    // Whether the answer to the next write is lost.
     bool loseAnswer = false;
-    bool historyGone = false;
+    bool historyUnavailable = false;
 };
 
-// One host with everything around it silent.
-struct LoneHost : public group::ServerConnector,
-                  public group::PromotionService,
-                  public host::CallerConnections
+// One host without any reachable peer.
+struct SingleHost : public group::ServerConnector,
+                    public group::PromotionService,
+                    public host::CallerConnections
 {
     struct Links : public inner::PeerLinks
     {
@@ -164,21 +161,21 @@
         std::map<inner::LinkId, int> sent;
     };
 
-    explicit LoneHost(int theGroups, bool owned = true, double theProcessors = 0.12)
+    explicit SingleHost(int theGroups, bool owned = true, double theProcessors = 0.12)
         : groups(theGroups), processors(theProcessors)
     {
         for (int i = 0; owned && i < groups; ++i)
-            rows.own(nameOf(i), "10.0.1." + std::to_string(i % 200) + ":1", 1);
+            rows.setOwner(groupName(i), "10.0.1." + std::to_string(i % 200) + ":1", 1);
         start();
         timers.advance(1s);
     }
 
-    // A new run of the process.
+    // Starts a new process of the host.
     void start()
     {
         settings::HostSettings settings;
         settings.host = "host";
-        settings.zone = zoneHere;
+        settings.zone = localZone;
         settings.address = "10.0.0.1";
         settings.peerPort = 1;
         settings.processors = processors;
@@ -195,7 +192,7 @@
                 },
                 [this](const std::string &endpoint, Duration,
                        std::function<void(ProbeOutcome)> done) {
-                    // The store is there, and nobody else answers.
+                    // Only the store answers probes.
                     if (endpoint.empty())
                         timers.subscribeAfter(1ms, [done] { done(ProbeOutcome::Accepted); });
                 },
@@ -203,7 +200,7 @@
         REQUIRE(process->start(*this).ok());
     }
 
-    static GroupName nameOf(int index) { return "group-" + std::to_string(index); }
+    static GroupName groupName(int index) { return "group-" + std::to_string(index); }
 
     void connect(const group::ServerAddress &, const OrganisationName &, Duration,
                  group::ServerConnectCallback) override
@@ -220,19 +217,20 @@
         auto catalogue = std::make_shared<session::Catalogue>();
         catalogue->version = version;
         for (int i = 0; i < groups; ++i) {
-            catalogue->groups[nameOf(i)].maxConnections = 30;
-            catalogue->routes[nameOf(i)].group = nameOf(i);
+            catalogue->groups[groupName(i)].maxConnections = 30;
+            catalogue->routes[groupName(i)].group = groupName(i);
         }
         process->onCatalogue(std::move(catalogue));
     }
 
-    // The primary of each group is its first server, and each third one is near.
+    // The first server of each group is its primary, and every third primary is in the host's zone.
     void list(int groupIndex, int index, std::uint64_t sequence, bool leaving = false)
     {
         group::ListedServer server;
-        server.run = {nameOf(groupIndex) + "-" + std::to_string(index), group::ServerStart(1000ms)};
+        server.run = {groupName(groupIndex) + "-" + std::to_string(index),
+                      group::ServerStart(1000ms)};
         server.sequence = sequence;
-        server.group = nameOf(groupIndex);
+        server.group = groupName(groupIndex);
         server.endpoint = "10.1.0.1:" + std::to_string(1000 + groupIndex * 3 + index);
         server.zone = "zone-" + std::to_string((groupIndex + index) % zones);
         server.primary = index == 0;
@@ -246,27 +244,27 @@
                 list(i, index, 1);
     }
 
-    double visits()
+    double scannedEntries()
     {
         double sum = 0;
         for (const char *part : {"servers", "owners", "retold_groups"})
-            sum += metrics.visits(part).Value();
+            sum += metrics.scannedEntries(part).Value();
         return sum;
     }
-    // Of what is done now and in the second after.
-    double visitsOf(const std::function<void()> &what)
+    // Returns the visits of the action and of the second after it.
+    double visitsDuring(const std::function<void()> &action)
     {
-        const double before = visits();
-        what();
+        const double before = scannedEntries();
+        action();
         timers.advance(1s);
-        return visits() - before;
+        return scannedEntries() - before;
     }
 
     const int groups;
     const double processors;
     Incarnation runs = 0;
     ManualTimerService timers;
-    Rows rows {timers};
+    OwnershipRows rows {timers};
     EventLog log {[] {
         EventLogOptions options;
         options.level = LogLevel::Error;
@@ -277,103 +275,104 @@
     Links *links = nullptr;
 };
 
-// A host that owns all the groups, as it has started again.
-struct OwnerHost : public LoneHost
+// A host that owned all groups before it started again.
+struct OwnerHost : public SingleHost
 {
-    explicit OwnerHost(int theGroups) : LoneHost(theGroups, false, 1)
+    explicit OwnerHost(int theGroups) : SingleHost(theGroups, false, 1)
     {
         for (int i = 0; i < groups; ++i)
-            rows.own(nameOf(i), "10.0.0.1:1", 5);
+            rows.setOwner(groupName(i), "10.0.0.1:1", 5);
     }
 
     group::OwnershipTable &ownership() { return process->groups().ownership(); }
 };
 
-// What is still done for one event, whatever the size: the servers of one group, and a few steps.
-constexpr double fewVisits = 30;
+// Limit for one event at any deployment size: the servers of one group and a few steps.
+constexpr double maxVisitsPerEvent = 30;
 
 } // namespace
 
-TEST_CASE("A start takes work in proportion to what there is")
+TEST_CASE("The work of a start is proportional to the number of groups")
 {
     for (const bool owned : {true, false}) {
         for (const int groups : {10, 100, 1000}) {
             CAPTURE(owned, groups);
-            LoneHost host(groups, owned);
-            const double visits = host.visitsOf([&] {
+            SingleHost host(groups, owned);
+            const double scannedEntries = host.visitsDuring([&] {
                 host.configure(1);
                 host.listAll();
             });
-            CHECK(visits <= fewVisits * groups);
+            CHECK(scannedEntries <= maxVisitsPerEvent * groups);
         }
     }
 }
 
-TEST_CASE("The servers may be known before the configuration")
+TEST_CASE("Work stays proportional when the servers are listed before the configuration is known")
 {
     for (const int groups : {10, 1000}) {
         CAPTURE(groups);
-        LoneHost host(groups);
-        CHECK(host.visitsOf([&] {
+        SingleHost host(groups);
+        CHECK(host.visitsDuring([&] {
             host.listAll();
             host.configure(1);
-        }) <= fewVisits * groups);
+        }) <= maxVisitsPerEvent * groups);
     }
 }
 
-TEST_CASE("What one change costs does not grow with the deployment")
+TEST_CASE("The work for one change does not grow with the deployment")
 {
     const int groups = GENERATE(10, 100, 1000);
     CAPTURE(groups);
-    LoneHost host(groups);
+    SingleHost host(groups);
     host.configure(1);
     host.listAll();
-    // The host asks for changes by itself, as it hears no other.
+    // The host polls for changes, as it has no link to another host.
     host.timers.advance(25s);
 
     SECTION("A server that leaves")
     {
-        CHECK(host.visitsOf([&] { host.list(3, 1, 2, true); }) <= fewVisits);
+        CHECK(host.visitsDuring([&] { host.list(3, 1, 2, true); }) <= maxVisitsPerEvent);
     }
     SECTION("A configuration that names the same groups")
     {
-        CHECK(host.visitsOf([&] { host.configure(2); }) <= fewVisits);
+        CHECK(host.visitsDuring([&] { host.configure(2); }) <= maxVisitsPerEvent);
     }
     SECTION("An owner that takes a group from another one")
     {
-        host.rows.own(host.nameOf(3), "10.0.1.7:1", 2);
-        CHECK(host.visitsOf([&] { host.rows.change(host.nameOf(3)); }) <= fewVisits);
+        host.rows.setOwner(host.groupName(3), "10.0.1.7:1", 2);
+        CHECK(host.visitsDuring([&] { host.rows.deliverChange(host.groupName(3)); })
+              <= maxVisitsPerEvent);
     }
     SECTION("A link to another host")
     {
         inner::Hello hello;
         hello.process = {"10.0.1.9:1", 1};
-        CHECK(host.visitsOf([&] { host.process->onPeerUp(1, hello); }) <= fewVisits);
+        CHECK(host.visitsDuring([&] { host.process->onPeerUp(1, hello); }) <= maxVisitsPerEvent);
     }
-    SECTION("Nothing")
+    SECTION("No event")
     {
-        CHECK(host.visitsOf([&] { host.timers.advance(10s); }) <= fewVisits);
+        CHECK(host.visitsDuring([&] { host.timers.advance(10s); }) <= maxVisitsPerEvent);
     }
 }
 
-// The store takes some thousand calls a second from all hosts together, one write to the table
-// after the other, and each is paid for. With a read and a write for each group that is claimed,
-// and a read each 2.5 s for each that is owned, 1,000 groups came back seconds after their hosts.
+// The store is shared by all hosts and limits their calls, so claims and lease renewals must be
+// batched.
 TEST_CASE("Calls to the store do not grow with the groups that a host owns")
 {
     const int groups = GENERATE(10, 100, 1000);
     CAPTURE(groups);
-    LoneHost host(groups, false, 1);
+    SingleHost host(groups, false, 1);
     host.configure(1);
     host.listAll();
     const int atStart = host.rows.calls;
     host.timers.advance(10s);
-    // Groups whose primary is near.
+    // The groups whose primary is in the host's zone.
     CHECK(int(host.process->groups().ownership().owned().size()) >= groups / zones);
     INFO(host.rows.calls - atStart);
     CHECK(host.rows.calls - atStart <= 20 + groups / 50);
 
-    // In calm times a question each 2.5 s, and what the news of the table take.
+    // Without events the host sends one read for all leases each 2.5 s, and the calls of its
+    // change feed.
     host.timers.advance(20s);
     const int before = host.rows.calls;
     host.timers.advance(10s);
@@ -382,7 +381,7 @@
         CHECK(toMilliseconds(host.process->groups().ownership().leaseLeft(group)) > 8000);
 }
 
-TEST_CASE("All groups of a host that starts again are claimed with few calls")
+TEST_CASE("A restarted host claims all its groups with few calls")
 {
     const int groups = GENERATE(10, 100, 1000);
     CAPTURE(groups);
@@ -393,19 +392,19 @@
     CHECK(host.rows.calls <= 6 + 2 * groups / 100);
 }
 
-TEST_CASE("A group that another host claims first keeps no other from being claimed with it")
+TEST_CASE("A group that another host claims first does not prevent the other claims of a batch")
 {
     OwnerHost host(50);
-    host.rows.beforeWrite = [&] { host.rows.own(host.nameOf(7), "10.0.1.7:1", 6); };
+    host.rows.beforeWrite = [&] { host.rows.setOwner(host.groupName(7), "10.0.1.7:1", 6); };
     host.start();
     host.timers.advance(500ms);
     CHECK(host.ownership().owned().size() == 49);
-    CHECK(!host.ownership().owns(host.nameOf(7)));
-    CHECK(host.ownership().record(host.nameOf(7))->epoch == 6);
+    CHECK(!host.ownership().owns(host.groupName(7)));
+    CHECK(host.ownership().record(host.groupName(7))->epoch == 6);
     CHECK(host.rows.calls <= 10);
 }
 
-TEST_CASE("Claims that were made together without an answer are settled one by one")
+TEST_CASE("A batch of claims without an answer is resolved group by group")
 {
     OwnerHost host(50);
     host.rows.loseAnswer = true;
@@ -418,37 +417,37 @@
     }
 }
 
-TEST_CASE("One question for all leases ends those whose row names another owner, and no other")
+TEST_CASE("The check of all leases ends only those whose row names another owner")
 {
     OwnerHost host(50);
     host.start();
     host.timers.advance(4s);
     REQUIRE(host.ownership().owned().size() == 50);
-    // Its news tell nothing of it: the question that is open there stays open.
-    host.rows.own(host.nameOf(7), "10.0.1.7:1", 7);
+    // The change is not delivered: the open call of the change feed stays open.
+    host.rows.setOwner(host.groupName(7), "10.0.1.7:1", 7);
     host.timers.advance(2600ms);
-    CHECK(!host.ownership().owns(host.nameOf(7)));
+    CHECK(!host.ownership().owns(host.groupName(7)));
     CHECK(host.ownership().owned().size() == 49);
     for (const GroupName &group : host.ownership().owned())
         CHECK(toMilliseconds(host.ownership().leaseLeft(group)) > 9000);
 }
 
-TEST_CASE("Leases last though the history that proves them together is gone")
+TEST_CASE("Leases are renewed although the history of the table is not available")
 {
     OwnerHost host(20);
     host.start();
     host.timers.advance(1s);
     REQUIRE(host.ownership().owned().size() == 20);
-    host.rows.historyGone = true;
+    host.rows.historyUnavailable = true;
     host.timers.advance(20s);
     CHECK(host.ownership().owned().size() == 20);
     for (const GroupName &group : host.ownership().owned())
         CHECK(host.ownership().hasLease(group));
 }
 
-// Each entry that waits for an answer of a lost owner asks other processes who owns the group now,
-// and an owner that needs another host for a group offers it: once to all that it had links with.
-TEST_CASE("Questions to other processes do not grow with the links")
+// Requests to peers are limited: an entry asks a few of them for the new owner, and an owner
+// offers its group to a few.
+TEST_CASE("Requests to peers do not grow with the number of links")
 {
     const int peers = GENERATE(3, 10, 100, 900);
     CAPTURE(peers);
@@ -475,7 +474,7 @@
     host.ownership().requestTakeOver("group-0", "", "test");
     CHECK(messages() >= std::min(peers, 5));
     CHECK(messages() <= 30);
-    // Who asks on comes to all of them.
+    // Repeated requests reach all peers.
     for (int i = 0; i < 60; ++i) {
         host.timers.advance(500ms);
         host.ownership().requestTakeOver("group-0", "", "test");
@@ -483,50 +482,49 @@
     CHECK(int(host.links->sent.size()) == peers);
 }
 
-// A third of the hosts was turned away by the store for nine seconds: their groups were claimed one
-// by one, 1,833 claims in two seconds were refused, as the table takes 200 writes a second.
-TEST_CASE("Groups that their owner offers at one moment are claimed together")
+// Claims of groups that are offered at the same time must be batched, as the table limits writes.
+TEST_CASE("Groups that are offered at the same time are claimed in batches")
 {
-    LoneHost host(50, true, 1);
+    SingleHost host(50, true, 1);
     host.timers.advance(5s);
     host.rows.calls = 0;
     auto &ownership = host.process->groups().ownership();
     for (int i = 0; i < host.groups; ++i)
-        ownership.onTakeOverRequested(host.nameOf(i), 1);
+        ownership.onTakeOverRequested(host.groupName(i), 1);
     host.timers.advance(1s);
     CHECK(ownership.owned().size() == 50);
     CHECK(host.rows.calls <= 40);
     for (int i = 0; i < host.groups; ++i) {
-        // The owner before may act on, and the row says so.
-        CHECK(ownership.record(host.nameOf(i))->epoch == 2);
-        CHECK(!ownership.isSoleOwner(host.nameOf(i)));
+        // The previous owner may still act, and the row records that.
+        CHECK(ownership.record(host.groupName(i))->epoch == 2);
+        CHECK(!ownership.isSoleOwner(host.groupName(i)));
     }
 }
 
-// One look serves for all claims of a start, so its failure must not end them all.
-TEST_CASE("A host that starts again claims its groups though the first look fails")
+// One read serves all claims of a start; its failure must not abort them.
+TEST_CASE("A restarted host claims its groups although its first read fails")
 {
     OwnerHost host(50);
-    host.rows.historyGone = true;
+    host.rows.historyUnavailable = true;
     host.start();
     host.timers.advance(200ms);
     REQUIRE(host.ownership().owned().empty());
-    host.rows.historyGone = false;
+    host.rows.historyUnavailable = false;
     host.timers.advance(2s);
     CHECK(host.ownership().owned().size() == 50);
 }
 
-TEST_CASE("A row that can't be read prolongs no lease, and no other row's lease suffers")
+TEST_CASE("An invalid row renews no lease and does not affect the leases of other rows")
 {
     OwnerHost host(20);
     host.start();
     host.timers.advance(4s);
     REQUIRE(host.ownership().owned().size() == 20);
-    host.rows.owners[host.nameOf(7)] = {host.nameOf(7), "no record",
-                                        std::to_string(++host.rows.version)};
+    host.rows.owners[host.groupName(7)] = {host.groupName(7), "no record",
+                                           std::to_string(++host.rows.version)};
     host.timers.advance(3s);
     for (const GroupName &group : host.ownership().owned()) {
         const double left = toMilliseconds(host.ownership().leaseLeft(group));
-        CHECK((left > 9000) == (group != host.nameOf(7)));
+        CHECK((left > 9000) == (group != host.groupName(7)));
     }
 }
--- a/tests/inner/samplemessages.h
+++ b/tests/inner/samplemessages.h
@@ -2,7 +2,7 @@
 
 #include "inner/messages.h"
 
-// Messages with every field set to something other than its default.
+// Sample messages in which every field has a non-default value.
 namespace kelptally::inner {
 
 inline Execute sampleExecute()
@@ -90,7 +90,7 @@
     message.owner = {"127.0.0.2:7000", 8};
     message.logPosition = Position {3, 14};
     message.logAge = std::chrono::milliseconds(6);
-    message.lentConnections = 2;
+    message.grantedConnections = 2;
     return message;
 }
 
@@ -126,15 +126,15 @@
         OwnershipEnded {"offers", 6},
         Stopping {process},
         TakeOver {"offers", 6, "10.0.0.1:5432", true},
-        FollowTables {{{"owners", 17}, {"servers", 0}}, false},
-        TableNews {"owners",
-                   17,
-                   20,
-                   std::chrono::milliseconds(51230),
-                   {{"offers", "{}", 18, false}, {"deposits", "", 20, true}},
-                   true},
+        SubscribeTables {{{"owners", 17}, {"servers", 0}}, false},
+        TableUpdate {"owners",
+                     17,
+                     20,
+                     std::chrono::milliseconds(51230),
+                     {{"offers", "{}", 18, false}, {"deposits", "", 20, true}},
+                     true},
         QuotaRequest {"town-water", 4500},
-        QuotaGift {"town-water", 1250},
+        QuotaGrant {"town-water", 1250},
     };
 }
 
--- a/tests/owner/atmostonce_test.cpp
+++ b/tests/owner/atmostonce_test.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-// What a caller does once, however often it has to ask.
+// One operation of a caller, which may need several attempts.
 struct Operation
 {
     enum class Kind {
-        // One batch at the server, two batches, a transaction.
+        // A write in one batch, a write in two batches, a transaction.
         Insert,
         Update,
         Transaction,
@@ -29,9 +29,10 @@
     Kind kind = Kind::Insert;
     std::string key;
     std::string row;
-    // As the caller was told in the end: done, or given up after answers that all said "not run".
+    // Final outcome reported to the caller: done, or abandoned after all answers reported it as not
+    // run.
     bool done = false;
-    // Transaction whose commit was sent last.
+    // Transaction of the last commit sent.
     std::string transaction;
 
     inner::Execute statement() const
@@ -56,7 +57,8 @@
     }
 };
 
-// One session of a caller that moves between two entries and asks until it has an outcome.
+// A caller session that sends through one of two entries at random and retries until the outcome is
+// known.
 class Caller
 {
 public:
@@ -66,28 +68,28 @@
             entry = std::make_unique<TestEntry>(owners_);
     }
 
-    // False when no outcome was had within the time.
-    bool carryOut(Operation &operation)
+    // Returns false if the outcome was unknown at the timeout.
+    bool run(Operation &operation)
     {
         const Instant end = BootClock::now() + 40s;
-        certain_ = true;
+        notExecuted_ = true;
         while (BootClock::now() < end) {
             const Executed executed = attempt(operation);
             operation.done = executed == Executed::Yes;
-            certain_ = certain_ && executed == Executed::No;
-            if (operation.done || (certain_ && random_() % 4 == 0))
+            notExecuted_ = notExecuted_ && executed == Executed::No;
+            if (operation.done || (notExecuted_ && random_() % 4 == 0))
                 return true;
             std::this_thread::sleep_for(5ms);
         }
         return false;
     }
-    // Asks again for what is done; gives whether it was answered from the record.
+    // Repeats a completed operation; returns whether it was answered from the record.
     bool isReplayed(Operation &operation)
     {
         const bool single = operation.kind != Operation::Kind::Transaction;
         const auto step = single ? StatementStep::Single : StatementStep::Commit;
         for (int i = 0; i < 2000; ++i) {
-            const inner::ExecuteResult result = ask(operation.request(step));
+            const inner::ExecuteResult result = send(operation.request(step));
             if (result.reason == Reason::None)
                 return result.replayed;
             std::this_thread::sleep_for(5ms);
@@ -96,8 +98,8 @@
     }
 
 private:
-    // Through any entry, at the owner as far as known. No answer is an unknown outcome.
-    inner::ExecuteResult ask(const inner::Execute &execute)
+    // Sends through a random entry to the last known owner. A missing answer is an unknown outcome.
+    inner::ExecuteResult send(const inner::Execute &execute)
     {
         const auto answer = entries_[random_() % entries_.size()]->tryOnce(owner_, execute);
         inner::ExecuteResult result = answer.value_or(inner::ExecuteResult {});
@@ -114,22 +116,22 @@
     Executed attempt(Operation &operation)
     {
         if (operation.kind != Operation::Kind::Transaction)
-            return ask(operation.request(StatementStep::Single)).executed;
+            return send(operation.request(StatementStep::Single)).executed;
         operation.transaction.clear();
-        const inner::ExecuteResult begun = ask(operation.request(StatementStep::Begin));
+        const inner::ExecuteResult begun = send(operation.request(StatementStep::Begin));
         if (begun.reason != Reason::None)
             return Executed::No;
         operation.transaction = begun.transaction;
-        if (ask(operation.request(StatementStep::InTransaction)).reason != Reason::None)
+        if (send(operation.request(StatementStep::InTransaction)).reason != Reason::None)
             return Executed::No;
         return commit(operation);
     }
 
-    // Until the commit's outcome is known. That the transaction has ended is said for certain.
+    // Repeats the commit until its outcome is known. TransactionEnded with Executed::No is final.
     Executed commit(const Operation &operation)
     {
         for (int i = 0; i < 2000; ++i) {
-            const inner::ExecuteResult result = ask(operation.request(StatementStep::Commit));
+            const inner::ExecuteResult result = send(operation.request(StatementStep::Commit));
             if (result.reason == Reason::None)
                 return Executed::Yes;
             if (result.reason == Reason::TransactionEnded && result.executed == Executed::No)
@@ -143,10 +145,10 @@
     std::mt19937 random_;
     std::array<std::unique_ptr<TestEntry>, 2> entries_;
     std::string owner_ = owners_.front();
-    bool certain_ = true;
+    bool notExecuted_ = true;
 };
 
-// Kills and pauses primaries and crashes owners for a while, and heals everything at the end.
+// Kills and pauses primaries and crashes owners at random; each fault is repaired before the next.
 void injectFaults(OwnerCluster &cluster, std::mt19937 &random, int count)
 {
     for (int i = 0; i < count; ++i) {
@@ -157,7 +159,7 @@
         case 0:
             cluster.kill(primary);
             std::this_thread::sleep_for(time);
-            cluster.revive(primary);
+            cluster.restartServer(primary);
             break;
         case 1:
             cluster.pauseServer(primary, true);
@@ -165,7 +167,7 @@
             cluster.pauseServer(primary, false);
             break;
         default: {
-            const std::string owner = cluster.serving();
+            const std::string owner = cluster.waitForServingOwner();
             cluster.crash(owner);
             std::this_thread::sleep_for(time);
             cluster.restart(owner);
@@ -193,11 +195,11 @@
 }
 
 constexpr int callerCount = 4;
-constexpr int leastOperations = 20;
+constexpr int minOperations = 20;
 
 } // namespace
 
-TEST_CASE("Each request with a key is done once, through failovers and lost answers")
+TEST_CASE("A request with a key runs once despite failovers and lost answers")
 {
     OwnerCluster cluster(3);
     executeOrFail(cluster, "CREATE TABLE deposit(key TEXT, amount INTEGER)");
@@ -206,7 +208,7 @@
                       "INSERT INTO offer(id, amount) VALUES ('" + std::to_string(i) + "', 0)");
 
     std::atomic<bool> faulty {true};
-    std::atomic<int> stuck {0};
+    std::atomic<int> unresolved {0};
     std::array<std::vector<Operation>, callerCount> operations;
     std::vector<std::unique_ptr<Caller>> callers;
     std::vector<std::thread> threads;
@@ -214,12 +216,12 @@
         callers.push_back(std::make_unique<Caller>(cluster, 100u + static_cast<unsigned>(i)));
     for (std::size_t i = 0; i < callerCount; ++i) {
         threads.emplace_back([&, i] {
-            for (int n = 0; (faulty || n < leastOperations) && n < 400; ++n) {
+            for (int n = 0; (faulty || n < minOperations) && n < 400; ++n) {
                 Operation operation;
                 operation.kind = static_cast<Operation::Kind>(n % 3);
                 operation.row = std::to_string(i);
                 operation.key = operation.row + "." + std::to_string(n);
-                stuck += callers[i]->carryOut(operation) ? 0 : 1;
+                unresolved += callers[i]->run(operation) ? 0 : 1;
                 operations[i].push_back(operation);
                 std::this_thread::sleep_for(10ms);
             }
@@ -230,7 +232,7 @@
     faulty = false;
     for (std::thread &thread : threads)
         thread.join();
-    CHECK(stuck == 0);
+    CHECK(unresolved == 0);
 
     const auto check = [&] {
         const auto deposits = countByKey(cluster, "SELECT key, count(*) FROM deposit GROUP BY key");
@@ -249,17 +251,17 @@
         }
     };
     check();
-    // A repeat of what is done is answered from its record, through whichever entry.
+    // A repeat of a completed operation is answered from its record, through either entry.
     int repeated = 0;
     for (std::size_t i = 0; i < callerCount; ++i)
         for (Operation &operation : operations[i])
             if (operation.done && ++repeated % 7 == 0)
                 CHECK(callers[i]->isReplayed(operation));
-    CHECK(repeated > callerCount * leastOperations / 2);
+    CHECK(repeated > callerCount * minOperations / 2);
     check();
 }
 
-TEST_CASE("A statement that could end or leave its transaction is not run")
+TEST_CASE("Statements that could end or escape their transaction are refused")
 {
     OwnerCluster cluster(1);
     for (const char *sql : {"COMMIT", "SELECT 1; SELECT 2", "SAVEPOINT a", "SELECT lastval()"}) {
--- a/tests/owner/failoverdriver_test.cpp
+++ b/tests/owner/failoverdriver_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr OwnerEpoch epoch = 3;
 
-// One server as its control connection sees it.
+// Database server that answers the commands of a control connection.
 struct FakeServer : public backend::BackendServer
 {
     explicit FakeServer(TimerService &timers) : timers(timers) { }
@@ -23,10 +23,10 @@
     backend::BatchResult answer(const backend::Statement &statement);
 
     TimerService &timers;
-    bool listens = true;
+    bool isListening = true;
     bool primary = false;
-    // Takes commands and does not change: its log stays one of an older term.
-    bool stuck = false;
+    // Accepts commands without effect, so that its log stays at an older term.
+    bool ignoresCommands = false;
     Term term = 1;
     OwnerEpoch fence = 0;
 };
@@ -41,11 +41,11 @@
             backend::BatchResult result;
             result.state = backend::BatchState::Unknown;
             result.connectionLost = true;
-            callback(server.listens && isOpen ? server.answer(batch.front()) : result);
+            callback(server.isListening && isOpen ? server.answer(batch.front()) : result);
         });
     }
     bool busy() const override { return false; }
-    bool open() const override { return isOpen && server.listens; }
+    bool open() const override { return isOpen && server.isListening; }
     void close() override { isOpen = false; }
 
     FakeServer &server;
@@ -55,7 +55,7 @@
 void FakeServer::connect(Duration, backend::ConnectCallback callback)
 {
     timers.subscribeAfter(1ms, [this, callback] {
-        if (listens)
+        if (isListening)
             callback(absl::OkStatus(), std::make_shared<FakeConnection>(*this));
         else
             callback(absl::UnavailableError("connection refused"), nullptr);
@@ -64,20 +64,20 @@
 
 backend::BatchResult FakeServer::answer(const backend::Statement &statement)
 {
-    const settings::GroupStatements known;
+    const settings::GroupStatements statements;
     backend::BatchResult result;
     result.state = backend::BatchState::Done;
     result.rows.emplace_back();
     Rows &rows = result.rows.back();
     const std::string termText = std::to_string(term);
-    if (statement.sql == known.status)
+    if (statement.sql == statements.status)
         rows.values.push_back({termText, primary ? "primary" : "replica", "7", "7",
                                std::to_string(fence), termText, termText});
-    else if (statement.sql == known.history)
+    else if (statement.sql == statements.history)
         rows.values.push_back({termText, "0"});
-    else if (statement.sql == known.raiseFence)
+    else if (statement.sql == statements.raiseFence)
         fence = std::stoull(*statement.parameters.front());
-    else if (statement.sql == known.prepare && !stuck)
+    else if (statement.sql == statements.prepare && !ignoresCommands)
         term = std::stoull(*statement.parameters.front());
     return result;
 }
@@ -99,7 +99,7 @@
     void write(std::vector<services::ConditionalWrite>, services::WriteCallback) override { }
 };
 
-// The driver of one owner before the servers a, b and c, of which a leads term 2.
+// A driver with servers a, b and c; a is primary in term 2.
 struct Fixture : public FailoverListener
 {
     Fixture()
@@ -133,7 +133,7 @@
         }
     }
 
-    void kill(const ServerName &name) { servers.at(name)->listens = false; }
+    void kill(const ServerName &name) { servers.at(name)->isListening = false; }
 
     void onServerReport(const ServerName &, Instant, const decision::ServerReport &) override { }
     void onServerUnreachable(const ServerName &) override { }
@@ -162,23 +162,12 @@
 
 } // namespace
 
-// Two of three servers were killed within a millisecond of the owner's start, before one of them
-// had shown a record of the present term. A replica in that state is told to follow, again and
-// again. With nothing listening, the command was not sent; that came back as "the server refused
-// it", and a server that refuses was counted as heard. So the owner heard a majority for ever, kept
-// the group, and neither replaced nor gave away anything.
-//
-// From a red run of owner_majority_test, 60 s in which these are the last lines:
-//   server-killed server=b
-//   server-killed server=c
-//   servers_silent silent=b cut_off=0
-// and in a trial with one line a second, for c, killed 9 s before: last heard 39.87 ms ago, last
-// probe sent 39.87 ms ago: heard at the instant of a question, without any round trip. Green runs
-// say silent=b,c cut_off=1 after 2.0 s.
-TEST_CASE("A server that is gone is not heard, though a command for it is repeated")
+// A command that could not be sent must not count as an answer: an owner that repeats a command to
+// stopped servers would assume a majority forever.
+TEST_CASE("Repeated commands to a stopped server do not count as answers")
 {
     Fixture f;
-    f.servers["c"]->stuck = true;
+    f.servers["c"]->ignoresCommands = true;
     f.servers["c"]->term = 1;
     f.start();
     f.kill("b");
@@ -189,7 +178,7 @@
     CHECK(f.driver->decision()->isCutOff(f.timers.now()));
 }
 
-TEST_CASE("Servers that are gone are not heard while a promotion waits for a majority")
+TEST_CASE("Stopped servers become silent while a promotion waits for a majority")
 {
     Fixture f;
     f.start();
--- a/tests/platform/fakeplatform.cpp
+++ b/tests/platform/fakeplatform.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using Tcp = boost::asio::ip::tcp;
-constexpr Duration feedLook = std::chrono::milliseconds(20);
+constexpr Duration feedPollPeriod = std::chrono::milliseconds(20);
 
 std::string parameter(const std::string &query, const std::string &name)
 {
@@ -76,10 +76,10 @@
         return reply->send(std::move(missing));
     }
     const auto after = std::strtoull(parameter(request.query, "after").c_str(), nullptr, 10);
-    const std::string news = rowsAfter(table, std::max<std::uint64_t>(after, 1), "");
-    if (!news.empty())
-        return reply->send(caller::jsonResponse(news));
-    thread_.timers().subscribeAfter(feedLook,
+    const std::string changes = rowsAfter(table, std::max<std::uint64_t>(after, 1), "");
+    if (!changes.empty())
+        return reply->send(caller::jsonResponse(changes));
+    thread_.timers().subscribeAfter(feedPollPeriod,
                                     [this, request, reply] { onRequest(request, reply); });
 }
 
@@ -166,14 +166,14 @@
         });
 }
 
-// The group, one word for whoever asks, and this server.
+// Checks the words: START, the group, an organisation and the id of this server.
 bool FakeServer::isStart(const std::string &line) const
 {
     const std::vector<std::string> words = absl::StrSplit(line, ' ');
     return words.size() == 4 && words[1] == "cases" && !words[2].empty() && words[3] == id_;
 }
 
-// Empty: the connection ends without an answer.
+// Returns the answer; if it is empty, the connection is closed instead.
 std::string FakeServer::answer(Connection &connection, const std::string &line)
 {
     const std::lock_guard<std::mutex> lock(mutex_);
--- a/tests/session/sessionfixture.h
+++ b/tests/session/sessionfixture.h
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-// A caller's session before a router that only notes what it is given.
+// A caller's session with a router that records statements and answers on demand.
 namespace kelptally::session {
 
 struct FakeRouter : public StatementRouter
@@ -49,14 +49,14 @@
     std::vector<SessionState> states;
 };
 
-inline EventLogOptions quiet()
+inline EventLogOptions errorsOnly()
 {
     EventLogOptions options;
     options.level = LogLevel::Error;
     return options;
 }
 
-// A configuration of one database.
+// Returns a configuration with the single database "main".
 inline std::shared_ptr<Catalogue> mainCatalogue(ConfigVersion version)
 {
     auto catalogue = std::make_shared<Catalogue>();
@@ -78,8 +78,8 @@
             sha256(key));
     }
 
-    void say(StatementKind kind, const std::string &name = "", const std::string &argument = "",
-             bool writes = false)
+    void runStatement(StatementKind kind, const std::string &name = "",
+                      const std::string &argument = "", bool writes = false)
     {
         Statement statement;
         statement.kind = kind;
@@ -92,7 +92,7 @@
     }
 
     ManualTimerService timers;
-    EventLog log {quiet()};
+    EventLog log {errorsOnly()};
     Metrics metrics;
     FakeRouter router;
     FakeOutput output;
