--- a/src/bench/checker.cpp
+++ b/src/bench/checker.cpp
@@ -109,8 +109,8 @@
         ++figures_.refusals[answer.reason];
     if (refused && request.write)
         notRun_[request.group].insert(request.id);
-    const bool right = done || request.expect == Expect::Any
-        || (refused && request.expect == Expect::DoneOrRefused);
+    const bool right = done || request.expect == ExpectedOutcome::Any
+        || (refused && request.expect == ExpectedOutcome::DoneOrRefused);
     figures_.missedOutcomes += right ? 0 : 1;
 }
 
--- a/src/bench/livereplay.cpp
+++ b/src/bench/livereplay.cpp
@@ -18,14 +18,14 @@
 namespace {
 
 // Time for the last answers after the trace's end.
-constexpr Duration endTime = 20s;
+constexpr Duration drainTime = 20s;
 // A write with a key is sent again until its outcome is known, after the pause that the answer
 // names or this one.
-constexpr Duration repeatPause = 100ms;
-constexpr int maxRepeats = 100;
+constexpr Duration minRetryDelay = 100ms;
+constexpr int maxAttempts = 100;
 
 // Request kinds of a demo's configuration.
-struct Kinds
+struct RequestKinds
 {
     std::string once;
     std::string write;
@@ -33,7 +33,7 @@
     std::string newest;
 };
 
-Kinds kindsOf(const Trace &trace)
+RequestKinds requestKindsOf(const Trace &trace)
 {
     if (absl::StartsWith(trace.name, "lagon"))
         return {"offer", "edit-listing", "browse", "listing-read"};
@@ -42,7 +42,7 @@
 
 std::string faultBody(const TraceFault &fault)
 {
-    const std::string server = absl::StrCat("\"server\":\"", fault.subject, "\"}");
+    const std::string server = absl::StrCat("\"server\":\"", fault.target, "\"}");
     switch (fault.kind) {
     case FaultKind::KillServer:
         return "{\"fault\":\"kill\"," + server;
@@ -77,14 +77,14 @@
 {
 public:
     LiveReplay(const Trace &trace, const LiveOptions &options)
-        : trace_(trace), options_(options), kinds_(kindsOf(trace)),
+        : trace_(trace), options_(options), kinds_(requestKindsOf(trace)),
           run_(absl::StrCat("replay-", BootClock::now().time_since_epoch() / 1us)),
           control_(options.standin)
     {
         for (const std::string &entry : options.entries)
             callers_.push_back(std::make_unique<Caller>(context_, std::vector<std::string> {entry},
                                                         options.callerKey,
-                                                        options.connectionsEach));
+                                                        options.connectionsPerEntry));
     }
 
     absl::StatusOr<LiveFigures> run()
@@ -92,12 +92,12 @@
         const Instant begin = timers_.now() + 100ms;
         Duration last {0};
         for (const TraceEvent &event : trace_.events) {
-            last = event.at * options_.slower;
-            timers_.subscribeAt(begin + last, [this, &event] { due(event); });
+            last = event.at * options_.timeFactor;
+            timers_.subscribeAt(begin + last, [this, &event] { onEvent(event); });
         }
-        timers_.subscribeAt(begin + last + endTime, [this] { context_.stop(); });
+        timers_.subscribeAt(begin + last + drainTime, [this] { context_.stop(); });
         context_.run();
-        figures_.unknown += open_;
+        figures_.unknown += inFlight_;
         for (auto &caller : callers_)
             caller->close();
         if (const absl::Status status = readTables(); !status.ok())
@@ -112,33 +112,33 @@
         const TraceRequest *request = nullptr;
         Instant sentAt;
         // Writes of the own session and of its neighbour that were acknowledged when it was sent.
-        std::size_t ownKnown = 0;
-        std::size_t repeats = 0;
+        std::size_t acknowledgedBefore = 0;
+        std::size_t retries = 0;
     };
     using PendingPtr = std::shared_ptr<Pending>;
 
-    void due(const TraceEvent &event)
+    void onEvent(const TraceEvent &event)
     {
         if (event.fault)
-            return cause(*event.fault);
+            return injectFault(*event.fault);
         auto pending = std::make_shared<Pending>();
         pending->request = &*event.request;
         pending->sentAt = timers_.now();
-        pending->ownKnown = sessions_[event.request->session].acknowledged.size();
+        pending->acknowledgedBefore = sessions_[event.request->session].acknowledged.size();
         ++figures_.requests;
-        ++open_;
+        ++inFlight_;
         figures_.agedReads += !event.request->write && event.request->statedAge ? 1 : 0;
         send(pending);
     }
 
-    void cause(const TraceFault &fault)
+    void injectFault(const TraceFault &fault)
     {
         const std::string body = faultBody(fault);
         const bool caused = !options_.standin.empty() && !body.empty() && control_.fault(body).ok();
         figures_.faultsNotCaused += caused ? 0 : 1;
     }
 
-    std::string runOf(SessionId session) const { return absl::StrCat(run_, "/s", session); }
+    std::string sessionRun(SessionId session) const { return absl::StrCat(run_, "/s", session); }
     std::string idOf(const TraceRequest &request) const
     {
         return absl::StrCat(run_, "/", request.id);
@@ -151,7 +151,7 @@
         return session >= groups ? session - groups : session;
     }
 
-    CallerRequest statementOf(const TraceRequest &request)
+    CallerRequest requestFor(const TraceRequest &request)
     {
         CallerRequest statement;
         statement.sessionToken = sessions_[request.session].token;
@@ -159,50 +159,50 @@
             const std::string &kind = request.repeatable ? kinds_.write : kinds_.once;
             if (!request.repeatable)
                 statement.idempotencyKey = idOf(request);
-            statement.body =
-                callerBody(request.group, kind, "INSERT INTO load_writes(id, run) VALUES ($1, $2)",
-                           {idOf(request), runOf(request.session)}, std::nullopt, request.deadline);
+            statement.body = statementBody(
+                request.group, kind, "INSERT INTO load_writes(id, run) VALUES ($1, $2)",
+                {idOf(request), sessionRun(request.session)}, std::nullopt, request.deadline);
             return statement;
         }
         const std::string &kind = request.statedAge ? kinds_.browse : kinds_.newest;
         statement.body =
-            callerBody(request.group, kind, "SELECT id FROM load_writes WHERE run IN ($1, $2)",
-                       {runOf(request.session), runOf(neighbourOf(request.session))},
-                       request.statedAge, request.deadline);
+            statementBody(request.group, kind, "SELECT id FROM load_writes WHERE run IN ($1, $2)",
+                          {sessionRun(request.session), sessionRun(neighbourOf(request.session))},
+                          request.statedAge, request.deadline);
         return statement;
     }
 
-    Caller &callerOf(const TraceRequest &request, std::size_t repeats)
+    Caller &callerOf(const TraceRequest &request, std::size_t retries)
     {
         std::size_t host = 0;
         while (host + 1 < trace_.hosts.size() && trace_.hosts[host].name != request.entry)
             ++host;
-        return *callers_[(host + repeats) % callers_.size()];
+        return *callers_[(host + retries) % callers_.size()];
     }
 
     void send(const PendingPtr &pending)
     {
         const TraceRequest &request = *pending->request;
-        callerOf(request, pending->repeats)
-            .send(statementOf(request),
-                  [this, pending](const CallerAnswer &answer) { take(pending, answer); });
+        callerOf(request, pending->retries)
+            .send(requestFor(request),
+                  [this, pending](const CallerAnswer &answer) { onAnswer(pending, answer); });
     }
 
-    void take(const PendingPtr &pending, const CallerAnswer &answer)
+    void onAnswer(const PendingPtr &pending, const CallerAnswer &answer)
     {
         const TraceRequest &request = *pending->request;
         const bool keyed = request.write && !request.repeatable;
-        const bool repeat = answer.executed == Executed::Unknown && (keyed || !request.write);
-        if (repeat && ++pending->repeats < maxRepeats) {
-            const Duration pause = std::max(answer.retryAfter, repeatPause);
-            timers_.subscribeAfter(pause, [this, pending] { send(pending); });
+        const bool shouldRetry = answer.executed == Executed::Unknown && (keyed || !request.write);
+        if (shouldRetry && ++pending->retries < maxAttempts) {
+            const Duration delay = std::max(answer.retryAfter, minRetryDelay);
+            timers_.subscribeAfter(delay, [this, pending] { send(pending); });
             return;
         }
-        --open_;
+        --inFlight_;
         Session &session = sessions_[request.session];
         if (!answer.sessionToken.empty() && answer.good() && request.write)
             session.token = answer.sessionToken;
-        noteOutcome(request, answer);
+        countOutcome(request, answer);
         if (answer.executed == Executed::No && request.write)
             session.notRun.insert(idOf(request));
         if (!answer.good())
@@ -216,7 +216,7 @@
             checkRead(*pending, answer, now);
     }
 
-    void noteOutcome(const TraceRequest &request, const CallerAnswer &answer)
+    void countOutcome(const TraceRequest &request, const CallerAnswer &answer)
     {
         const bool refused = answer.executed == Executed::No;
         figures_.done += answer.good() ? 1 : 0;
@@ -224,9 +224,9 @@
         figures_.unknown += !answer.good() && !refused ? 1 : 0;
         if (!answer.good())
             ++figures_.reasons[answer.status == 0 ? "connection_lost" : answer.reason];
-        const bool right = answer.good() || request.expect == Expect::Any
-            || (refused && request.expect == Expect::DoneOrRefused);
-        figures_.missedOutcomes += right ? 0 : 1;
+        const bool isExpected = answer.good() || request.expect == ExpectedOutcome::Any
+            || (refused && request.expect == ExpectedOutcome::DoneOrRefused);
+        figures_.missedOutcomes += isExpected ? 0 : 1;
     }
 
     void checkRead(const Pending &pending, const CallerAnswer &answer, Instant now)
@@ -237,26 +237,28 @@
             seen.insert(row.at(0).value_or(""));
         const std::vector<Write> &own = sessions_[request.session].acknowledged;
         const auto isSeen = [&seen](const Write &write) { return seen.count(write.id) > 0; };
-        const auto known = own.begin() + static_cast<std::ptrdiff_t>(pending.ownKnown);
-        figures_.readYourWrites += std::all_of(own.begin(), known, isSeen) ? 0 : 1;
+        const auto knownEnd = own.begin() + static_cast<std::ptrdiff_t>(pending.acknowledgedBefore);
+        figures_.readYourWrites += std::all_of(own.begin(), knownEnd, isSeen) ? 0 : 1;
 
         // The newest data holds at least what was acknowledged before the request was sent.
-        const Instant until = request.statedAge ? now - *request.statedAge : pending.sentAt;
+        const Instant requiredBefore =
+            request.statedAge ? now - *request.statedAge : pending.sentAt;
         const auto &others = sessions_[neighbourOf(request.session)].acknowledged;
-        const auto isFine = [&](const Write &write) {
-            return write.acknowledgedAt >= until || isSeen(write);
+        const auto isConsistent = [&](const Write &write) {
+            return write.acknowledgedAt >= requiredBefore || isSeen(write);
         };
-        figures_.statedAge += std::all_of(others.begin(), others.end(), isFine) ? 0 : 1;
+        figures_.statedAge += std::all_of(others.begin(), others.end(), isConsistent) ? 0 : 1;
         figures_.byReplica += request.statedAge && answer.fromReplica ? 1 : 0;
     }
 
     // How often each id of a session is in its table; asked until an answer comes.
-    absl::StatusOr<std::map<std::string, int>> tableOf(SessionId session, const GroupName &group)
+    absl::StatusOr<std::map<std::string, int>> readSessionRows(SessionId session,
+                                                               const GroupName &group)
     {
-        const std::string body = callerBody(
+        const std::string body = statementBody(
             group, kinds_.newest, "SELECT id, count(*) FROM load_writes WHERE run = $1 GROUP BY id",
-            {runOf(session)}, std::nullopt, 5s);
-        for (int attempt = 0; attempt < maxRepeats; ++attempt) {
+            {sessionRun(session)}, std::nullopt, 5s);
+        for (int attempt = 0; attempt < maxAttempts; ++attempt) {
             boost::asio::io_context context;
             const std::size_t entry = static_cast<std::size_t>(attempt) % options_.entries.size();
             Caller caller(context, {options_.entries[entry]}, options_.callerKey, 1);
@@ -268,10 +270,10 @@
             context.run();
             if (!last.good())
                 continue;
-            std::map<std::string, int> copies;
+            std::map<std::string, int> rowCounts;
             for (const auto &row : last.rows)
-                copies[row.at(0).value_or("")] = std::atoi(row.at(1).value_or("0").c_str());
-            return copies;
+                rowCounts[row.at(0).value_or("")] = std::atoi(row.at(1).value_or("0").c_str());
+            return rowCounts;
         }
         return absl::UnavailableError("the table of " + group + " cannot be read at the end");
     }
@@ -288,28 +290,28 @@
                 once.insert(idOf(*event.request));
         }
         for (const auto &[session, group] : groups) {
-            const auto copies = tableOf(session, group);
-            if (!copies.ok())
-                return copies.status();
-            judge(sessions_[session], *copies, once);
+            const auto rowCounts = readSessionRows(session, group);
+            if (!rowCounts.ok())
+                return rowCounts.status();
+            checkTable(sessions_[session], *rowCounts, once);
         }
         return absl::OkStatus();
     }
 
-    void judge(const Session &session, const std::map<std::string, int> &copies,
-               const std::set<std::string> &once)
+    void checkTable(const Session &session, const std::map<std::string, int> &rowCounts,
+                    const std::set<std::string> &once)
     {
         for (const Write &write : session.acknowledged)
-            figures_.lostWrites += copies.count(write.id) > 0 ? 0 : 1;
+            figures_.lostWrites += rowCounts.count(write.id) > 0 ? 0 : 1;
         for (const std::string &id : session.notRun)
-            figures_.falseNotRun += copies.count(id) > 0 ? 1 : 0;
-        for (const auto &[id, count] : copies)
+            figures_.falseNotRun += rowCounts.count(id) > 0 ? 1 : 0;
+        for (const auto &[id, count] : rowCounts)
             figures_.doubledWrites += count > 1 && once.count(id) > 0 ? 1 : 0;
     }
 
     const Trace &trace_;
     const LiveOptions &options_;
-    const Kinds kinds_;
+    const RequestKinds kinds_;
     const std::string run_;
     StandinControl control_;
     boost::asio::io_context context_;
@@ -317,14 +319,14 @@
     std::vector<std::unique_ptr<Caller>> callers_;
     std::map<SessionId, Session> sessions_;
     LiveFigures figures_;
-    int open_ = 0;
+    int inFlight_ = 0;
 };
 
 } // namespace
 
 absl::StatusOr<LiveFigures> replayLive(const Trace &trace, const LiveOptions &options)
 {
-    if (options.entries.empty() || options.slower < 1 || options.connectionsEach < 1)
+    if (options.entries.empty() || options.timeFactor < 1 || options.connectionsPerEntry < 1)
         return absl::InvalidArgumentError("a live replay needs entries, and factors of at least 1");
     return LiveReplay(trace, options).run();
 }
--- a/src/bench/livereplay.h
+++ b/src/bench/livereplay.h
@@ -19,8 +19,8 @@
     // Control port of the database stand-in, for the faults of servers; empty: none are caused.
     std::string standin;
     // The trace's times are stretched by this factor.
-    int slower = 1;
-    int connectionsEach = 64;
+    int timeFactor = 1;
+    int connectionsPerEntry = 64;
 };
 
 // What came of it. Counts are of requests unless said otherwise.
--- a/src/bench/loadcaller.cpp
+++ b/src/bench/loadcaller.cpp
@@ -21,7 +21,7 @@
 constexpr auto answerTimeout = std::chrono::seconds(20);
 constexpr std::uint64_t maxAnswerBytes = 64 << 20;
 
-Executed executedOf(const std::string &name)
+Executed parseExecuted(const std::string &name)
 {
     if (name == "no")
         return Executed::No;
@@ -44,7 +44,7 @@
     return value != nullptr && value->boolean;
 }
 
-CallerAnswer toAnswer(const http::response<http::string_body> &response)
+CallerAnswer parseAnswer(const http::response<http::string_body> &response)
 {
     CallerAnswer answer;
     answer.status = response.result_int();
@@ -56,7 +56,7 @@
         answer.reason = "unreadable_answer";
         return answer;
     }
-    answer.executed = answer.good() ? Executed::Yes : executedOf(document->textOf("executed"));
+    answer.executed = answer.good() ? Executed::Yes : parseExecuted(document->textOf("executed"));
     answer.reason = document->textOf("reason");
     answer.retryable = isTrue(*document, "retryable");
     answer.fromReplica = isTrue(*document, "fromReplica");
@@ -70,9 +70,9 @@
 
 } // namespace
 
-std::string callerBody(const std::string &group, const std::string &kind, const std::string &sql,
-                       const std::vector<std::string> &parameters,
-                       std::optional<Duration> statedAge, std::optional<Duration> deadline)
+std::string statementBody(const std::string &group, const std::string &kind, const std::string &sql,
+                          const std::vector<std::string> &parameters,
+                          std::optional<Duration> statedAge, std::optional<Duration> deadline)
 {
     JsonWriter writer;
     writer.beginObject().member("group", group).member("kind", kind).member("sql", sql);
@@ -80,12 +80,12 @@
     for (const std::string &parameter : parameters)
         writer.string(parameter);
     writer.endArray();
-    const auto time = [&writer](std::string_view name, std::optional<Duration> value) {
+    const auto addMilliseconds = [&writer](std::string_view name, std::optional<Duration> value) {
         if (value)
             writer.member(name, std::int64_t(*value / std::chrono::milliseconds(1)));
     };
-    time("statedAgeMs", statedAge);
-    time("deadlineMs", deadline);
+    addMilliseconds("statedAgeMs", statedAge);
+    addMilliseconds("deadlineMs", deadline);
     writer.endObject();
     return writer.take();
 }
@@ -96,7 +96,7 @@
     // Connects to the entries in turns, beginning with the one of this index.
     Connection(Caller &caller, asio::io_context &context, const std::vector<std::string> &entries,
                std::size_t first, const std::string &callerKey)
-        : caller_(&caller), stream_(context), next_(first)
+        : caller_(&caller), stream_(context), nextEndpoint_(first)
     {
         for (const std::string &entry : entries) {
             const auto endpoint = settings::parseEndpoint(entry).value_or(settings::Endpoint {});
@@ -142,18 +142,18 @@
     }
 
     // An entry that is gone is passed over, as the platform's balancer does.
-    void connect(std::size_t triesLeft)
+    void connect(std::size_t attemptsLeft)
     {
         stream_.expires_after(answerTimeout);
-        const tcp::endpoint &endpoint = endpoints_[next_ % endpoints_.size()];
+        const tcp::endpoint &endpoint = endpoints_[nextEndpoint_ % endpoints_.size()];
         stream_.async_connect(
-            endpoint, [self = shared_from_this(), triesLeft](const beast::error_code &error) {
+            endpoint, [self = shared_from_this(), attemptsLeft](const beast::error_code &error) {
                 if (!error)
                     return self->onConnected();
-                ++self->next_;
-                self->drop();
-                if (triesLeft > 1 && self->caller_ != nullptr)
-                    return self->connect(triesLeft - 1);
+                ++self->nextEndpoint_;
+                self->disconnect();
+                if (attemptsLeft > 1 && self->caller_ != nullptr)
+                    return self->connect(attemptsLeft - 1);
                 self->fail("connection_refused", Executed::No);
             });
     }
@@ -186,12 +186,12 @@
                              if (error)
                                  return self->fail("connection_lost", Executed::Unknown);
                              if (!self->parser_->get().keep_alive())
-                                 self->drop();
-                             self->finish(toAnswer(self->parser_->get()));
+                                 self->disconnect();
+                             self->finish(parseAnswer(self->parser_->get()));
                          });
     }
 
-    void drop()
+    void disconnect()
     {
         stream_.close();
         buffer_.clear();
@@ -200,7 +200,7 @@
 
     void fail(const char *reason, Executed executed)
     {
-        drop();
+        disconnect();
         CallerAnswer answer;
         answer.reason = reason;
         answer.executed = executed;
@@ -214,14 +214,14 @@
             return;
         const CallerCallback callback = std::move(callback_);
         callback_ = nullptr;
-        caller_->onFree(*this);
+        caller_->onConnectionFree(*this);
         callback(answer);
     }
 
     Caller *caller_;
     beast::tcp_stream stream_;
     std::vector<tcp::endpoint> endpoints_;
-    std::size_t next_;
+    std::size_t nextEndpoint_;
     bool connected_ = false;
     http::request<http::string_body> request_;
     std::optional<http::response_parser<http::string_body>> parser_;
@@ -235,7 +235,7 @@
     for (int i = 0; i < connections; ++i) {
         connections_.push_back(
             std::make_shared<Connection>(*this, context, entries, std::size_t(i), callerKey));
-        free_.push_back(connections_.back().get());
+        freeConnections_.push_back(connections_.back().get());
     }
 }
 
@@ -246,30 +246,30 @@
 
 void Caller::close()
 {
-    waiting_.clear();
+    queue_.clear();
     for (const auto &connection : connections_)
         connection->close();
 }
 
 void Caller::send(CallerRequest request, CallerCallback callback)
 {
-    if (free_.empty()) {
-        waiting_.push_back({std::move(request), std::move(callback)});
+    if (freeConnections_.empty()) {
+        queue_.push_back({std::move(request), std::move(callback)});
         return;
     }
-    Connection *connection = free_.front();
-    free_.pop_front();
+    Connection *connection = freeConnections_.front();
+    freeConnections_.pop_front();
     connection->send(std::move(request), std::move(callback));
 }
 
-void Caller::onFree(Connection &connection)
+void Caller::onConnectionFree(Connection &connection)
 {
-    if (waiting_.empty()) {
-        free_.push_back(&connection);
+    if (queue_.empty()) {
+        freeConnections_.push_back(&connection);
         return;
     }
-    Waiting next = std::move(waiting_.front());
-    waiting_.pop_front();
+    QueuedRequest next = std::move(queue_.front());
+    queue_.pop_front();
     connection.send(std::move(next.request), std::move(next.callback));
 }
 
--- a/src/bench/loadcaller.h
+++ b/src/bench/loadcaller.h
@@ -42,9 +42,9 @@
 using CallerCallback = std::function<void(const CallerAnswer &)>;
 
 // The body of a request; parameters are sent as strings.
-std::string callerBody(const std::string &group, const std::string &kind, const std::string &sql,
-                       const std::vector<std::string> &parameters,
-                       std::optional<Duration> statedAge, std::optional<Duration> deadline);
+std::string statementBody(const std::string &group, const std::string &kind, const std::string &sql,
+                          const std::vector<std::string> &parameters,
+                          std::optional<Duration> statedAge, std::optional<Duration> deadline);
 
 // A caller with some keep-alive connections to the entries, one request at a time on each. What
 // finds no free connection waits in order. Used on the thread of its I/O context; callbacks come
@@ -59,21 +59,21 @@
     void send(CallerRequest request, CallerCallback callback);
     // Drops all connections; open requests get no callback any more.
     void close();
-    std::size_t waiting() const { return waiting_.size(); }
+    std::size_t queuedRequests() const { return queue_.size(); }
 
 private:
     class Connection;
     friend class Connection;
-    struct Waiting
+    struct QueuedRequest
     {
         CallerRequest request;
         CallerCallback callback;
     };
-    void onFree(Connection &connection);
+    void onConnectionFree(Connection &connection);
 
     std::vector<std::shared_ptr<Connection>> connections_;
-    std::deque<Connection *> free_;
-    std::deque<Waiting> waiting_;
+    std::deque<Connection *> freeConnections_;
+    std::deque<QueuedRequest> queue_;
 };
 
 } // namespace kelptally::bench
--- a/src/bench/loadcommand.cpp
+++ b/src/bench/loadcommand.cpp
@@ -157,7 +157,7 @@
 }
 
 // Processor time of the measured processes; zero when none were named.
-Duration measuredTime(Options &options)
+Duration measuredProcessorTime(Options &options)
 {
     const auto time = processorTime(options.pids.getValue());
     if (!time.ok())
@@ -176,13 +176,14 @@
                      double(good) / seconds);
 }
 
-int printVerification(const Verification &found)
+int printVerification(const Verification &verified)
 {
-    if (!found.status.ok())
-        return fail(found.status.message());
+    if (!verified.status.ok())
+        return fail(verified.status.message());
     absl::PrintF("acknowledged %d, lost %d, doubled %d, ran despite \"not run\" %d, unknown %d\n",
-                 found.acknowledged, found.lost, found.doubled, found.ranDespiteNo, found.unknown);
-    return found.good() ? 0 : exitFailed;
+                 verified.acknowledged, verified.lost, verified.doubled, verified.ranDespiteNo,
+                 verified.unknown);
+    return verified.good() ? 0 : exitFailed;
 }
 
 int runOpenLoop(const LoadPlan &plan, Options &options)
@@ -194,11 +195,11 @@
             ledger.add(outcome);
     };
     LoadRun load(plan, run, observer);
-    const Duration before = measuredTime(options);
+    const Duration before = measuredProcessorTime(options);
     load.start();
     std::this_thread::sleep_for(plan.duration);
     LoadResult result = load.finish();
-    const Duration used = measuredTime(options) - before;
+    const Duration used = measuredProcessorTime(options) - before;
     std::cout << loadSummary(plan, result);
     printProcessorTime(result, used);
     int exitCode =
--- a/src/bench/loadgap.cpp
+++ b/src/bench/loadgap.cpp
@@ -17,18 +17,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto pollPeriod = 20ms;
+constexpr auto pollInterval = 20ms;
 // A group that is not whole, or takes no write, for so long ends the measurement.
-constexpr Duration wholeLimit = 60s;
-constexpr Duration ackLimit = 60s;
+constexpr Duration healthyTimeout = 60s;
+constexpr Duration ackTimeout = 60s;
 // Records that a replica may be behind while writes go on.
-constexpr LogOffset behindLimit = 500;
+constexpr LogOffset maxLagRecords = 500;
 // A fault comes at a random time of this span, after the group is whole.
-constexpr int spreadMs = 300;
+constexpr int maxFaultDelayMs = 300;
 // The old primary comes back so long after the first acknowledgement.
-constexpr auto returnDelay = 200ms;
+constexpr auto recoveryDelay = 200ms;
 
-struct FaultWords
+struct FaultCommands
 {
     const char *name;
     PrimaryFault fault;
@@ -36,7 +36,7 @@
     const char *end;
 };
 
-constexpr FaultWords faultWords[] = {
+constexpr FaultCommands faultCommands[] = {
     {"kill", PrimaryFault::Kill, R"("fault":"kill")", R"("fault":"restart")"},
     {"pause", PrimaryFault::Pause, R"("fault":"pause")", R"("fault":"resume")"},
     {"isolate", PrimaryFault::Isolate, R"("fault":"partition","peers":"all","clients":"all")",
@@ -47,12 +47,12 @@
      R"("fault":"heal","clients":"all")"},
 };
 
-const FaultWords &wordsOf(PrimaryFault fault)
+const FaultCommands &commandsOf(PrimaryFault fault)
 {
-    for (const FaultWords &words : faultWords)
-        if (words.fault == fault)
-            return words;
-    return faultWords[0];
+    for (const FaultCommands &commands : faultCommands)
+        if (commands.fault == fault)
+            return commands;
+    return faultCommands[0];
 }
 
 std::string faultBody(const char *fault, const ServerName &server)
@@ -64,38 +64,38 @@
 class FirstAck
 {
 public:
-    void expect(Instant after)
+    void watchFrom(Instant after)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        after_ = after;
-        when_.reset();
+        dueAfter_ = after;
+        ackTime_.reset();
     }
 
     void add(const LoadOutcome &outcome)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        if (when_ || !outcome.good || outcome.intended < after_)
+        if (ackTime_ || !outcome.good || outcome.intended < dueAfter_)
             return;
-        when_ = outcome.answered;
-        came_.notify_all();
+        ackTime_ = outcome.answered;
+        acknowledged_.notify_all();
     }
 
     std::optional<Instant> wait(Duration limit)
     {
         std::unique_lock<std::mutex> lock(mutex_);
-        came_.wait_for(lock, limit, [this] { return when_.has_value(); });
-        return when_;
+        acknowledged_.wait_for(lock, limit, [this] { return ackTime_.has_value(); });
+        return ackTime_;
     }
 
 private:
     std::mutex mutex_;
-    std::condition_variable came_;
-    Instant after_;
-    std::optional<Instant> when_;
+    std::condition_variable acknowledged_;
+    Instant dueAfter_;
+    std::optional<Instant> ackTime_;
 };
 
 // The primary of a whole group: each other server runs, follows its term and is hardly behind.
-const StandinServer *wholeGroupsPrimary(const std::vector<StandinServer> &servers)
+const StandinServer *primaryOfHealthyGroup(const std::vector<StandinServer> &servers)
 {
     const StandinServer *primary = nullptr;
     for (const StandinServer &server : servers) {
@@ -106,22 +106,22 @@
     }
     for (const StandinServer &server : servers) {
         if (primary == nullptr || server.term != primary->term
-            || server.received + behindLimit < primary->received)
+            || server.received + maxLagRecords < primary->received)
             return nullptr;
     }
     return primary;
 }
 
-absl::StatusOr<ServerName> waitUntilWhole(StandinControl &control, const GroupName &group)
+absl::StatusOr<ServerName> waitUntilHealthy(StandinControl &control, const GroupName &group)
 {
-    const Instant end = BootClock::now() + wholeLimit;
+    const Instant end = BootClock::now() + healthyTimeout;
     while (BootClock::now() < end) {
         const auto servers = control.group(group);
         if (!servers.ok())
             return servers.status();
-        if (const StandinServer *primary = wholeGroupsPrimary(*servers))
+        if (const StandinServer *primary = primaryOfHealthyGroup(*servers))
             return primary->name;
-        std::this_thread::sleep_for(pollPeriod);
+        std::this_thread::sleep_for(pollInterval);
     }
     return absl::DeadlineExceededError("the group was not whole in time");
 }
@@ -130,26 +130,26 @@
                                   std::mt19937 &random)
 {
     // 1. The group is whole and takes writes.
-    const auto primary = waitUntilWhole(control, plan.group);
+    const auto primary = waitUntilHealthy(control, plan.group);
     if (!primary.ok())
         return primary.status();
-    firstAck.expect(BootClock::now());
-    if (!firstAck.wait(ackLimit))
+    firstAck.watchFrom(BootClock::now());
+    if (!firstAck.wait(ackTimeout))
         return absl::DeadlineExceededError("no write was acknowledged before the fault");
-    std::this_thread::sleep_for(std::chrono::milliseconds(random() % spreadMs));
+    std::this_thread::sleep_for(std::chrono::milliseconds(random() % maxFaultDelayMs));
     // 2. The fault; its time is taken before it is asked for.
-    const FaultWords &words = wordsOf(plan.fault);
+    const FaultCommands &commands = commandsOf(plan.fault);
     const Instant begin = BootClock::now();
-    firstAck.expect(begin);
-    const absl::Status done = control.fault(faultBody(words.begin, *primary));
+    firstAck.watchFrom(begin);
+    const absl::Status done = control.fault(faultBody(commands.begin, *primary));
     if (!done.ok())
         return done;
     // 3. Writes go on, and the old primary comes back.
     GapRound round {*primary, std::nullopt};
-    if (const auto ack = firstAck.wait(ackLimit))
+    if (const auto ack = firstAck.wait(ackTimeout))
         round.gap = *ack - begin;
-    std::this_thread::sleep_for(returnDelay);
-    const absl::Status ended = control.fault(faultBody(words.end, *primary));
+    std::this_thread::sleep_for(recoveryDelay);
+    const absl::Status ended = control.fault(faultBody(commands.end, *primary));
     if (!ended.ok())
         return ended;
     return round;
@@ -169,9 +169,9 @@
 
 std::optional<PrimaryFault> primaryFaultFromName(const std::string &name)
 {
-    for (const FaultWords &words : faultWords)
-        if (name == words.name)
-            return words.fault;
+    for (const FaultCommands &commands : faultCommands)
+        if (name == commands.name)
+            return commands.fault;
     return std::nullopt;
 }
 
@@ -195,9 +195,9 @@
         else
             result.problem = std::string(round.status().message());
     }
-    const auto whole = waitUntilWhole(control, plan.group);
-    if (!whole.ok() && result.problem.empty())
-        result.problem = std::string(whole.status().message());
+    const auto healthy = waitUntilHealthy(control, plan.group);
+    if (!healthy.ok() && result.problem.empty())
+        result.problem = std::string(healthy.status().message());
     load.finish();
     result.verification = ledger.verify(plan.load, plan.group, plan.readKind, run);
     return result;
@@ -207,14 +207,15 @@
 {
     auto gaps = sortedGaps(result);
     const auto ms = [&](double fraction) { return quantile(gaps, fraction) / 1000.0; };
-    const Verification &found = result.verification;
+    const Verification &verified = result.verification;
     std::string text = absl::StrFormat(
         "rounds %d, without a write %d, gap median %.0f ms, 99%% %.0f ms, greatest %.0f ms\n"
         "acknowledged %d, lost %d, doubled %d, ran despite \"not run\" %d, unknown %d\n",
         result.rounds.size(), result.rounds.size() - gaps.size(), ms(0.5), ms(0.99), ms(1),
-        found.acknowledged, found.lost, found.doubled, found.ranDespiteNo, found.unknown);
-    if (!found.status.ok())
-        text += absl::StrFormat("not verified: %s\n", found.status.message());
+        verified.acknowledged, verified.lost, verified.doubled, verified.ranDespiteNo,
+        verified.unknown);
+    if (!verified.status.ok())
+        text += absl::StrFormat("not verified: %s\n", verified.status.message());
     if (!result.problem.empty())
         text += absl::StrFormat("ended early: %s\n", result.problem);
     return text;
@@ -223,16 +224,16 @@
 std::string gapReport(const GapPlan &plan, const GapResult &result)
 {
     auto gaps = sortedGaps(result);
-    const Verification &found = result.verification;
+    const Verification &verified = result.verification;
     JsonWriter writer;
     writer.beginObject().member("group", plan.group);
-    writer.member("fault", wordsOf(plan.fault).name);
+    writer.member("fault", commandsOf(plan.fault).name);
     writer.member("medianMs", quantile(gaps, 0.5) / 1000.0);
     writer.member("p99Ms", quantile(gaps, 0.99) / 1000.0);
     writer.member("maxMs", quantile(gaps, 1) / 1000.0);
-    writer.member("acknowledged", found.acknowledged).member("lost", found.lost);
-    writer.member("doubled", found.doubled).member("ranDespiteNo", found.ranDespiteNo);
-    writer.member("unknown", found.unknown).member("verified", found.status.ok());
+    writer.member("acknowledged", verified.acknowledged).member("lost", verified.lost);
+    writer.member("doubled", verified.doubled).member("ranDespiteNo", verified.ranDespiteNo);
+    writer.member("unknown", verified.unknown).member("verified", verified.status.ok());
     writer.member("problem", result.problem);
     writer.key("rounds").beginArray();
     for (const GapRound &round : result.rounds) {
--- a/src/bench/loadoverhead.cpp
+++ b/src/bench/loadoverhead.cpp
@@ -20,15 +20,15 @@
 constexpr auto settleTime = std::chrono::seconds(2);
 
 // Asks through an entry, one request at a time.
-class EntryWay
+class EntryConnection
 {
 public:
-    EntryWay(boost::asio::io_context &context, const OverheadPlan &plan)
+    EntryConnection(boost::asio::io_context &context, const OverheadPlan &plan)
         : context_(context), caller_(context, {plan.entry}, plan.callerKey, 1),
-          body_(callerBody(plan.group, plan.kind, plan.sql, {}, std::nullopt, readDeadline))
+          body_(statementBody(plan.group, plan.kind, plan.sql, {}, std::nullopt, readDeadline))
     { }
 
-    CallerAnswer ask()
+    CallerAnswer execute()
     {
         CallerAnswer result;
         caller_.send({body_, {}, {}}, [&](const CallerAnswer &answer) {
@@ -46,9 +46,9 @@
     const std::string body_;
 };
 
-using DirectWay = std::unique_ptr<PGconn, decltype(&PQfinish)>;
+using DirectConnection = std::unique_ptr<PGconn, decltype(&PQfinish)>;
 
-DirectWay connectTo(const std::string &server)
+DirectConnection connectTo(const std::string &server)
 {
     const auto endpoint = settings::parseEndpoint(server).value_or(settings::Endpoint {});
     const std::string text = absl::StrCat("host=", endpoint.address, " port=", endpoint.port,
@@ -56,7 +56,7 @@
     return {PQconnectdb(text.c_str()), PQfinish};
 }
 
-bool askDirectly(PGconn *connection, const std::string &sql)
+bool executeDirectly(PGconn *connection, const std::string &sql)
 {
     PGresult *result =
         PQexecParams(connection, sql.c_str(), 0, nullptr, nullptr, nullptr, nullptr, 0);
@@ -70,7 +70,7 @@
     return std::chrono::microseconds(microseconds);
 }
 
-std::uint32_t since(Instant begin)
+std::uint32_t microsecondsSince(Instant begin)
 {
     return std::uint32_t((BootClock::now() - begin) / std::chrono::microseconds(1));
 }
@@ -79,23 +79,23 @@
 
 absl::StatusOr<Overhead> measureOverhead(const OverheadPlan &plan)
 {
-    const DirectWay direct = connectTo(plan.server);
+    const DirectConnection direct = connectTo(plan.server);
     if (PQstatus(direct.get()) != CONNECTION_OK)
         return absl::UnavailableError(PQerrorMessage(direct.get()));
     boost::asio::io_context context;
-    EntryWay entry(context, plan);
+    EntryConnection entry(context, plan);
     std::vector<std::uint32_t> directTimes;
     std::vector<std::uint32_t> entryTimes;
     for (int i = 0; i < plan.rounds; ++i) {
         Instant begin = BootClock::now();
-        if (!askDirectly(direct.get(), plan.sql))
+        if (!executeDirectly(direct.get(), plan.sql))
             return absl::InternalError(PQerrorMessage(direct.get()));
-        directTimes.push_back(since(begin));
+        directTimes.push_back(microsecondsSince(begin));
         begin = BootClock::now();
-        const CallerAnswer answer = entry.ask();
+        const CallerAnswer answer = entry.execute();
         if (!answer.good())
             return absl::InternalError(absl::StrCat("refused: ", answer.reason));
-        entryTimes.push_back(since(begin));
+        entryTimes.push_back(microsecondsSince(begin));
     }
     return Overhead {toDuration(quantile(directTimes, 0.5)),
                      toDuration(quantile(directTimes, 0.99)), toDuration(quantile(entryTimes, 0.5)),
@@ -108,10 +108,10 @@
     if (!before.ok())
         return before.status();
     boost::asio::io_context context;
-    std::vector<std::unique_ptr<EntryWay>> open;
+    std::vector<std::unique_ptr<EntryConnection>> entryConnections;
     for (int i = 0; i < connections; ++i) {
-        open.push_back(std::make_unique<EntryWay>(context, plan));
-        const CallerAnswer answer = open.back()->ask();
+        entryConnections.push_back(std::make_unique<EntryConnection>(context, plan));
+        const CallerAnswer answer = entryConnections.back()->execute();
         if (!answer.good())
             return absl::InternalError(absl::StrCat("connection ", i, " refused: ", answer.reason));
     }
--- a/src/bench/loadplan.cpp
+++ b/src/bench/loadplan.cpp
@@ -21,7 +21,7 @@
 constexpr DurationRange ageRange {0ms, 24h};
 constexpr DurationRange deadlineRange {1ms, 1h};
 
-const std::vector<std::string> checkWords = {"none", "own-write", "counter-write", "counter-read"};
+const std::vector<std::string> checkNames = {"none", "own-write", "counter-write", "counter-read"};
 
 void readLoad(SectionReader &reader, LoadPlan &plan)
 {
@@ -32,7 +32,7 @@
     plan.connections = reader.number("connections", connectionRange, plan.connections);
     plan.workers = reader.number("workers", workerRange, plan.workers);
     plan.sessions = reader.number("sessions", sessionRange, plan.sessions);
-    plan.giveUp = reader.duration("give-up", runRange, plan.giveUp);
+    plan.requestTimeout = reader.duration("give-up", runRange, plan.requestTimeout);
     plan.seed = reader.number("seed", seedRange, plan.seed);
 }
 
@@ -61,7 +61,7 @@
     statement.statedAge = reader.optionalDuration("stated-age", ageRange);
     statement.deadline = reader.optionalDuration("deadline", deadlineRange);
     statement.keyed = reader.choice("keyed", {"no", "yes"}, 0) == 1;
-    statement.check = LoadCheck(reader.choice("check", checkWords, 0));
+    statement.check = LoadCheck(reader.choice("check", checkNames, 0));
     return statement;
 }
 
--- a/src/bench/loadplan.h
+++ b/src/bench/loadplan.h
@@ -54,7 +54,7 @@
     // Sessions of all workers together; more are opened when all have a request under way.
     int sessions = 200;
     // A request that has no definite answer this long after its intended time counts as lost.
-    Duration giveUp {std::chrono::seconds(30)};
+    Duration requestTimeout {std::chrono::seconds(30)};
     // Seed of the arrivals and of the choice of statements.
     int seed = 1;
     std::vector<LoadStatement> mix;
--- a/src/bench/loadplot.cpp
+++ b/src/bench/loadplot.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr double width = 860;
+constexpr double plotWidth = 860;
 constexpr double plotHeight = 260;
-constexpr double left = 70;
-constexpr double gap = 70;
-constexpr double top = 40;
+constexpr double leftMargin = 70;
+constexpr double plotSpacing = 70;
+constexpr double topMargin = 40;
 
 const char *const colours[] = {"#1f77b4", "#d62728", "#2ca02c", "#9467bd", "#ff7f0e", "#17becf"};
 
@@ -36,27 +36,28 @@
     Plot(double y, std::string title, std::vector<Series> series)
         : y_(y), title_(std::move(title)), series_(std::move(series))
     {
-        double least = 1;
-        double most = 1;
-        for (const Series &one : series_) {
-            for (const Point &point : one.points) {
-                least = std::min(least, std::max(point.milliseconds, 0.001));
-                most = std::max(most, point.milliseconds);
+        double minMilliseconds = 1;
+        double maxMilliseconds = 1;
+        for (const Series &entry : series_) {
+            for (const Point &point : entry.points) {
+                minMilliseconds = std::min(minMilliseconds, std::max(point.milliseconds, 0.001));
+                maxMilliseconds = std::max(maxMilliseconds, point.milliseconds);
             }
         }
-        lowDecade_ = std::floor(std::log10(least));
-        highDecade_ = std::max(std::ceil(std::log10(most)), lowDecade_ + 1);
+        lowDecade_ = std::floor(std::log10(minMilliseconds));
+        highDecade_ = std::max(std::ceil(std::log10(maxMilliseconds)), lowDecade_ + 1);
     }
 
-    std::string draw(const std::vector<std::pair<double, std::string>> &marks) const
+    std::string draw(const std::vector<std::pair<double, std::string>> &ticks) const
     {
-        std::string svg = text(left, y_ - 12, "start", title_);
+        std::string svg = text(leftMargin, y_ - 12, "start", title_);
         for (double decade = lowDecade_; decade <= highDecade_; ++decade) {
             const double at = yOf(std::pow(10, decade));
-            svg += line(left, at, left + width, at);
-            svg += text(left - 6, at + 4, "end", absl::StrFormat("%g ms", std::pow(10, decade)));
+            svg += line(leftMargin, at, leftMargin + plotWidth, at);
+            svg +=
+                text(leftMargin - 6, at + 4, "end", absl::StrFormat("%g ms", std::pow(10, decade)));
         }
-        for (const auto &[x, name] : marks) {
+        for (const auto &[x, name] : ticks) {
             svg += line(xOf(x), y_, xOf(x), y_ + plotHeight);
             svg += text(xOf(x), y_ + plotHeight + 16, "middle", name);
         }
@@ -66,7 +67,7 @@
     }
 
 private:
-    double xOf(double x) const { return left + x * width; }
+    double xOf(double x) const { return leftMargin + x * plotWidth; }
     double yOf(double milliseconds) const
     {
         const double decade = std::log10(std::max(milliseconds, 0.001));
@@ -95,7 +96,7 @@
         return absl::StrFormat(
             "<polyline fill='none' stroke='%s' stroke-width='1.5' points='%s'/>\n"
             "<g fill='%s'>%s</g>\n",
-            colour, path, colour, text(left + 8, nameY, "start", series.name));
+            colour, path, colour, text(leftMargin + 8, nameY, "start", series.name));
     }
 
     const double y_;
@@ -143,18 +144,19 @@
     const std::vector<Series> overTime = {timeSeries("median", result.seconds, 0.5),
                                           timeSeries("99%", result.seconds, 0.99),
                                           timeSeries("greatest", result.seconds, 1)};
-    const std::vector<std::pair<double, std::string>> quantileMarks = {
+    const std::vector<std::pair<double, std::string>> quantileTicks = {
         {0, "0"}, {0.25, "90%"}, {0.5, "99%"}, {0.75, "99.9%"}, {1, "99.99%"}};
     const std::string end = absl::StrFormat("%d s", result.seconds.size());
-    const double second = top + plotHeight + gap;
-    const double height = second + plotHeight + top;
+    const double timePlotTop = topMargin + plotHeight + plotSpacing;
+    const double height = timePlotTop + plotHeight + topMargin;
     return absl::StrFormat("<svg xmlns='http://www.w3.org/2000/svg' width='%.0f' height='%.0f'"
                            " font-family='sans-serif' font-size='12'>\n"
                            "<rect width='100%%' height='100%%' fill='white'/>\n",
-                           left + width + 30, height)
-        + Plot(top, "Latency from the intended time of sending, by quantile", byQuantile)
-              .draw(quantileMarks)
-        + Plot(second, "Latency of each second", overTime).draw({{0, "0"}, {1, end}}) + "</svg>\n";
+                           leftMargin + plotWidth + 30, height)
+        + Plot(topMargin, "Latency from the intended time of sending, by quantile", byQuantile)
+              .draw(quantileTicks)
+        + Plot(timePlotTop, "Latency of each second", overTime).draw({{0, "0"}, {1, end}})
+        + "</svg>\n";
 }
 
 } // namespace kelptally::bench
--- a/src/bench/loadprocess.cpp
+++ b/src/bench/loadprocess.cpp
@@ -17,7 +17,7 @@
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-absl::Status noProcess(int processId)
+absl::Status processNotFound(int processId)
 {
     return absl::NotFoundError(absl::StrCat("no process ", processId));
 }
@@ -32,7 +32,7 @@
         // The name in brackets may hold blanks; field 3 follows it, utime and stime are 14 and 15.
         const std::size_t nameEnd = text.rfind(')');
         if (nameEnd == std::string::npos)
-            return noProcess(processId);
+            return processNotFound(processId);
         std::istringstream fields(text.substr(nameEnd + 1));
         std::string skipped;
         for (int field = 3; field < 14; ++field)
@@ -48,13 +48,13 @@
 absl::StatusOr<std::int64_t> residentMemory(int processId)
 {
     std::istringstream lines(readProcFile(processId, "status"));
-    std::string word;
-    while (lines >> word) {
+    std::string key;
+    while (lines >> key) {
         std::int64_t kilobytes = 0;
-        if (word == "RssAnon:" && lines >> kilobytes)
+        if (key == "RssAnon:" && lines >> kilobytes)
             return kilobytes * 1024;
     }
-    return noProcess(processId);
+    return processNotFound(processId);
 }
 
 } // namespace kelptally::bench
--- a/src/bench/loadreport.cpp
+++ b/src/bench/loadreport.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double shownQuantiles[] = {0.5, 0.9, 0.99, 0.999, 1};
+constexpr double reportedQuantiles[] = {0.5, 0.9, 0.99, 0.999, 1};
 constexpr const char *quantileNames[] = {"p50Ms", "p90Ms", "p99Ms", "p999Ms", "maxMs"};
 
 double toMs(std::uint32_t microseconds)
@@ -20,8 +20,8 @@
 
 void writeLatency(JsonWriter &writer, std::vector<std::uint32_t> &latency)
 {
-    for (std::size_t i = 0; i < std::size(shownQuantiles); ++i)
-        writer.member(quantileNames[i], toMs(quantile(latency, shownQuantiles[i])));
+    for (std::size_t i = 0; i < std::size(reportedQuantiles); ++i)
+        writer.member(quantileNames[i], toMs(quantile(latency, reportedQuantiles[i])));
 }
 
 void writeStatement(JsonWriter &writer, StatementResult &statement)
@@ -39,7 +39,7 @@
     writer.endArray().endObject();
 }
 
-std::uint64_t countOf(const ReasonCount &count)
+std::uint64_t totalCount(const ReasonCount &count)
 {
     return count.executedNo + count.executedYes + count.executedUnknown;
 }
@@ -48,7 +48,7 @@
 {
     std::uint64_t sum = 0;
     for (const auto &[reason, count] : statement.refusals)
-        sum += countOf(count);
+        sum += totalCount(count);
     return sum;
 }
 
@@ -82,10 +82,10 @@
     std::string text =
         absl::StrFormat("%-20s %9s %9s %8s %8s %9s %9s %9s %9s\n", "statement", "good", "refused",
                         "retries", "replica%", "p50-ms", "p99-ms", "p999-ms", "max-ms");
-    std::uint64_t all = 0;
+    std::uint64_t succeeded = 0;
     for (StatementResult &s : result.statements) {
         auto &latency = s.latencyMicroseconds;
-        all += latency.size();
+        succeeded += latency.size();
         const double share =
             latency.empty() ? 0 : 100.0 * double(s.fromReplica) / double(latency.size());
         text += absl::StrFormat("%-20s %9d %9d %8d %8.2f %9.2f %9.2f %9.2f %9.2f\n", s.name,
@@ -99,7 +99,7 @@
     const double seconds = toMilliseconds(plan.duration) / 1000;
     text += absl::StrFormat("good/s %.0f of %d intended, checked %d, own write missed %d, too stale"
                             " %d, unfinished %d\n",
-                            double(all) / seconds, plan.rate, result.checked,
+                            double(succeeded) / seconds, plan.rate, result.checked,
                             result.violations.ownWriteMissed, result.violations.tooStale,
                             result.unfinished);
     return text;
--- a/src/bench/loadresult.cpp
+++ b/src/bench/loadresult.cpp
@@ -11,8 +11,8 @@
 std::uint32_t microseconds(Duration duration)
 {
     const auto count = duration / std::chrono::microseconds(1);
-    constexpr std::int64_t most = std::numeric_limits<std::uint32_t>::max();
-    return std::uint32_t(std::clamp<std::int64_t>(count, 0, most));
+    constexpr std::int64_t maxMicroseconds = std::numeric_limits<std::uint32_t>::max();
+    return std::uint32_t(std::clamp<std::int64_t>(count, 0, maxMicroseconds));
 }
 
 template <typename T>
--- a/src/bench/loadrun.cpp
+++ b/src/bench/loadrun.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr auto pollPeriod = std::chrono::milliseconds(10);
+constexpr auto pollInterval = std::chrono::milliseconds(10);
 // Time to open threads before the first request is due.
 constexpr auto startDelay = std::chrono::milliseconds(50);
 
@@ -36,14 +36,14 @@
 LoadResult LoadRun::finish()
 {
     for (const auto &worker : workers_)
-        worker->finishSending();
-    const Instant end = BootClock::now() + plan_.giveUp;
+        worker->stopSending();
+    const Instant end = BootClock::now() + plan_.requestTimeout;
     const auto allIdle = [this] {
         return std::all_of(workers_.begin(), workers_.end(),
                            [](const auto &w) { return w->idle(); });
     };
     while (!allIdle() && BootClock::now() < end)
-        std::this_thread::sleep_for(pollPeriod);
+        std::this_thread::sleep_for(pollInterval);
     LoadResult result;
     for (const auto &worker : workers_)
         result.merge(worker->stop());
--- a/src/bench/loadverify.cpp
+++ b/src/bench/loadverify.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 // Rows of one answer; an answer stays far below the limits of a statement's result.
-constexpr int pageRows = 2000;
-constexpr int maxTries = 200;
-constexpr auto tryPeriod = std::chrono::milliseconds(100);
+constexpr int pageSize = 2000;
+constexpr int maxAttempts = 200;
+constexpr auto retryDelay = std::chrono::milliseconds(100);
 constexpr auto readDeadline = std::chrono::seconds(5);
 
-using Copies = std::map<std::string, int>;
+using RowCounts = std::map<std::string, int>;
 
 // One request and its answer, tried again while it is refused.
-absl::StatusOr<CallerAnswer> ask(const LoadPlan &plan, const std::string &body)
+absl::StatusOr<CallerAnswer> queryWithRetries(const LoadPlan &plan, const std::string &body)
 {
     CallerAnswer last;
-    for (int i = 0; i < maxTries; ++i) {
+    for (int i = 0; i < maxAttempts; ++i) {
         boost::asio::io_context context;
         Caller caller(context, {plan.entries[std::size_t(i) % plan.entries.size()]}, plan.callerKey,
                       1);
@@ -33,28 +33,28 @@
         context.run();
         if (last.good())
             return last;
-        std::this_thread::sleep_for(tryPeriod);
+        std::this_thread::sleep_for(retryDelay);
     }
     return absl::UnavailableError("the table cannot be read: " + last.reason);
 }
 
-absl::StatusOr<Copies> readTable(const LoadPlan &plan, const std::string &group,
-                                 const std::string &kind, const std::string &run)
+absl::StatusOr<RowCounts> readTable(const LoadPlan &plan, const std::string &group,
+                                    const std::string &kind, const std::string &run)
 {
     const std::string sql = "SELECT id, count(*) FROM load_writes WHERE run = $1 AND id > $2"
                             " GROUP BY id ORDER BY id LIMIT "
-        + std::to_string(pageRows);
-    Copies copies;
+        + std::to_string(pageSize);
+    RowCounts rowCounts;
     while (true) {
-        const std::string after = copies.empty() ? "" : copies.rbegin()->first;
-        const auto answer =
-            ask(plan, callerBody(group, kind, sql, {run, after}, std::nullopt, readDeadline));
+        const std::string after = rowCounts.empty() ? "" : rowCounts.rbegin()->first;
+        const auto answer = queryWithRetries(
+            plan, statementBody(group, kind, sql, {run, after}, std::nullopt, readDeadline));
         if (!answer.ok())
             return answer.status();
         for (const auto &row : answer->rows)
-            copies[row.at(0).value_or("")] = std::atoi(row.at(1).value_or("0").c_str());
-        if (answer->rows.size() < pageRows)
-            return copies;
+            rowCounts[row.at(0).value_or("")] = std::atoi(row.at(1).value_or("0").c_str());
+        if (answer->rows.size() < pageSize)
+            return rowCounts;
     }
 }
 
@@ -63,28 +63,28 @@
 void WriteLedger::add(const LoadOutcome &outcome)
 {
     const std::lock_guard<std::mutex> lock(mutex_);
-    writes_[outcome.id] = outcome.good     ? Known::Done
-        : outcome.executed == Executed::No ? Known::NotRun
-                                           : Known::Unknown;
+    writes_[outcome.id] = outcome.good     ? WriteState::Done
+        : outcome.executed == Executed::No ? WriteState::NotRun
+                                           : WriteState::Unknown;
 }
 
 Verification WriteLedger::verify(const LoadPlan &plan, const std::string &group,
                                  const std::string &readKind, const std::string &run) const
 {
     Verification result;
-    const auto copies = readTable(plan, group, readKind, run);
-    result.status = copies.status();
-    if (!copies.ok())
+    const auto rowCounts = readTable(plan, group, readKind, run);
+    result.status = rowCounts.status();
+    if (!rowCounts.ok())
         return result;
     const std::lock_guard<std::mutex> lock(mutex_);
-    for (const auto &[id, known] : writes_) {
-        const bool isThere = copies->count(id) != 0;
-        result.acknowledged += known == Known::Done ? 1 : 0;
-        result.lost += known == Known::Done && !isThere ? 1 : 0;
-        result.ranDespiteNo += known == Known::NotRun && isThere ? 1 : 0;
-        result.unknown += known == Known::Unknown ? 1 : 0;
+    for (const auto &[id, state] : writes_) {
+        const bool exists = rowCounts->count(id) != 0;
+        result.acknowledged += state == WriteState::Done ? 1 : 0;
+        result.lost += state == WriteState::Done && !exists ? 1 : 0;
+        result.ranDespiteNo += state == WriteState::NotRun && exists ? 1 : 0;
+        result.unknown += state == WriteState::Unknown ? 1 : 0;
     }
-    for (const auto &[id, count] : *copies)
+    for (const auto &[id, count] : *rowCounts)
         result.doubled += count > 1 ? 1 : 0;
     return result;
 }
--- a/src/bench/loadverify.h
+++ b/src/bench/loadverify.h
@@ -40,13 +40,13 @@
                         const std::string &run) const;
 
 private:
-    enum class Known {
+    enum class WriteState {
         Done,
         NotRun,
         Unknown,
     };
     mutable std::mutex mutex_;
-    std::map<std::string, Known> writes_;
+    std::map<std::string, WriteState> writes_;
 };
 
 } // namespace kelptally::bench
--- a/src/bench/loadworker.cpp
+++ b/src/bench/loadworker.cpp
@@ -8,7 +8,7 @@
 
 // A refusal that names no time is tried again after this; chosen, not measured.
 constexpr Duration defaultRetryDelay = std::chrono::milliseconds(20);
-constexpr int randomBelow = 1000;
+constexpr int randomBound = 1000;
 
 void replaceAll(std::string &text, std::string_view from, const std::string &to)
 {
@@ -22,7 +22,7 @@
 std::uint64_t CounterLedger::next()
 {
     const std::lock_guard<std::mutex> lock(mutex_);
-    return ++last_;
+    return ++lastNumber_;
 }
 
 // Entries keep rising numbers only: a lower number that is acknowledged later tells nothing new.
@@ -49,7 +49,7 @@
       caller_(thread_.context(), plan.entries, plan.callerKey,
               std::max(1, plan.connections / plan.workers)),
       random_(std::uint64_t(plan.seed) * 1000 + std::uint64_t(index)),
-      gapSeconds_(double(plan.rate) / plan.workers), lastId_(std::uint64_t(index) << 40)
+      interarrivalSeconds_(double(plan.rate) / plan.workers), lastId_(std::uint64_t(index) << 40)
 {
     for (const LoadStatement &statement : plan.mix) {
         totalWeight_ += statement.weight;
@@ -67,13 +67,13 @@
 
 void LoadWorker::start(Instant at)
 {
-    start_ = at;
-    next_ = at;
-    thread_.timers().subscribeAt(at, [this] { sendDue(); });
+    startTime_ = at;
+    nextArrival_ = at;
+    thread_.timers().subscribeAt(at, [this] { sendDueRequests(); });
     thread_.start();
 }
 
-void LoadWorker::finishSending()
+void LoadWorker::stopSending()
 {
     sendingDone_ = true;
 }
@@ -82,27 +82,27 @@
 {
     thread_.stop();
     caller_.close();
-    result_.unfinished = std::uint64_t(open_.load());
+    result_.unfinished = std::uint64_t(inFlight_.load());
     return result_;
 }
 
 // The intended times are drawn ahead of the answers: a slow answer delays no other request.
-void LoadWorker::sendDue()
+void LoadWorker::sendDueRequests()
 {
-    while (!sendingDone_ && next_ <= thread_.timers().now()) {
-        begin(next_);
-        next_ += Duration(std::int64_t(gapSeconds_(random_) * 1e9) + 1);
+    while (!sendingDone_ && nextArrival_ <= thread_.timers().now()) {
+        begin(nextArrival_);
+        nextArrival_ += Duration(std::int64_t(interarrivalSeconds_(random_) * 1e9) + 1);
     }
     if (!sendingDone_)
-        thread_.timers().subscribeAt(next_, [this] { sendDue(); });
+        thread_.timers().subscribeAt(nextArrival_, [this] { sendDueRequests(); });
 }
 
 std::size_t LoadWorker::chooseStatement()
 {
-    auto ticket = std::int64_t(random_() % std::uint64_t(totalWeight_));
+    auto remaining = std::int64_t(random_() % std::uint64_t(totalWeight_));
     for (std::size_t i = 0; i < plan_.mix.size(); ++i) {
-        ticket -= plan_.mix[i].weight;
-        if (ticket < 0)
+        remaining -= plan_.mix[i].weight;
+        if (remaining < 0)
             return i;
     }
     return 0;
@@ -115,7 +115,7 @@
 }
 
 // A session has one request under way at a time.
-LoadWorker::Session *LoadWorker::takeSession()
+LoadWorker::Session *LoadWorker::acquireSession()
 {
     if (freeSessions_.empty())
         return addSession();
@@ -126,7 +126,7 @@
     return session;
 }
 
-std::string LoadWorker::expand(const std::string &text, Pending &pending)
+std::string LoadWorker::expandPlaceholders(const std::string &text, Pending &pending)
 {
     std::string value = text;
     if (value.find('{') == std::string::npos)
@@ -135,7 +135,7 @@
     replaceAll(value, "{run}", run_);
     const std::string &group = plan_.mix[pending.outcome.statement].group;
     replaceAll(value, "{last}", pending.session->lastIds[group]);
-    replaceAll(value, "{random}", std::to_string(random_() % randomBelow));
+    replaceAll(value, "{random}", std::to_string(random_() % randomBound));
     replaceAll(value, "{counter}", std::to_string(pending.counter));
     return value;
 }
@@ -146,18 +146,18 @@
     pending->outcome.statement = chooseStatement();
     pending->outcome.intended = intended;
     pending->outcome.id = run_ + "-" + std::to_string(++lastId_);
-    pending->session = takeSession();
+    pending->session = acquireSession();
     const LoadStatement &statement = plan_.mix[pending->outcome.statement];
     if (statement.check == LoadCheck::CounterWrite)
         pending->counter = counter_.next();
     std::vector<std::string> parameters;
     for (const std::string &parameter : statement.parameters)
-        parameters.push_back(expand(parameter, *pending));
-    pending->request.body = callerBody(statement.group, statement.kind, statement.sql, parameters,
-                                       statement.statedAge, statement.deadline);
+        parameters.push_back(expandPlaceholders(parameter, *pending));
+    pending->request.body = statementBody(statement.group, statement.kind, statement.sql,
+                                          parameters, statement.statedAge, statement.deadline);
     if (statement.keyed)
         pending->request.idempotencyKey = pending->outcome.id;
-    ++open_;
+    ++inFlight_;
     send(pending);
 }
 
@@ -181,10 +181,11 @@
 // A keyed statement is sent again, with the same key, until its outcome is known.
 bool LoadWorker::retry(const PendingPtr &pending, const CallerAnswer &answer)
 {
-    const bool open = !answer.good() && (answer.retryable || answer.executed == Executed::Unknown);
+    const bool needsRetry =
+        !answer.good() && (answer.retryable || answer.executed == Executed::Unknown);
     const Instant now = thread_.timers().now();
-    if (!open || !plan_.mix[pending->outcome.statement].keyed
-        || now - pending->outcome.intended > plan_.giveUp)
+    if (!needsRetry || !plan_.mix[pending->outcome.statement].keyed
+        || now - pending->outcome.intended > plan_.requestTimeout)
         return false;
     ++pending->outcome.retries;
     const Duration delay = std::max(answer.retryAfter, defaultRetryDelay);
@@ -200,11 +201,11 @@
     pending.outcome.executed = answer.executed;
     if (answer.good())
         check(pending, answer);
-    result_.add(pending.outcome, start_);
+    result_.add(pending.outcome, startTime_);
     if (observer_)
         observer_(pending.outcome);
     freeSessions_.push_back(pending.session);
-    --open_;
+    --inFlight_;
 }
 
 void LoadWorker::check(const Pending &pending, const CallerAnswer &answer)
@@ -222,14 +223,14 @@
     if (statement.check == LoadCheck::CounterRead && !answer.rows.empty()) {
         ++result_.checked;
         const Value value = answer.rows[0].empty() ? Value() : answer.rows[0][0];
-        const std::uint64_t seen = std::strtoull(value.value_or("0").c_str(), nullptr, 10);
+        const std::uint64_t stored = std::strtoull(value.value_or("0").c_str(), nullptr, 10);
         const Duration age = statement.statedAge.value_or(Duration(0));
-        const std::uint64_t wanted = counter_.acknowledgedBy(pending.outcome.answered - age);
+        const std::uint64_t acknowledged = counter_.acknowledgedBy(pending.outcome.answered - age);
         // With no stated age, writes under way during the read don't count.
-        const std::uint64_t least = statement.statedAge
-            ? wanted
-            : std::min(wanted, counter_.acknowledgedBy(pending.outcome.intended));
-        result_.violations.tooStale += seen < least ? 1 : 0;
+        const std::uint64_t expected = statement.statedAge
+            ? acknowledged
+            : std::min(acknowledged, counter_.acknowledgedBy(pending.outcome.intended));
+        result_.violations.tooStale += stored < expected ? 1 : 0;
     }
 }
 
--- a/src/bench/loadworker.h
+++ b/src/bench/loadworker.h
@@ -27,7 +27,7 @@
 
 private:
     mutable std::mutex mutex_;
-    std::uint64_t last_ = 0;
+    std::uint64_t lastNumber_ = 0;
     struct Entry
     {
         Instant when;
@@ -50,8 +50,8 @@
 
     void start(Instant at);
     // No more requests are begun; those under way go on.
-    void finishSending();
-    bool idle() const { return open_ == 0 && sendingDone_; }
+    void stopSending();
+    bool idle() const { return inFlight_ == 0 && sendingDone_; }
     // Ends the thread. What is still open counts as unfinished.
     LoadResult stop();
 
@@ -71,17 +71,17 @@
     };
     using PendingPtr = std::shared_ptr<Pending>;
 
-    void sendDue();
+    void sendDueRequests();
     void begin(Instant intended);
     std::size_t chooseStatement();
-    std::string expand(const std::string &text, Pending &pending);
+    std::string expandPlaceholders(const std::string &text, Pending &pending);
     void send(const PendingPtr &pending);
     void onAnswer(const PendingPtr &pending, const CallerAnswer &answer);
     bool retry(const PendingPtr &pending, const CallerAnswer &answer);
     void finish(Pending &pending, const CallerAnswer &answer);
     void check(const Pending &pending, const CallerAnswer &answer);
     Session *addSession();
-    Session *takeSession();
+    Session *acquireSession();
 
     const LoadPlan &plan_;
     const std::string run_;
@@ -90,17 +90,17 @@
     DutyThread thread_;
     Caller caller_;
     std::mt19937_64 random_;
-    std::exponential_distribution<double> gapSeconds_;
+    std::exponential_distribution<double> interarrivalSeconds_;
     int totalWeight_ = 0;
 
-    Instant start_;
-    Instant next_;
+    Instant startTime_;
+    Instant nextArrival_;
     std::uint64_t lastId_ = 0;
     std::vector<std::unique_ptr<Session>> sessions_;
     std::vector<Session *> freeSessions_;
     LoadResult result_;
     std::atomic<bool> sendingDone_ {false};
-    std::atomic<int> open_ {0};
+    std::atomic<int> inFlight_ {0};
 };
 
 } // namespace kelptally::bench
--- a/src/bench/measure.h
+++ b/src/bench/measure.h
@@ -10,7 +10,7 @@
 // Processor time and memory of pieces of this process.
 namespace kelptally::bench {
 
-inline Duration processorTime()
+inline Duration threadProcessorTime()
 {
     timespec time {};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
@@ -19,12 +19,12 @@
 
 // Mean processor time of one call.
 template <typename Function>
-Duration timeOfCall(int calls, Function function)
+Duration meanCallTime(int calls, Function function)
 {
-    const Duration before = processorTime();
+    const Duration before = threadProcessorTime();
     for (int i = 0; i < calls; ++i)
         function();
-    return (processorTime() - before) / calls;
+    return (threadProcessorTime() - before) / calls;
 }
 
 // Bytes that are allocated at the moment.
--- a/src/bench/overload.cpp
+++ b/src/bench/overload.cpp
@@ -71,7 +71,7 @@
             if (!request.write)
                 request.statedAge = 5s;
             request.repeatable = !request.write;
-            request.expect = Expect::Any;
+            request.expect = ExpectedOutcome::Any;
             TraceEvent event;
             event.at = at;
             event.request = request;
@@ -142,9 +142,9 @@
     const Trace trace = makeTrace({{"web", nominalRate * 3 / 2, 10, readCost}});
     ReplayOptions options;
     runOne("no repeats", "kelptally", trace, options);
-    options.callerRepeats = 5;
+    options.callerRetries = 5;
     runOne("when told (Retry-After)", "kelptally", trace, options);
-    options.repeatAfter = 20ms;
+    options.callerRetryDelay = 20ms;
     runOne("after 20 ms", "kelptally", trace, options);
     runOne("after 20 ms", "round-robin", trace, options);
 }
--- a/src/bench/replay.cpp
+++ b/src/bench/replay.cpp
@@ -15,13 +15,13 @@
 
 // Time for the processes to settle before the trace begins, and for answers after its end.
 constexpr Duration settleTime = 5s;
-constexpr Duration endTime = 15s;
+constexpr Duration drainTime = 15s;
 // Time until a changed configuration has reached every proxy (docs/design/configuration.md has the
 // measured figure; this is above it).
-constexpr Duration configurationTime = 500ms;
+constexpr Duration configurationDelay = 500ms;
 // The perfectly informed router may wait for a replica as long as the real one does.
-constexpr Duration informedWait = 30ms;
-constexpr Duration informedStep = 1ms;
+constexpr Duration oracleWait = 30ms;
+constexpr Duration oraclePollInterval = 1ms;
 
 // Runs one trace: sends its requests, causes its faults and hands the answers to the checker.
 class Replay
@@ -45,9 +45,9 @@
             if (event.request)
                 send(*event.request);
             else
-                cause(*event.fault);
+                injectFault(*event.fault);
         }
-        model_.timers.advance(endTime);
+        model_.timers.advance(drainTime);
         finish();
         return model_.checker.figures();
     }
@@ -57,31 +57,32 @@
     {
         model_.checker.onSent(request, model_.timers.now());
         if (!request.write && request.statedAge)
-            askInformedRouter(request, model_.timers.now() + informedWait);
-        submit(request, options_.callerRepeats);
+            tryOracleRouter(request, model_.timers.now() + oracleWait);
+        submit(request, options_.callerRetries);
     }
 
-    void submit(const TraceRequest &request, int repeatsLeft)
+    void submit(const TraceRequest &request, int retriesLeft)
     {
-        model_.timers.subscribeAfter(model_.trace.clientDelay, [this, &request, repeatsLeft] {
+        model_.timers.subscribeAfter(model_.trace.clientDelay, [this, &request, retriesLeft] {
             const auto entry = entryFor(request);
             if (!entry)
                 return;
-            policy_->submit(request, *entry, [this, &request, repeatsLeft](const Answer &answer) {
-                model_.timers.subscribeAfter(
-                    model_.trace.clientDelay,
-                    [this, &request, repeatsLeft, answer] { take(request, repeatsLeft, answer); });
+            policy_->submit(request, *entry, [this, &request, retriesLeft](const Answer &answer) {
+                model_.timers.subscribeAfter(model_.trace.clientDelay,
+                                             [this, &request, retriesLeft, answer] {
+                                                 handleAnswer(request, retriesLeft, answer);
+                                             });
             });
         });
     }
 
-    void take(const TraceRequest &request, int repeatsLeft, const Answer &answer)
+    void handleAnswer(const TraceRequest &request, int retriesLeft, const Answer &answer)
     {
-        if (answer.executed == Executed::No && repeatsLeft > 0) {
-            const Duration pause = options_.repeatAfter.value_or(answer.retryAfter);
-            model_.timers.subscribeAfter(pause, [this, &request, repeatsLeft] {
+        if (answer.executed == Executed::No && retriesLeft > 0) {
+            const Duration delay = options_.callerRetryDelay.value_or(answer.retryAfter);
+            model_.timers.subscribeAfter(delay, [this, &request, retriesLeft] {
                 model_.checker.onRepeated(request, model_.timers.now());
-                submit(request, repeatsLeft - 1);
+                submit(request, retriesLeft - 1);
             });
             return;
         }
@@ -93,9 +94,9 @@
     std::optional<HostName> entryFor(const TraceRequest &request) const
     {
         const auto &hosts = model_.trace.hosts;
-        const auto isWanted = [&](const TraceHost &host) { return host.name == request.entry; };
-        const auto wanted = std::find_if(hosts.begin(), hosts.end(), isWanted);
-        const std::size_t first = static_cast<std::size_t>(wanted - hosts.begin());
+        const auto isRequested = [&](const TraceHost &host) { return host.name == request.entry; };
+        const auto requested = std::find_if(hosts.begin(), hosts.end(), isRequested);
+        const std::size_t first = static_cast<std::size_t>(requested - hosts.begin());
         for (std::size_t i = 0; i < hosts.size(); ++i) {
             const HostName &name = hosts[(first + i) % hosts.size()].name;
             if (policy_->takesCallers(name))
@@ -106,19 +107,19 @@
 
     // A router that knows the true state of all servers could send the read to a replica if one
     // has the data now, or within the time that the real one may wait.
-    void askInformedRouter(const TraceRequest &request, Instant until)
+    void tryOracleRouter(const TraceRequest &request, Instant until)
     {
         const Instant now = model_.timers.now();
         for (const ModelServer *server : model_.serversOf(request.group)) {
-            if (isWithinReach(*server, request) && couldServe(*server, request, now))
+            if (isReachable(*server, request) && couldServe(*server, request, now))
                 return model_.checker.onCouldReplica();
         }
         if (now < until)
             model_.timers.subscribeAfter(
-                informedStep, [this, &request, until] { askInformedRouter(request, until); });
+                oraclePollInterval, [this, &request, until] { tryOracleRouter(request, until); });
     }
 
-    bool isWithinReach(const ModelServer &server, const TraceRequest &request) const
+    bool isReachable(const ModelServer &server, const TraceRequest &request) const
     {
         const auto entry = entryFor(request);
         for (const TraceHost &host : model_.trace.hosts) {
@@ -141,56 +142,56 @@
             && !model_.checker.isStale(request.group, server.applied(), committedBy, now);
     }
 
-    void cause(const TraceFault &fault)
+    void injectFault(const TraceFault &fault)
     {
         const Instant now = model_.timers.now();
         switch (fault.kind) {
         case FaultKind::KillServer:
-            noteWritesStop(fault.subject);
-            return model_.server(fault.subject).kill();
+            recordWriteStop(fault.target);
+            return model_.server(fault.target).kill();
         case FaultKind::StartServer:
-            return model_.server(fault.subject).start();
+            return model_.server(fault.target).start();
         case FaultKind::HangServer:
-            noteWritesStop(fault.subject);
-            return model_.server(fault.subject).setHung(true);
+            recordWriteStop(fault.target);
+            return model_.server(fault.target).setHung(true);
         case FaultKind::HealServer:
-            return model_.server(fault.subject).setHung(false);
+            return model_.server(fault.target).setHung(false);
         case FaultKind::SlowServer:
-            return model_.server(fault.subject).setSlowness(fault.factor);
+            return model_.server(fault.target).setSlowness(fault.factor);
         case FaultKind::LagServer:
-            return model_.server(fault.subject).setLag(fault.time);
+            return model_.server(fault.target).setLag(fault.time);
         case FaultKind::LeaveServer:
-            model_.setLeaving(fault.subject);
-            model_.timers.subscribeAfter(configurationTime,
-                                         [this, &fault] { policy_->onLeaving(fault.subject); });
+            model_.setLeaving(fault.target);
+            model_.timers.subscribeAfter(configurationDelay,
+                                         [this, &fault] { policy_->onLeaving(fault.target); });
             return;
         case FaultKind::CutZone:
-            noteCut(fault.subject);
-            return model_.setCut(fault.subject, true);
+            recordZoneCut(fault.target);
+            return model_.setCut(fault.target, true);
         case FaultKind::HealZone:
-            return model_.setCut(fault.subject, false);
+            return model_.setCut(fault.target, false);
         case FaultKind::StopStore:
         case FaultKind::StartStore:
             model_.storeUp = fault.kind == FaultKind::StartStore;
             return;
         case FaultKind::StopHost:
-            return policy_->stopHost(fault.subject);
+            return policy_->stopHost(fault.target);
         case FaultKind::CrashHost:
             model_.checker.onWritesStop(model_.trace.groups(), now);
-            return policy_->crashHost(fault.subject);
+            return policy_->crashHost(fault.target);
         case FaultKind::StartHost:
-            return policy_->startHost(fault.subject);
+            return policy_->startHost(fault.target);
         }
     }
 
-    void noteWritesStop(const ServerName &name)
+    void recordWriteStop(const ServerName &name)
     {
         const ModelServer &server = model_.server(name);
         if (server.primary())
             model_.checker.onWritesStop({server.what().group}, model_.timers.now());
     }
 
-    void noteCut(const ZoneName &zone)
+    void recordZoneCut(const ZoneName &zone)
     {
         for (const GroupName &group : model_.trace.groups()) {
             const ModelServer *primary = model_.primaryOf(group);
@@ -205,11 +206,11 @@
         for (const TraceEvent &event : model_.trace.events) {
             if (!event.request || answered_.count(event.request->id) > 0)
                 continue;
-            Answer none;
-            none.request = event.request->id;
-            none.reason = Reason::DeadlineExceeded;
-            none.executed = Executed::Unknown;
-            model_.checker.onAnswer(*event.request, none, model_.timers.now());
+            Answer noAnswer;
+            noAnswer.request = event.request->id;
+            noAnswer.reason = Reason::DeadlineExceeded;
+            noAnswer.executed = Executed::Unknown;
+            model_.checker.onAnswer(*event.request, noAnswer, model_.timers.now());
         }
         for (const GroupName &group : model_.trace.groups()) {
             const ModelServer *primary = model_.primaryOf(group);
--- a/src/bench/replay.h
+++ b/src/bench/replay.h
@@ -14,8 +14,8 @@
 {
     // How often a caller sends a request again that was refused as not run, and after what pause;
     // nothing: as long as the answer asked it to wait.
-    int callerRepeats = 0;
-    std::optional<Duration> repeatAfter;
+    int callerRetries = 0;
+    std::optional<Duration> callerRetryDelay;
     // Slots of a primary that browsing may hold at a time, 0 for all; nothing: as the owner has it.
     std::optional<int> primaryBrowseSlots;
 };
--- a/src/bench/replaycommand.cpp
+++ b/src/bench/replaycommand.cpp
@@ -63,24 +63,24 @@
     int couldReplica = 0;
 };
 
-SiteReads &siteOf(std::map<std::string, SiteReads> &sites, const Trace &trace)
+SiteReads &siteReadsOf(std::map<std::string, SiteReads> &sites, const Trace &trace)
 {
     return sites[trace.name.substr(0, trace.name.find('-'))];
 }
 
-bool enoughReads(const std::map<std::string, SiteReads> &sites)
+bool checkReplicaShares(const std::map<std::string, SiteReads> &sites)
 {
-    bool enough = true;
+    bool sufficient = true;
     for (const auto &[site, reads] : sites) {
         absl::PrintF("%s: replicas answered %.2f%% of the reads that could go there\n", site,
                      percentOf(reads.byReplica, reads.couldReplica));
-        enough = enough && reads.byReplica * 100 >= reads.couldReplica * 98;
+        sufficient = sufficient && reads.byReplica * 100 >= reads.couldReplica * 98;
     }
-    return enough;
+    return sufficient;
 }
 
-bool runAll(const std::vector<Trace> &traces, const std::vector<std::string> &policies,
-            bool details)
+bool replayAll(const std::vector<Trace> &traces, const std::vector<std::string> &policies,
+               bool details)
 {
     bool good = true;
     std::map<std::string, SiteReads> sites;
@@ -94,14 +94,14 @@
             if (policy != "kelptally")
                 continue;
             good = good && figures->violations.all() == 0 && figures->missedOutcomes == 0;
-            siteOf(sites, trace).byReplica += figures->byReplica;
-            siteOf(sites, trace).couldReplica += figures->couldReplica;
+            siteReadsOf(sites, trace).byReplica += figures->byReplica;
+            siteReadsOf(sites, trace).couldReplica += figures->couldReplica;
         }
     }
-    return enoughReads(sites) && good;
+    return checkReplicaShares(sites) && good;
 }
 
-bool runLive(const std::vector<Trace> &traces, const LiveOptions &options)
+bool replayAllLive(const std::vector<Trace> &traces, const LiveOptions &options)
 {
     bool good = true;
     for (const Trace &trace : traces) {
@@ -143,13 +143,13 @@
     return parseTrace(text.str());
 }
 
-std::vector<Trace> select(const std::string &name)
+std::vector<Trace> selectTraces(const std::string &name)
 {
     std::vector<Trace> all = shippedTraces();
-    const auto other = [&name](const Trace &trace) {
+    const auto doesNotMatch = [&name](const Trace &trace) {
         return trace.name.find(name) == std::string::npos;
     };
-    all.erase(std::remove_if(all.begin(), all.end(), other), all.end());
+    all.erase(std::remove_if(all.begin(), all.end(), doesNotMatch), all.end());
     return all;
 }
 
@@ -176,11 +176,11 @@
                                      "KEY", line);
     TCLAP::ValueArg<std::string> standin("", "standin", "with --live: control port of the stand-in",
                                          false, "", "IP:PORT", line);
-    TCLAP::ValueArg<int> slower("", "slower", "with --live: stretch the trace's times so often",
-                                false, 1, "N", line);
+    TCLAP::ValueArg<int> timeFactor("", "slower", "with --live: stretch the trace's times so often",
+                                    false, 1, "N", line);
     line.parse(argc, argv);
 
-    std::vector<Trace> traces = select(only.getValue());
+    std::vector<Trace> traces = selectTraces(only.getValue());
     if (file.isSet()) {
         auto trace = readTrace(file.getValue());
         if (!trace.ok()) {
@@ -199,11 +199,12 @@
         options.entries = entries.getValue();
         options.callerKey = key.getValue();
         options.standin = standin.getValue();
-        options.slower = slower.getValue();
-        return runLive(traces, options) ? 0 : 1;
+        options.timeFactor = timeFactor.getValue();
+        return replayAllLive(traces, options) ? 0 : 1;
     }
-    const std::vector<std::string> one = {policy.getValue()};
-    return runAll(traces, table.getValue() ? policyNames : one, details.getValue()) ? 0 : 1;
+    const std::vector<std::string> singlePolicy = {policy.getValue()};
+    return replayAll(traces, table.getValue() ? policyNames : singlePolicy, details.getValue()) ? 0
+                                                                                                : 1;
 }
 
 int runTraces(int argc, char **argv)
--- a/src/bench/shippedtraces.cpp
+++ b/src/bench/shippedtraces.cpp
@@ -26,10 +26,10 @@
     Duration zoneDelay;
     Duration clientDelay;
     // Arrivals in one second.
-    int rate = 0;
+    int requestsPerSecond = 0;
     // Of a hundred requests.
-    int writes = 0;
-    int newestReads = 0;
+    int writePercent = 0;
+    int newestReadPercent = 0;
     std::vector<Duration> statedAges;
     // Between the names of a group and of its servers.
     std::string separator;
@@ -83,34 +83,35 @@
             + std::string(1, static_cast<char>('a' + server));
     }
 
-    void fault(Duration at, FaultKind kind, const std::string &subject, Duration time = {},
+    void fault(Duration at, FaultKind kind, const std::string &target, Duration time = {},
                int factor = 1)
     {
         TraceEvent event;
         event.at = at;
-        event.fault = TraceFault {kind, subject, time, factor};
+        event.fault = TraceFault {kind, target, time, factor};
         trace_.events.push_back(std::move(event));
     }
 
     // Requests from one instant to another, at the site's rate times a percentage. Those expected
     // otherwise than done lie in a disturbed stretch.
-    void requests(Duration from, Duration to, int percent = 100, Expect expect = Expect::Done)
+    void requests(Duration from, Duration to, int percent = 100,
+                  ExpectedOutcome expect = ExpectedOutcome::Done)
     {
         const std::uint64_t meanGap =
-            100000000 / (site_.rate * static_cast<std::uint64_t>(percent));
-        for (Duration at = from; at < to; at += 1us * below(2 * meanGap)) {
+            100000000 / (site_.requestsPerSecond * static_cast<std::uint64_t>(percent));
+        for (Duration at = from; at < to; at += 1us * randomBelow(2 * meanGap)) {
             TraceEvent event;
             event.at = at;
             event.request = drawRequest(expect);
             const TraceRequest request = *event.request;
             trace_.events.push_back(std::move(event));
             if (request.write)
-                lookAtOwnWrite(at, request);
+                addReadOfOwnWrite(at, request);
         }
     }
 
     // Sessions stay with one host unless they move.
-    void setMoves(bool moves) { moves_ = moves; }
+    void setSessionsMove(bool sessionsMove) { sessionsMove_ = sessionsMove; }
 
     Trace take()
     {
@@ -120,52 +121,52 @@
     }
 
 private:
-    std::int64_t below(std::uint64_t bound)
+    std::int64_t randomBelow(std::uint64_t bound)
     {
         return static_cast<std::int64_t>(random_() % std::max<std::uint64_t>(bound, 1));
     }
 
     // Soon after a write its session reads, at whatever host it is sent to.
-    void lookAtOwnWrite(Duration writtenAt, const TraceRequest &write)
+    void addReadOfOwnWrite(Duration writtenAt, const TraceRequest &write)
     {
         TraceEvent event;
-        event.at = writtenAt + 10ms + 1us * below(60000);
+        event.at = writtenAt + 10ms + 1us * randomBelow(60000);
         event.request = write;
         event.request->id = ++lastId_;
         event.request->write = false;
         event.request->repeatable = true;
-        if (moves_)
-            event.request->entry = hostName(static_cast<int>(below(hostCount)));
+        if (sessionsMove_)
+            event.request->entry = hostName(static_cast<int>(randomBelow(hostCount)));
         drawRead(*event.request, false);
         trace_.events.push_back(std::move(event));
     }
 
-    TraceRequest drawRequest(Expect expect)
+    TraceRequest drawRequest(ExpectedOutcome expect)
     {
         TraceRequest request;
         request.id = ++lastId_;
-        request.session = static_cast<SessionId>(below(sessionCount));
-        request.entry = hostName(moves_ ? static_cast<int>(below(hostCount))
-                                        : static_cast<int>(request.session) % hostCount);
+        request.session = static_cast<SessionId>(randomBelow(sessionCount));
+        request.entry = hostName(sessionsMove_ ? static_cast<int>(randomBelow(hostCount))
+                                               : static_cast<int>(request.session) % hostCount);
         // A session keeps to one group, as a caseworker to a municipality.
         request.group = site_.groups[request.session % site_.groups.size()];
         request.team = request.session % 4 == 0 ? "batch" : "web";
         request.expect = expect;
-        const std::int64_t draw = below(100);
-        if (draw < site_.writes)
+        const std::int64_t draw = randomBelow(100);
+        if (draw < site_.writePercent)
             drawWrite(request);
         else
-            drawRead(request, draw < site_.writes + site_.newestReads);
+            drawRead(request, draw < site_.writePercent + site_.newestReadPercent);
         return request;
     }
 
     void drawWrite(TraceRequest &request)
     {
         request.write = true;
-        request.repeatable = below(3) == 0;
+        request.repeatable = randomBelow(3) == 0;
         request.requestClass = request.repeatable ? RequestClass::Write : RequestClass::Critical;
         request.deadline = 5s;
-        request.cost = 2ms + 1us * below(2000);
+        request.cost = 2ms + 1us * randomBelow(2000);
     }
 
     void drawRead(TraceRequest &request, bool newest)
@@ -173,19 +174,19 @@
         request.requestClass = newest ? RequestClass::FreshRead : RequestClass::Browse;
         if (!newest)
             request.statedAge =
-                site_.statedAges[static_cast<std::size_t>(below(site_.statedAges.size()))];
+                site_.statedAges[static_cast<std::size_t>(randomBelow(site_.statedAges.size()))];
         request.deadline = newest ? 5s : 1s;
-        request.cost = 1ms + 1us * below(3000);
+        request.cost = 1ms + 1us * randomBelow(3000);
     }
 
     const Site &site_;
     std::mt19937_64 random_;
     Trace trace_;
     RequestId lastId_ = 0;
-    bool moves_ = false;
+    bool sessionsMove_ = false;
 };
 
-Trace usual(const Site &site)
+Trace normalLoad(const Site &site)
 {
     // The agency: a billing run comes on top, whole municipalities at once. Lagon: offers and
     // deposits while browsing dominates.
@@ -213,17 +214,17 @@
     Generator generator(site, "partition", 13);
     generator.requests(0s, 5900ms, 50);
     // Hosts in the lost zone can't reach the others' groups; their callers get no promise.
-    generator.requests(5900ms, 20s, 50, Expect::Any);
+    generator.requests(5900ms, 20s, 50, ExpectedOutcome::Any);
     generator.requests(20s, 30s, 50);
     generator.fault(6s, FaultKind::CutZone, site.zones[0]);
     generator.fault(15s, FaultKind::HealZone, site.zones[0]);
     return generator.take();
 }
 
-Trace lag(const Site &site)
+Trace replicaLag(const Site &site)
 {
     Generator generator(site, "lag", 14);
-    generator.requests(0s, 30s, 50, Expect::DoneOrRefused);
+    generator.requests(0s, 30s, 50, ExpectedOutcome::DoneOrRefused);
     generator.fault(5s, FaultKind::LagServer, generator.serverName(0, 1), 3s);
     generator.fault(8s, FaultKind::HangServer, generator.serverName(1, 2));
     generator.fault(10s, FaultKind::LagServer, generator.serverName(0, 2), 400ms);
@@ -262,7 +263,7 @@
     Generator generator(site, "host-crash", 17);
     generator.requests(0s, 7s, 60);
     // Callers of the dead host get no answer, and others wait for the lease to end.
-    generator.requests(7s, 12s, 60, Expect::Any);
+    generator.requests(7s, 12s, 60, ExpectedOutcome::Any);
     generator.requests(12s, 20s, 60);
     generator.fault(8s, FaultKind::CrashHost, Generator::hostName(0));
     generator.fault(8s, FaultKind::CrashHost, Generator::hostName(1));
@@ -274,7 +275,7 @@
 Trace sessionMoves(const Site &site)
 {
     Generator generator(site, "session-moves", 18);
-    generator.setMoves(true);
+    generator.setSessionsMove(true);
     generator.requests(0s, 30s, 60);
     return generator.take();
 }
@@ -285,8 +286,8 @@
 {
     std::vector<Trace> traces;
     for (const Site *site : {&agency, &lagon}) {
-        for (const auto make : {usual, failover, partition, lag, storeOutage, rollingRestart,
-                                hostCrash, sessionMoves})
+        for (const auto make : {normalLoad, failover, partition, replicaLag, storeOutage,
+                                rollingRestart, hostCrash, sessionMoves})
             traces.push_back(make(*site));
     }
     return traces;
--- a/src/bench/slopes.cpp
+++ b/src/bench/slopes.cpp
@@ -52,8 +52,8 @@
 void measureMessage(const std::string &name, const inner::Message &message)
 {
     const std::string bytes = *inner::encode(message);
-    const Duration encoding = timeOfCall(20000, [&] { (void)inner::encode(message); });
-    const Duration decoding = timeOfCall(20000, [&] { (void)inner::decode(bytes); });
+    const Duration encoding = meanCallTime(20000, [&] { (void)inner::encode(message); });
+    const Duration decoding = meanCallTime(20000, [&] { (void)inner::decode(bytes); });
     absl::PrintF("  %-34s %6d bytes  encode %6.2f us  decode %6.2f us\n", name, bytes.size(),
                  microseconds(encoding), microseconds(decoding));
 }
@@ -161,24 +161,24 @@
 // Processor time of the group's ticks in one second, with all answers there at once.
 Duration secondOfOwner(Ownership &owner, Instant &now)
 {
-    const Duration before = processorTime();
+    const Duration before = threadProcessorTime();
     for (Duration at = 0s; at < 1s; at += Ownership::tickPeriod) {
         now += Ownership::tickPeriod;
         answerLeases(owner, now, owner.onTick(now));
     }
-    return processorTime() - before;
+    return threadProcessorTime() - before;
 }
 
 Duration secondOfFailover(Failover &failover, Instant &now, int &probes)
 {
-    const Duration before = processorTime();
+    const Duration before = threadProcessorTime();
     for (Duration at = 0s; at < 1s; at += Failover::tickPeriod) {
         now += Failover::tickPeriod;
         const FailoverActions actions = failover.onTick(now);
         probes += static_cast<int>(actions.size());
         answerProbes(failover, now, actions);
     }
-    return processorTime() - before;
+    return threadProcessorTime() - before;
 }
 
 void measureGroups()
@@ -241,8 +241,8 @@
         const std::size_t bytes = allocatedBytes() - before;
         int group = 0;
         const Duration wanted =
-            timeOfCall(200, [&] { (void)membership.preferredOwner(groupOf(++group), "zone-1"); });
-        const Duration choice = timeOfCall(
+            meanCallTime(200, [&] { (void)membership.preferredOwner(groupOf(++group), "zone-1"); });
+        const Duration choice = meanCallTime(
             200, [&] { (void)membership.successorCandidates(groupOf(++group), processOf(0)); });
         absl::PrintF("  %5d nodes: %7d bytes, wanted owner of a group %7.1f us, "
                      "its successors %7.1f us\n",
@@ -285,7 +285,7 @@
         auto inventory = std::make_unique<settings::Inventory>(
             settings::parseInventory("capacity.ini", document, findings));
         const std::size_t bytes = allocatedBytes() - before;
-        const Duration time = timeOfCall(
+        const Duration time = meanCallTime(
             3, [&] { (void)settings::parseInventory("capacity.ini", document, findings); });
         if (!findings.empty())
             absl::PrintF("%s", findings.toText());
@@ -307,8 +307,8 @@
         for (int i = 0; i < groups; ++i)
             token.advance(groupOf(i), {makeTerm(1000, 1), 1000000});
         const std::string text = token.seal(key);
-        const Duration sealing = timeOfCall(20000, [&] { (void)token.seal(key); });
-        const Duration opening = timeOfCall(20000, [&] { (void)SessionToken::open(text, key); });
+        const Duration sealing = meanCallTime(20000, [&] { (void)token.seal(key); });
+        const Duration opening = meanCallTime(20000, [&] { (void)SessionToken::open(text, key); });
         absl::PrintF("  %2d groups: %4d bytes, seal %6.2f us, open %6.2f us\n", groups, text.size(),
                      microseconds(sealing), microseconds(opening));
     }
@@ -330,7 +330,7 @@
     needs.deadlineIn = 1s;
     Routing routing(50);
     Instant now = start;
-    const Duration route = timeOfCall(100000, [&] {
+    const Duration route = meanCallTime(100000, [&] {
         now += 10us;
         (void)routing.routeRead(needs, servers, now);
     });
@@ -347,7 +347,7 @@
     };
     for (int i = 0; i < waiting; ++i)
         offer();
-    const Duration time = timeOfCall(100000, [&] {
+    const Duration time = meanCallTime(100000, [&] {
         offer();
         if (const auto work = admission.next(start))
             admission.finished(*work, 2ms);
@@ -362,7 +362,7 @@
     Freshness freshness;
     LogOffset offset = 0;
     Instant now = start;
-    const Duration time = timeOfCall(100000, [&] {
+    const Duration time = meanCallTime(100000, [&] {
         now += 1ms;
         freshness.onPrimarySample(now, {1, ++offset});
         freshness.onReplicaReport("b", {1, offset});
--- a/src/bench/trace.cpp
+++ b/src/bench/trace.cpp
@@ -40,7 +40,8 @@
 
 constexpr std::array<absl::string_view, settings::requestClassCount> classNames = {
     "critical", "write", "fresh-read", "browse"};
-constexpr std::array<absl::string_view, 3> expectNames = {"done", "done-or-refused", "any"};
+constexpr std::array<absl::string_view, 3> expectedOutcomeNames = {"done", "done-or-refused",
+                                                                   "any"};
 
 // "KEY=VALUE" fields of one line; each must be asked for.
 class Fields
@@ -98,7 +99,7 @@
 }
 
 template <typename Names>
-std::optional<std::size_t> indexIn(const Names &names, absl::string_view name)
+std::optional<std::size_t> indexOf(const Names &names, absl::string_view name)
 {
     const auto found = std::find(names.begin(), names.end(), name);
     if (found == names.end())
@@ -123,12 +124,12 @@
 
 bool readRequest(Fields &fields, TraceRequest &request)
 {
-    const auto requestClass = indexIn(classNames, fields.take("class").value_or(""));
-    const auto expect = indexIn(expectNames, fields.take("expect").value_or(""));
+    const auto requestClass = indexOf(classNames, fields.take("class").value_or(""));
+    const auto expect = indexOf(expectedOutcomeNames, fields.take("expect").value_or(""));
     if (!requestClass || !expect)
         return false;
     request.requestClass = static_cast<RequestClass>(*requestClass);
-    request.expect = static_cast<Expect>(*expect);
+    request.expect = static_cast<ExpectedOutcome>(*expect);
     request.entry = fields.takeText("entry");
     request.group = fields.takeText("group");
     request.team = fields.takeText("team");
@@ -144,7 +145,7 @@
 
 bool readFault(Fields &fields, TraceFault &fault)
 {
-    fault.subject = fields.takeText("of");
+    fault.target = fields.takeText("of");
     if (fault.kind == FaultKind::LagServer)
         return takeTime(fields, "time", fault.time);
     if (fault.kind == FaultKind::SlowServer)
@@ -219,15 +220,16 @@
         absl::StrAppend(&out, " once=yes");
     absl::StrAppend(&out, " deadline=", formatTime(request.deadline),
                     " cost=", formatTime(request.cost),
-                    " expect=", expectNames[static_cast<std::size_t>(request.expect)]);
+                    " expect=", expectedOutcomeNames[static_cast<std::size_t>(request.expect)]);
 }
 
 void formatFault(std::string &out, const TraceFault &fault)
 {
-    const auto isIt = [&fault](const FaultName &name) { return name.kind == fault.kind; };
-    absl::StrAppend(&out, " ", std::find_if(faultNames.begin(), faultNames.end(), isIt)->name);
-    if (!fault.subject.empty())
-        absl::StrAppend(&out, " of=", fault.subject);
+    const auto isSameKind = [&fault](const FaultName &name) { return name.kind == fault.kind; };
+    absl::StrAppend(&out, " ",
+                    std::find_if(faultNames.begin(), faultNames.end(), isSameKind)->name);
+    if (!fault.target.empty())
+        absl::StrAppend(&out, " of=", fault.target);
     if (fault.kind == FaultKind::LagServer)
         absl::StrAppend(&out, " time=", formatTime(fault.time));
     if (fault.kind == FaultKind::SlowServer)
--- a/src/bench/trace.h
+++ b/src/bench/trace.h
@@ -34,7 +34,7 @@
 };
 
 // Which final answers are right for a request, whatever the policy.
-enum class Expect {
+enum class ExpectedOutcome {
     Done,
     // Done, or refused as not run.
     DoneOrRefused,
@@ -57,7 +57,7 @@
     Duration cost {0};
     // Writes: whether they may run twice. One that may not has an idempotency key.
     bool repeatable = true;
-    Expect expect = Expect::Done;
+    ExpectedOutcome expect = ExpectedOutcome::Done;
 };
 
 enum class FaultKind {
@@ -86,7 +86,7 @@
 struct TraceFault
 {
     FaultKind kind = FaultKind::KillServer;
-    std::string subject;
+    std::string target;
     Duration time {0};
     int factor = 1;
 };
--- a/tests/bench/fakeentry.h
+++ b/tests/bench/fakeentry.h
@@ -19,9 +19,9 @@
     // Keeps every tenth write twice.
     DoublesWrites,
     // Refuses every tenth write for good as not run, and keeps it.
-    KeepsRefused,
+    StoresRefusedWrites,
     // Reads find nothing.
-    ForgetsOnRead,
+    ReadsMissWrites,
 };
 
 // An entry that keeps writes of {id} in memory and answers by the first word of the statement and
@@ -38,7 +38,7 @@
 
     std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
     // Holds the first answer back for this time.
-    void holdFirst(Duration time) { hold_ = time; }
+    void delayFirstAnswer(Duration time) { firstAnswerDelay_ = time; }
 
     void onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply) override
     {
@@ -48,9 +48,9 @@
             ? write(request.idempotencyKey, *document)
             : read(sql, *document);
         response.headers.push_back({"Kelptally-Session", "token"});
-        const Duration hold = hold_;
-        hold_ = Duration(0);
-        thread_.timers().subscribeAfter(hold, [reply, response] { reply->send(response); });
+        const Duration delay = firstAnswerDelay_;
+        firstAnswerDelay_ = Duration(0);
+        thread_.timers().subscribeAfter(delay, [reply, response] { reply->send(response); });
     }
     void onCallerGone(caller::ConnectionId) override { }
 
@@ -76,11 +76,12 @@
         if (keys_.insert(key).second)
             return refusal("queue_full", true);
         const std::string id = document.find("parameters")->items.at(0).text;
-        const bool tenth = ++writes_ % 10 == 0;
-        copies_[id] = tenth && fault_ == EntryFault::DoublesWrites ? 2 : 1;
-        if (tenth && fault_ == EntryFault::LosesWrites)
+        const bool isTenth = ++writes_ % 10 == 0;
+        copies_[id] = isTenth && fault_ == EntryFault::DoublesWrites ? 2 : 1;
+        if (isTenth && fault_ == EntryFault::LosesWrites)
             copies_.erase(id);
-        return tenth && fault_ == EntryFault::KeepsRefused ? refusal("forbidden", false) : rows("");
+        return isTenth && fault_ == EntryFault::StoresRefusedWrites ? refusal("forbidden", false)
+                                                                    : rows("");
     }
 
     caller::HttpResponse read(const std::string &sql, const JsonValue &document)
@@ -91,7 +92,7 @@
             for (auto it = copies_.upper_bound(parameters.at(1).text); it != copies_.end(); ++it)
                 found += (found.empty() ? "[\"" : ",[\"") + it->first + "\",\""
                     + std::to_string(it->second) + "\"]";
-        } else if (fault_ != EntryFault::ForgetsOnRead) {
+        } else if (fault_ != EntryFault::ReadsMissWrites) {
             found = "[\"1000000\"]";
         } else if (sql.find("value") != std::string::npos) {
             found = "[\"0\"]";
@@ -100,7 +101,7 @@
     }
 
     const EntryFault fault_;
-    std::atomic<Duration> hold_ {Duration(0)};
+    std::atomic<Duration> firstAnswerDelay_ {Duration(0)};
     std::set<std::string> keys_;
     std::map<std::string, int> copies_;
     int writes_ = 0;
--- a/tests/bench/load_test.cpp
+++ b/tests/bench/load_test.cpp
@@ -110,8 +110,8 @@
 
 TEST_CASE("The check of the table finds each kind of broken promise", "[load]")
 {
-    const EntryFault fault =
-        GENERATE(EntryFault::LosesWrites, EntryFault::DoublesWrites, EntryFault::KeepsRefused);
+    const EntryFault fault = GENERATE(EntryFault::LosesWrites, EntryFault::DoublesWrites,
+                                      EntryFault::StoresRefusedWrites);
     FakeEntry entry(fault);
     WriteLedger ledger;
     const LoadPlan plan = planFor(entry);
@@ -120,12 +120,12 @@
     CHECK_FALSE(found.good());
     CHECK((found.lost > 0) == (fault == EntryFault::LosesWrites));
     CHECK((found.doubled > 0) == (fault == EntryFault::DoublesWrites));
-    CHECK((found.ranDespiteNo > 0) == (fault == EntryFault::KeepsRefused));
+    CHECK((found.ranDespiteNo > 0) == (fault == EntryFault::StoresRefusedWrites));
 }
 
 TEST_CASE("Reads that miss acknowledged writes are counted", "[load]")
 {
-    const EntryFault fault = GENERATE(EntryFault::None, EntryFault::ForgetsOnRead);
+    const EntryFault fault = GENERATE(EntryFault::None, EntryFault::ReadsMissWrites);
     FakeEntry entry(fault);
     LoadPlan plan = planFor(entry);
     plan.mix[0].check = LoadCheck::CounterWrite;
@@ -134,8 +134,8 @@
     plan.mix[2].sql = "SELECT id FROM load_writes";
     const LoadResult result = run(plan, 300ms, nullptr);
     CHECK(result.checked > 0);
-    CHECK((result.violations.tooStale > 0) == (fault == EntryFault::ForgetsOnRead));
-    CHECK((result.violations.ownWriteMissed > 0) == (fault == EntryFault::ForgetsOnRead));
+    CHECK((result.violations.tooStale > 0) == (fault == EntryFault::ReadsMissWrites));
+    CHECK((result.violations.ownWriteMissed > 0) == (fault == EntryFault::ReadsMissWrites));
 }
 
 TEST_CASE("A stall shows in every request that was due meanwhile", "[load]")
@@ -145,7 +145,7 @@
     plan.mix = {readOf(LoadCheck::None)};
     plan.connections = 1;
     plan.workers = 1;
-    entry.holdFirst(400ms);
+    entry.delayFirstAnswer(400ms);
     LoadResult result = run(plan, 600ms, nullptr);
     const auto &latency = result.statements.at(0).latencyMicroseconds;
     const auto slow = std::count_if(latency.begin(), latency.end(),
@@ -178,17 +178,17 @@
 
 TEST_CASE("The processor time of a process is read to the tick", "[load]")
 {
-    const auto spent = [] {
+    const auto usedProcessorTime = [] {
         rusage usage {};
         getrusage(RUSAGE_SELF, &usage);
         const auto micro = [](const timeval &t) { return t.tv_sec * 1'000'000 + t.tv_usec; };
         return Duration(std::chrono::microseconds(micro(usage.ru_utime) + micro(usage.ru_stime)));
     };
-    const Duration begin = spent();
-    while (spent() - begin < 150ms) { }
-    const Duration before = spent();
+    const Duration begin = usedProcessorTime();
+    while (usedProcessorTime() - begin < 150ms) { }
+    const Duration before = usedProcessorTime();
     const auto read = processorTime({getpid()});
-    const Duration after = spent();
+    const Duration after = usedProcessorTime();
     REQUIRE(read.ok());
     // User and system time are each cut to a tick of 10 ms.
     CHECK(*read >= before - 20ms);
--- a/tests/bench/replay_test.cpp
+++ b/tests/bench/replay_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-Trace shipped(const std::string &name)
+Trace shippedTrace(const std::string &name)
 {
     const auto all = shippedTraces();
     const auto found = std::find_if(all.begin(), all.end(),
@@ -21,9 +21,9 @@
     return *found;
 }
 
-Figures figuresOf(const std::string &trace, const std::string &policy)
+Figures replayFigures(const std::string &trace, const std::string &policy)
 {
-    const auto figures = replay(shipped(trace), policy);
+    const auto figures = replay(shippedTrace(trace), policy);
     REQUIRE(figures.ok());
     return *figures;
 }
@@ -50,7 +50,7 @@
     for (const std::string name : {"agency-failover", "lagon-rolling-restart",
                                    "agency-store-outage", "lagon-session-moves"}) {
         INFO(name);
-        const Figures figures = figuresOf(name, "kelptally");
+        const Figures figures = replayFigures(name, "kelptally");
         CHECK(figures.violations.all() == 0);
         CHECK(figures.missedOutcomes == 0);
         CHECK(figures.requests > 10000);
@@ -61,12 +61,12 @@
 
 TEST_CASE("the checker sees what the baselines break")
 {
-    const Figures partition = figuresOf("agency-partition", "primary-only");
+    const Figures partition = replayFigures("agency-partition", "primary-only");
     CHECK(partition.violations.lostWrites > 0);
-    const Figures lag = figuresOf("lagon-lag", "round-robin");
+    const Figures lag = replayFigures("lagon-lag", "round-robin");
     CHECK(lag.violations.statedAge > 0);
     CHECK(lag.violations.readYourWrites > 0);
-    const Figures failover = figuresOf("agency-failover", "primary-only");
+    const Figures failover = replayFigures("agency-failover", "primary-only");
     CHECK(failover.missedOutcomes > 0);
     REQUIRE_FALSE(failover.gaps.empty());
     CHECK(*std::max_element(failover.gaps.begin(), failover.gaps.end()) > 3s);
@@ -74,8 +74,8 @@
 
 TEST_CASE("a replay gives the same figures twice")
 {
-    const Figures first = figuresOf("lagon-host-crash", "kelptally");
-    const Figures second = figuresOf("lagon-host-crash", "kelptally");
+    const Figures first = replayFigures("lagon-host-crash", "kelptally");
+    const Figures second = replayFigures("lagon-host-crash", "kelptally");
     CHECK(first.byReplica == second.byReplica);
     CHECK(first.gaps == second.gaps);
     CHECK(first.writeLatency == second.writeLatency);
@@ -83,7 +83,7 @@
 
 TEST_CASE("an unknown policy is refused")
 {
-    CHECK(absl::IsInvalidArgument(replay(shipped("agency-failover"), "best").status()));
+    CHECK(absl::IsInvalidArgument(replay(shippedTrace("agency-failover"), "best").status()));
 }
 
 TEST_CASE("the checker counts each kind of broken promise")
--- a/tests/bench/trace_test.cpp
+++ b/tests/bench/trace_test.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-const std::string head = "trace t zone-delay=1ms client-delay=1ms replication=2ms\n"
-                         "host h1 zone=z1\n"
-                         "server s1 group=g zone=z1 slots=3\n";
+const std::string header = "trace t zone-delay=1ms client-delay=1ms replication=2ms\n"
+                           "host h1 zone=z1\n"
+                           "server s1 group=g zone=z1 slots=3\n";
 
 } // namespace
 
@@ -19,16 +19,16 @@
     for (const Trace &trace : shippedTraces()) {
         INFO(trace.name);
         const std::string text = formatTrace(trace);
-        const auto back = parseTrace(text);
-        REQUIRE(back.ok());
-        CHECK(formatTrace(*back) == text);
-        CHECK(back->events.size() == trace.events.size());
+        const auto reparsed = parseTrace(text);
+        REQUIRE(reparsed.ok());
+        CHECK(formatTrace(*reparsed) == text);
+        CHECK(reparsed->events.size() == trace.events.size());
     }
 }
 
 TEST_CASE("a request and a fault are read with all their fields")
 {
-    const auto trace = parseTrace(head
+    const auto trace = parseTrace(header
                                   + "# a comment\n"
                                     "@5ms write id=7 session=3 entry=h1 group=g team=web "
                                     "class=critical once=yes deadline=5s cost=2ms expect=done\n"
@@ -44,14 +44,14 @@
     CHECK(write.deadline == 5s);
     const TraceRequest &read = *trace->events[1].request;
     CHECK(read.statedAge == Duration(250ms));
-    CHECK(read.expect == Expect::Any);
+    CHECK(read.expect == ExpectedOutcome::Any);
     CHECK(trace->events[2].fault->kind == FaultKind::LagServer);
     CHECK(trace->events[2].fault->time == 3s);
 }
 
 TEST_CASE("a mistake in a trace is refused with its line")
 {
-    const std::vector<std::string> wrong = {
+    const std::vector<std::string> invalidLines = {
         "@5ms write id=7\n",
         "@5ms jump of=s1\n",
         "@5ms kill of=s1 of=s1\n",
@@ -65,9 +65,9 @@
         "nonsense here\n",
         "word\n",
     };
-    for (const std::string &line : wrong) {
+    for (const std::string &line : invalidLines) {
         INFO(line);
-        const auto trace = parseTrace(head + line);
+        const auto trace = parseTrace(header + line);
         CHECK(absl::IsInvalidArgument(trace.status()));
         CHECK(trace.status().message().find("line ") == 0);
     }
