--- a/src/bench/livereplay.cpp
+++ b/src/bench/livereplay.cpp
@@ -17,14 +17,13 @@
 
 namespace {
 
-// Time for the last answers after the trace's end.
+// Time to wait for answers after the end of the trace.
 constexpr Duration drainTime = 20s;
-// A write with a key is sent again until its outcome is known, after the pause that the answer
-// names or this one.
+// Minimum delay before a request of unknown outcome is retried.
 constexpr Duration minRetryDelay = 100ms;
 constexpr int maxAttempts = 100;
 
-// Request kinds of a demo's configuration.
+// Request kinds of a demo configuration.
 struct RequestKinds
 {
     std::string once;
@@ -106,12 +105,12 @@
     }
 
 private:
-    // One request on its way.
+    // A request in flight.
     struct Pending
     {
         const TraceRequest *request = nullptr;
         Instant sentAt;
-        // Writes of the own session and of its neighbour that were acknowledged when it was sent.
+        // Number of the session's writes that were acknowledged when the request was sent.
         std::size_t acknowledgedBefore = 0;
         std::size_t retries = 0;
     };
@@ -144,7 +143,7 @@
         return absl::StrCat(run_, "/", request.id);
     }
 
-    // Sessions of one group are as many apart as there are groups.
+    // Returns another session of the same group. Sessions are assigned to groups round robin.
     SessionId neighbourOf(SessionId session) const
     {
         const auto groups = static_cast<SessionId>(trace_.groups().size());
@@ -240,7 +239,7 @@
         const auto knownEnd = own.begin() + static_cast<std::ptrdiff_t>(pending.acknowledgedBefore);
         figures_.readYourWrites += std::all_of(own.begin(), knownEnd, isSeen) ? 0 : 1;
 
-        // The newest data holds at least what was acknowledged before the request was sent.
+        // A read without a stated age must see all writes acknowledged before it was sent.
         const Instant requiredBefore =
             request.statedAge ? now - *request.statedAge : pending.sentAt;
         const auto &others = sessions_[neighbourOf(request.session)].acknowledged;
@@ -251,7 +250,7 @@
         figures_.byReplica += request.statedAge && answer.fromReplica ? 1 : 0;
     }
 
-    // How often each id of a session is in its table; asked until an answer comes.
+    // Returns how often each id of a session is in its table. Retries until a query succeeds.
     absl::StatusOr<std::map<std::string, int>> readSessionRows(SessionId session,
                                                                const GroupName &group)
     {
@@ -275,7 +274,8 @@
                 rowCounts[row.at(0).value_or("")] = std::atoi(row.at(1).value_or("0").c_str());
             return rowCounts;
         }
-        return absl::UnavailableError("the table of " + group + " cannot be read at the end");
+        return absl::UnavailableError("cannot read the table of group " + group
+                                      + " after the replay");
     }
 
     absl::Status readTables()
@@ -327,7 +327,8 @@
 absl::StatusOr<LiveFigures> replayLive(const Trace &trace, const LiveOptions &options)
 {
     if (options.entries.empty() || options.timeFactor < 1 || options.connectionsPerEntry < 1)
-        return absl::InvalidArgumentError("a live replay needs entries, and factors of at least 1");
+        return absl::InvalidArgumentError(
+            "a live replay requires entries, and a time factor and connections of at least 1");
     return LiveReplay(trace, options).run();
 }
 
--- a/src/bench/livereplay.h
+++ b/src/bench/livereplay.h
@@ -10,20 +10,20 @@
 
 namespace kelptally::bench {
 
-// Where and how a trace is replayed against running processes.
+// Options of a replay against running processes.
 struct LiveOptions
 {
-    // Caller ports ("ip:port"); a trace's hosts are spread over them in order.
+    // Caller ports ("ip:port"). The trace's hosts are mapped to them in order.
     std::vector<std::string> entries;
     std::string callerKey;
-    // Control port of the database stand-in, for the faults of servers; empty: none are caused.
+    // Control port of the database stand-in, which causes the server faults; empty for no faults.
     std::string standin;
-    // The trace's times are stretched by this factor.
+    // Factor by which the trace's times are stretched.
     int timeFactor = 1;
     int connectionsPerEntry = 64;
 };
 
-// What came of it. Counts are of requests unless said otherwise.
+// Results of a replay. Counts are requests unless stated otherwise.
 struct LiveFigures
 {
     int requests = 0;
@@ -38,7 +38,7 @@
     int falseNotRun = 0;
     int agedReads = 0;
     int byReplica = 0;
-    // Faults of the trace that can't be caused this way.
+    // Faults of the trace that the stand-in doesn't support or failed to cause.
     int faultsNotCaused = 0;
     std::vector<Duration> writeLatency;
     std::vector<Duration> readLatency;
@@ -50,9 +50,9 @@
     }
 };
 
-// Sends the trace's requests at their times over the callers' interface, as statements on the table
-// load_writes(id, run), and holds the answers against each other and against the table at the end.
-// Needs the kinds of demo/agency.ini or demo/lagon.ini, by the trace's name.
+// Replays a trace through the caller API, as statements on the table load_writes(id, run). Checks
+// the answers against each other and against the table at the end. The inventory must have the
+// request kinds of demo/agency.ini or demo/lagon.ini, depending on the trace's name.
 absl::StatusOr<LiveFigures> replayLive(const Trace &trace, const LiveOptions &options);
 
 } // namespace kelptally::bench
--- a/src/bench/loadcaller.cpp
+++ b/src/bench/loadcaller.cpp
@@ -17,7 +17,7 @@
 namespace http = beast::http;
 using asio::ip::tcp;
 
-// Longest wait for one answer; a server that hangs costs no more than this.
+// Limits each connect, write and read, so that a hung server can't block a connection for ever.
 constexpr auto answerTimeout = std::chrono::seconds(20);
 constexpr std::uint64_t maxAnswerBytes = 64 << 20;
 
@@ -93,7 +93,7 @@
 class Caller::Connection : public std::enable_shared_from_this<Connection>
 {
 public:
-    // Connects to the entries in turns, beginning with the one of this index.
+    // Tries the entries in order, beginning with the one at index `first`.
     Connection(Caller &caller, asio::io_context &context, const std::vector<std::string> &entries,
                std::size_t first, const std::string &callerKey)
         : caller_(&caller), stream_(context), nextEndpoint_(first)
@@ -141,7 +141,7 @@
             request_.set(name, value);
     }
 
-    // An entry that is gone is passed over, as the platform's balancer does.
+    // Tries the next entry if one can't be reached, as the platform's load balancer does.
     void connect(std::size_t attemptsLeft)
     {
         stream_.expires_after(answerTimeout);
--- a/src/bench/loadcaller.h
+++ b/src/bench/loadcaller.h
@@ -15,7 +15,8 @@
 
 namespace kelptally::bench {
 
-// One statement as it goes to POST /v1/statement (docs/CALLERS.md).
+// A statement for POST /v1/statement (docs/CALLERS.md). `body` is the JSON body; an empty key or
+// token is not sent.
 struct CallerRequest
 {
     std::string body;
@@ -23,9 +24,11 @@
     std::string sessionToken;
 };
 
+// The answer of an entry, or the local failure of the request.
 struct CallerAnswer
 {
-    // 0 when the connection was refused or lost; then nothing but `executed` is set.
+    // HTTP status; 0 if the connection was refused or lost, or the answer timed out. Then only
+    // `reason`, `executed` and `retryable` are set.
     int status = 0;
     std::string reason;
     Executed executed = Executed::Unknown;
@@ -41,14 +44,14 @@
 
 using CallerCallback = std::function<void(const CallerAnswer &)>;
 
-// The body of a request; parameters are sent as strings.
+// Returns the JSON body of a request. Parameters are sent as strings.
 std::string statementBody(const std::string &group, const std::string &kind, const std::string &sql,
                           const std::vector<std::string> &parameters,
                           std::optional<Duration> statedAge, std::optional<Duration> deadline);
 
-// A caller with some keep-alive connections to the entries, one request at a time on each. What
-// finds no free connection waits in order. Used on the thread of its I/O context; callbacks come
-// there, each exactly once.
+// HTTP client with a fixed number of keep-alive connections to the entries, each with one request
+// in flight. Requests without a free connection are queued in order. To be used on the thread of
+// its I/O context, where each callback is called exactly once unless the client is closed.
 class Caller
 {
 public:
@@ -57,7 +60,7 @@
     ~Caller();
 
     void send(CallerRequest request, CallerCallback callback);
-    // Drops all connections; open requests get no callback any more.
+    // Closes all connections and discards the callbacks of requests in flight or queued.
     void close();
     std::size_t queuedRequests() const { return queue_.size(); }
 
--- a/src/bench/loadcommand.cpp
+++ b/src/bench/loadcommand.cpp
@@ -20,15 +20,15 @@
 constexpr int exitFailed = 1;
 constexpr int exitUsage = 2;
 
-// The options of the command; an empty one leaves the plan's file as it is.
+// Command-line options. An option that isn't given keeps the value of the plan file.
 struct Options
 {
     TCLAP::CmdLine line {"Open-loop load and measurements against running processes", ' ', "0.1.0"};
     TCLAP::ValueArg<std::string> plan {"p", "plan", "INI file of the load", true, "", "file", line};
     TCLAP::MultiArg<std::string> entries {
-        "e", "entry", "Caller port of an entry, instead of the plan's", false, "ip:port", line};
-    TCLAP::ValueArg<std::string> key {
-        "k", "key", "Caller's key, instead of the plan's", false, "", "key", line};
+        "e", "entry", "Caller port of an entry, overrides the plan", false, "ip:port", line};
+    TCLAP::ValueArg<std::string> key {"k",   "key", "Caller key, overrides the plan", false, "",
+                                      "key", line};
     TCLAP::ValueArg<int> rate {"r", "rate", "Requests a second", false, 0, "number", line};
     TCLAP::ValueArg<int> duration {"d", "duration", "Seconds", false, 0, "number", line};
     TCLAP::ValueArg<int> connections {"c", "connections", "Connections", false, 0, "number", line};
@@ -36,26 +36,27 @@
                                        "file", line};
     TCLAP::ValueArg<std::string> plot {"",     "plot", "Write the latencies as SVG", false, "",
                                        "file", line};
-    TCLAP::MultiArg<int> pids {"",    "pid", "Process whose processor time or memory is measured",
+    TCLAP::MultiArg<int> pids {"",    "pid", "Process whose CPU time or memory is measured",
                                false, "pid", line};
     TCLAP::ValueArg<std::string> control {
         "", "standin", "Control port of the stand-in", false, "", "ip:port", line};
     TCLAP::ValueArg<int> gaps {
-        "", "failover-gap", "Fail the primary so many times", false, 0, "number", line};
+        "", "failover-gap", "Number of primary failures to cause", false, 0, "number", line};
     TCLAP::ValueArg<std::string> fault {
         "", "fault", "kill, pause, isolate, cut-peers or cut-clients", false, "kill", "word", line};
     TCLAP::ValueArg<std::string> readKind {
-        "",    "read-kind", "Kind that reads the newest data, for the check of load_writes",
+        "",    "read-kind", "Request kind that reads the newest data, to check load_writes",
         false, "",          "kind",
         line};
-    TCLAP::SwitchArg verify {"", "verify", "Hold the first statement's writes against load_writes",
+    TCLAP::SwitchArg verify {"", "verify", "Check the first statement's writes against load_writes",
                              line};
     TCLAP::ValueArg<std::string> server {
         "",    "overhead", "Compare the first statement with a direct connection to this server",
         false, "",         "ip:port",
         line};
-    TCLAP::ValueArg<int> idle {
-        "", "idle", "Measure the memory of so many idle connections", false, 0, "number", line};
+    TCLAP::ValueArg<int> idle {"",    "idle", "Number of idle connections whose memory is measured",
+                               false, 0,      "number",
+                               line};
 };
 
 bool writeFile(const std::string &path, const std::string &text)
@@ -126,7 +127,7 @@
 int runIdle(const OverheadPlan &plan, Options &options)
 {
     if (options.pids.getValue().size() != 1)
-        return fail("--idle needs one --pid, of the entry");
+        return fail("--idle requires exactly one --pid, that of the entry");
     const int connections = options.idle.getValue();
     const auto bytes = measureIdleMemory(plan, options.pids.getValue().front(), connections);
     if (!bytes.ok())
@@ -139,7 +140,7 @@
 {
     const auto fault = primaryFaultFromName(options.fault.getValue());
     if (!fault)
-        return fail("unknown fault; allowed are kill, pause, isolate, cut-peers and cut-clients");
+        return fail("unknown fault, expected kill, pause, isolate, cut-peers or cut-clients");
     GapPlan gap;
     gap.load = plan;
     gap.load.mix.resize(1);
@@ -149,14 +150,15 @@
     gap.rounds = options.gaps.getValue();
     gap.readKind = options.readKind.getValue();
     if (!gap.load.mix.front().keyed || gap.readKind.empty())
-        return fail("--failover-gap needs a plan whose first statement is keyed, and --read-kind");
+        return fail(
+            "--failover-gap requires a plan whose first statement is keyed, and --read-kind");
     const GapResult result = measureGaps(gap);
     std::cout << gapSummary(result);
     const bool written = writeFile(options.json.getValue(), gapReport(gap, result));
     return written && result.problem.empty() && result.verification.good() ? 0 : exitFailed;
 }
 
-// Processor time of the measured processes; zero when none were named.
+// Returns the CPU time of the processes given by --pid, or zero if there are none or on an error.
 Duration measuredProcessorTime(Options &options)
 {
     const auto time = processorTime(options.pids.getValue());
--- a/src/bench/loadcontrol.cpp
+++ b/src/bench/loadcontrol.cpp
@@ -69,7 +69,8 @@
         http::response<http::string_body> response;
         http::read(socket, buffer, response);
         if (response.result() != http::status::ok)
-            return absl::InvalidArgumentError("the stand-in says: " + response.body());
+            return absl::InvalidArgumentError("the stand-in rejected the request: "
+                                              + response.body());
         return response.body();
     } catch (const boost::system::system_error &error) {
         return absl::UnavailableError("stand-in at " + address_ + ": " + error.what());
--- a/src/bench/loadcontrol.h
+++ b/src/bench/loadcontrol.h
@@ -9,7 +9,7 @@
 
 namespace kelptally::bench {
 
-// What the stand-in's GET /state shows of a server (docs/STANDIN.md).
+// State of a server as reported by the stand-in's GET /state (docs/STANDIN.md).
 struct StandinServer
 {
     ServerName name;
@@ -24,15 +24,16 @@
     int peakConnections = 0;
 };
 
-// A blocking client of the stand-in's control port. Each call is one connection.
+// Blocking client of the stand-in's control port. Each call opens a connection of its own.
 class StandinControl
 {
 public:
-    // "ip:port"
+    // `address` is "ip:port".
     explicit StandinControl(std::string address);
 
+    // Returns the servers of a group; NotFound if the stand-in doesn't have it.
     absl::StatusOr<std::vector<StandinServer>> group(const GroupName &name);
-    // Posts one fault, such as {"fault":"kill","server":"a"}.
+    // Posts a fault, such as {"fault":"kill","server":"a"}.
     absl::Status fault(const std::string &body);
 
 private:
--- a/src/bench/loadgap.cpp
+++ b/src/bench/loadgap.cpp
@@ -18,14 +18,14 @@
 using namespace std::chrono_literals;
 
 constexpr auto pollInterval = 20ms;
-// A group that is not whole, or takes no write, for so long ends the measurement.
+// The measurement ends if the group isn't healthy, or acknowledges no write, for this long.
 constexpr Duration healthyTimeout = 60s;
 constexpr Duration ackTimeout = 60s;
-// Records that a replica may be behind while writes go on.
+// Records that a replica of a healthy group may be behind under load.
 constexpr LogOffset maxLagRecords = 500;
-// A fault comes at a random time of this span, after the group is whole.
+// Upper bound of the random delay between a healthy group and the fault.
 constexpr int maxFaultDelayMs = 300;
-// The old primary comes back so long after the first acknowledgement.
+// Delay between the first acknowledgement and the return of the old primary.
 constexpr auto recoveryDelay = 200ms;
 
 struct FaultCommands
@@ -60,7 +60,7 @@
     return absl::StrFormat(R"({%s,"server":"%s"})", fault, server);
 }
 
-// Tells when the first write that was due after an instant was acknowledged.
+// Records when the first write that was due after an instant is acknowledged. Thread-safe.
 class FirstAck
 {
 public:
@@ -94,7 +94,8 @@
     std::optional<Instant> ackTime_;
 };
 
-// The primary of a whole group: each other server runs, follows its term and is hardly behind.
+// Returns the primary if the group is healthy, otherwise null. Healthy means that all servers run,
+// are in the primary's term and lag by at most maxLagRecords.
 const StandinServer *primaryOfHealthyGroup(const std::vector<StandinServer> &servers)
 {
     const StandinServer *primary = nullptr;
@@ -123,13 +124,13 @@
             return primary->name;
         std::this_thread::sleep_for(pollInterval);
     }
-    return absl::DeadlineExceededError("the group was not whole in time");
+    return absl::DeadlineExceededError("the group did not become healthy in time");
 }
 
 absl::StatusOr<GapRound> runRound(const GapPlan &plan, StandinControl &control, FirstAck &firstAck,
                                   std::mt19937 &random)
 {
-    // 1. The group is whole and takes writes.
+    // 1. Wait until the group is healthy and accepts writes.
     const auto primary = waitUntilHealthy(control, plan.group);
     if (!primary.ok())
         return primary.status();
@@ -137,14 +138,14 @@
     if (!firstAck.wait(ackTimeout))
         return absl::DeadlineExceededError("no write was acknowledged before the fault");
     std::this_thread::sleep_for(std::chrono::milliseconds(random() % maxFaultDelayMs));
-    // 2. The fault; its time is taken before it is asked for.
+    // 2. Inject the fault. The gap begins before the stand-in is called.
     const FaultCommands &commands = commandsOf(plan.fault);
     const Instant begin = BootClock::now();
     firstAck.watchFrom(begin);
     const absl::Status done = control.fault(faultBody(commands.begin, *primary));
     if (!done.ok())
         return done;
-    // 3. Writes go on, and the old primary comes back.
+    // 3. Wait for an acknowledged write, then bring the old primary back.
     GapRound round {*primary, std::nullopt};
     if (const auto ack = firstAck.wait(ackTimeout))
         round.gap = *ack - begin;
--- a/src/bench/loadgap.h
+++ b/src/bench/loadgap.h
@@ -13,37 +13,37 @@
 
 namespace kelptally::bench {
 
-// What is done to a group's primary.
+// Fault that is injected into a group's primary.
 enum class PrimaryFault {
-    // Its process ends: connections close.
+    // The process ends and its connections close.
     Kill,
-    // It hangs: connections stay open and nothing answers.
+    // The process hangs: connections stay open but are not served.
     Pause,
-    // The network cuts it off from the other servers and from all clients.
+    // Network partition from the other servers and from all clients.
     Isolate,
-    // The network cuts it off from the other servers only.
+    // Network partition from the other servers only.
     CutPeers,
-    // The network cuts it off from the clients only.
+    // Network partition from the clients only.
     CutClients,
 };
 
 struct GapPlan
 {
-    // Its mix is one keyed write of {id} and {run}.
+    // The mix must be one keyed write of {id} and {run}.
     LoadPlan load;
     GroupName group;
     std::string standinControl;
     PrimaryFault fault = PrimaryFault::Kill;
     int rounds = 10;
-    // Kind of the reads that check the table at the end.
+    // Request kind of the reads that verify the table at the end.
     std::string readKind;
 };
 
 struct GapRound
 {
     ServerName server;
-    // From the fault to the first acknowledgement of a write that was due after it; nothing when
-    // there was none in time.
+    // Time from the fault to the first acknowledgement of a write that was due after it; nothing if
+    // there was none within the timeout.
     std::optional<Duration> gap;
 };
 
@@ -51,18 +51,20 @@
 {
     std::vector<GapRound> rounds;
     Verification verification;
-    // Why the rounds ended early.
+    // Why the measurement ended early; empty if it didn't.
     std::string problem;
 };
 
-// Causes failures of the group's primary, one after another, while writing all the time. Each round
-// ends once the old primary is back and the group is whole again.
+// Injects faults into the group's primary, one after another, under a continuous write load. A new
+// round begins once the old primary is back and the group is healthy.
 GapResult measureGaps(const GapPlan &plan);
 
 std::optional<PrimaryFault> primaryFaultFromName(const std::string &name);
 
-// Rounds, median, 99th percentile and maximum, and what the check of the table found.
+// Returns the number of rounds, the quantiles of the gaps and the result of the verification as
+// text.
 std::string gapSummary(const GapResult &result);
+// Returns the result as a JSON document.
 std::string gapReport(const GapPlan &plan, const GapResult &result);
 
 } // namespace kelptally::bench
--- a/src/bench/loadoverhead.cpp
+++ b/src/bench/loadoverhead.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr auto readDeadline = std::chrono::seconds(5);
-// The process gives back or takes what it needs before its memory is read.
+// Delay before the memory is read, so that deferred allocations and frees are included.
 constexpr auto settleTime = std::chrono::seconds(2);
 
-// Asks through an entry, one request at a time.
+// A connection to an entry with blocking, sequential requests.
 class EntryConnection
 {
 public:
--- a/src/bench/loadoverhead.h
+++ b/src/bench/loadoverhead.h
@@ -9,7 +9,7 @@
 
 namespace kelptally::bench {
 
-// One statement, sent one at a time, by two ways: straight to a server and through an entry.
+// A statement that is sent sequentially over two paths: directly to a server and through an entry.
 struct OverheadPlan
 {
     std::string entry;
@@ -17,7 +17,7 @@
     std::string group;
     std::string kind;
     std::string sql = "SELECT 1";
-    // "ip:port" of the server, as in libpq's host and port.
+    // "ip:port" of the server.
     std::string server;
     int rounds = 5000;
 };
@@ -30,11 +30,11 @@
     Duration entryP99 {0};
 };
 
-// Asks in turns, so that a noise of the machine falls on both ways.
+// Alternates between the two paths, so that disturbances of the machine affect both alike.
 absl::StatusOr<Overhead> measureOverhead(const OverheadPlan &plan);
 
-// Memory that an idle connection costs a process: opens connections to the entry's caller port,
-// sends one request on each and leaves them open. Bytes for each.
+// Returns the resident memory in bytes that an idle connection costs the entry process. Opens
+// connections to the caller port, sends a request on each and leaves them open.
 absl::StatusOr<double> measureIdleMemory(const OverheadPlan &plan, int processId, int connections);
 
 } // namespace kelptally::bench
--- a/src/bench/loadplan.cpp
+++ b/src/bench/loadplan.cpp
@@ -36,7 +36,7 @@
     plan.seed = reader.number("seed", seedRange, plan.seed);
 }
 
-// Parameters are separated by '|', since SQL values often hold commas.
+// Parameters are separated by '|', since SQL values often contain commas.
 std::vector<std::string> readParameters(SectionReader &reader)
 {
     std::vector<std::string> parameters;
--- a/src/bench/loadplan.h
+++ b/src/bench/loadplan.h
@@ -9,21 +9,21 @@
 
 namespace kelptally::bench {
 
-// What an answer is held against.
+// How an answer is checked.
 enum class LoadCheck {
     None,
-    // The read names {last}, the session's newest acknowledged write: at least one row must come.
+    // The read selects {last}, the session's newest acknowledged write, and must return a row.
     OwnWrite,
-    // The write stores {counter}, which goes up by one with each write.
+    // The write stores {counter}, which increases by one with each write.
     CounterWrite,
-    // The read returns the counter: it may miss no write that was acknowledged longer ago than the
-    // stated age.
+    // The read returns the counter and must include every write that was acknowledged longer ago
+    // than the stated age.
     CounterRead,
 };
 
-// One kind of statement of the mix. In its parameters {id} stands for an id that is used once,
-// {run} for the run's name, {last} for the id of the session's newest acknowledged write, {counter}
-// for the next number of the counter and {random} for a number below 1000.
+// A statement of the mix. Placeholders in the parameters: {id} is a unique id, {run} the name of
+// the run, {last} the id of the session's newest acknowledged write, {counter} the next value of
+// the counter and {random} a random number below 1000.
 struct LoadStatement
 {
     std::string name;
@@ -34,34 +34,34 @@
     std::vector<std::string> parameters;
     std::optional<Duration> statedAge;
     std::optional<Duration> deadline;
-    // Sent with an idempotency key, and sent again with it until the outcome is known.
+    // Whether it has an idempotency key and is retried until its outcome is known.
     bool keyed = false;
     LoadCheck check = LoadCheck::None;
 };
 
-// A load: what is sent, how often, by how many connections, to which entries.
+// Configuration of a load: targets, request rate, connections and statements.
 struct LoadPlan
 {
     // "ip:port" of each entry's caller port.
     std::vector<std::string> entries;
     std::string callerKey;
-    // Requests a second, all workers together.
+    // Requests per second of all workers together.
     int rate = 1000;
     Duration duration {std::chrono::seconds(10)};
-    // Of all workers together, spread over the entries.
+    // Connections of all workers together, spread over the entries.
     int connections = 64;
     int workers = 2;
-    // Sessions of all workers together; more are opened when all have a request under way.
+    // Sessions of all workers together. More are opened if all have a request in flight.
     int sessions = 200;
-    // A request that has no definite answer this long after its intended time counts as lost.
+    // A request isn't retried any more this long after its intended time.
     Duration requestTimeout {std::chrono::seconds(30)};
-    // Seed of the arrivals and of the choice of statements.
+    // Seed of the arrival times and of the choice of statements.
     int seed = 1;
     std::vector<LoadStatement> mix;
 };
 
-// Reads [load] and [statement NAME] sections; docs/LOAD.md lists the keys. Use the result only
-// without findings.
+// Parses the [load] and [statement NAME] sections; docs/LOAD.md lists the keys. The result is valid
+// only if there are no findings.
 LoadPlan parseLoadPlan(const std::string &file, const std::string &text,
                        settings::Findings &findings);
 
--- a/src/bench/loadplot.cpp
+++ b/src/bench/loadplot.cpp
@@ -29,7 +29,7 @@
     std::vector<Point> points;
 };
 
-// One plot: x as given in 0..1, milliseconds on a logarithmic axis of whole decades.
+// Line plot with x from 0 to 1 and milliseconds on a logarithmic y axis of whole decades.
 class Plot
 {
 public:
@@ -106,7 +106,7 @@
     double highDecade_ = 1;
 };
 
-// Quantiles are spaced by the logarithm of what lies above them: 0, 0.9, 0.99, ...
+// Decades of the quantile axis, which is logarithmic in 1 - quantile: 0, 0.9, 0.99, ...
 constexpr double quantileDecades = 4;
 
 Series quantileSeries(const std::string &name, std::vector<std::uint32_t> &latency)
@@ -143,7 +143,7 @@
         byQuantile.push_back(quantileSeries(statement.name, statement.latencyMicroseconds));
     const std::vector<Series> overTime = {timeSeries("median", result.seconds, 0.5),
                                           timeSeries("99%", result.seconds, 0.99),
-                                          timeSeries("greatest", result.seconds, 1)};
+                                          timeSeries("maximum", result.seconds, 1)};
     const std::vector<std::pair<double, std::string>> quantileTicks = {
         {0, "0"}, {0.25, "90%"}, {0.5, "99%"}, {0.75, "99.9%"}, {1, "99.99%"}};
     const std::string end = absl::StrFormat("%d s", result.seconds.size());
--- a/src/bench/loadprocess.cpp
+++ b/src/bench/loadprocess.cpp
@@ -19,7 +19,7 @@
 
 absl::Status processNotFound(int processId)
 {
-    return absl::NotFoundError(absl::StrCat("no process ", processId));
+    return absl::NotFoundError(absl::StrCat("no such process: ", processId));
 }
 
 } // namespace
@@ -29,7 +29,8 @@
     Duration sum {0};
     for (const int processId : processIds) {
         const std::string text = readProcFile(processId, "stat");
-        // The name in brackets may hold blanks; field 3 follows it, utime and stime are 14 and 15.
+        // The process name in parentheses may contain blanks, so the fields are counted from the
+        // last ')': the next is field 3, utime and stime are fields 14 and 15.
         const std::size_t nameEnd = text.rfind(')');
         if (nameEnd == std::string::npos)
             return processNotFound(processId);
--- a/src/bench/loadprocess.h
+++ b/src/bench/loadprocess.h
@@ -10,10 +10,11 @@
 
 namespace kelptally::bench {
 
-// Processor time of the processes so far, user and system, from /proc/PID/stat (proc(5)).
+// Returns the user and system CPU time of the processes since their start, from /proc/PID/stat
+// (proc(5)). NotFound if a process doesn't exist.
 absl::StatusOr<Duration> processorTime(const std::vector<int> &processIds);
 
-// Resident anonymous memory in bytes, from RssAnon of /proc/PID/status.
+// Returns the resident anonymous memory in bytes, from RssAnon of /proc/PID/status.
 absl::StatusOr<std::int64_t> residentMemory(int processId);
 
 } // namespace kelptally::bench
--- a/src/bench/loadreport.h
+++ b/src/bench/loadreport.h
@@ -7,13 +7,15 @@
 
 namespace kelptally::bench {
 
-// The result as one JSON document. Sorts the latencies.
+// Returns the result as a JSON document. Sorts the latencies.
 std::string loadReport(const LoadPlan &plan, LoadResult &result);
 
-// The result as one line for each statement of the mix and each reason, for a terminal.
+// Returns the result as text, with a line for each statement of the mix and each refusal reason.
+// Sorts the latencies.
 std::string loadSummary(const LoadPlan &plan, LoadResult &result);
 
-// Two plots as one SVG document: latency by quantile for each statement, and over time.
+// Returns an SVG document with two plots: latency by quantile for each statement, and latency over
+// time. Sorts the latencies.
 std::string loadPlot(LoadResult &result);
 
 } // namespace kelptally::bench
--- a/src/bench/loadresult.h
+++ b/src/bench/loadresult.h
@@ -10,12 +10,12 @@
 
 namespace kelptally::bench {
 
-// What came of one request, when nothing more will be done for it.
+// Final outcome of a request, after its retries.
 struct LoadOutcome
 {
     // Index in the mix.
     std::size_t statement = 0;
-    // Set for statements that use {id}.
+    // Value of {id}.
     std::string id;
     Instant intended;
     Instant answered;
@@ -23,11 +23,10 @@
     bool fromReplica = false;
     std::string reason;
     Executed executed = Executed::Unknown;
-    // Times it was sent again.
     int retries = 0;
 };
 
-// Answers of one reason.
+// Unsuccessful answers of one reason, by whether the statement was executed.
 struct ReasonCount
 {
     std::uint64_t executedNo = 0;
@@ -35,7 +34,8 @@
     std::uint64_t executedUnknown = 0;
 };
 
-// Every latency of one statement of the mix, from the intended time of sending, and its counts.
+// Results of a statement of the mix. Latencies of successful requests count from the intended time
+// of sending, so that a stalled server can't hide the delay of later requests.
 struct StatementResult
 {
     std::string name;
@@ -45,38 +45,38 @@
     std::map<std::string, ReasonCount> refusals;
 };
 
-// One second of the run, by the intended times.
+// Requests whose intended time lies in one second of the run.
 struct LoadSecond
 {
     std::vector<std::uint32_t> latencyMicroseconds;
     std::uint64_t refused = 0;
 };
 
-// Answers that contradict a promise.
+// Answers that break a consistency guarantee.
 struct LoadViolations
 {
-    // A read did not find its session's acknowledged write.
+    // Reads that missed an acknowledged write of their session.
     std::uint64_t ownWriteMissed = 0;
-    // A read missed a write that was acknowledged longer ago than its stated age.
+    // Reads that missed a write acknowledged longer ago than their stated age.
     std::uint64_t tooStale = 0;
 };
 
-// All that one worker, or all together, saw.
+// Results of one worker, or merged results of several.
 struct LoadResult
 {
     std::vector<StatementResult> statements;
     std::vector<LoadSecond> seconds;
     LoadViolations violations;
-    // Answers that were held against a promise.
+    // Answers that were checked for violations.
     std::uint64_t checked = 0;
-    // Requests that had no definite answer when the run gave up.
+    // Requests that were still in flight when the run ended.
     std::uint64_t unfinished = 0;
 
     void add(const LoadOutcome &outcome, Instant start);
     void merge(const LoadResult &other);
 };
 
-// Quantile of values, which are sorted by it; 0 when there are none.
+// Returns a quantile by the nearest-rank method, 0 for no values. Sorts the values.
 std::uint32_t quantile(std::vector<std::uint32_t> &values, double fraction);
 
 } // namespace kelptally::bench
--- a/src/bench/loadrun.cpp
+++ b/src/bench/loadrun.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr auto pollInterval = std::chrono::milliseconds(10);
-// Time to open threads before the first request is due.
+// Time to start the threads before the first request is due.
 constexpr auto startDelay = std::chrono::milliseconds(50);
 
 } // namespace
--- a/src/bench/loadrun.h
+++ b/src/bench/loadrun.h
@@ -8,17 +8,18 @@
 
 namespace kelptally::bench {
 
-// A name that no earlier run had.
+// Returns a name for a run, unique by the time of day.
 std::string newRunName();
 
-// All workers of a load. The observer is called on their threads.
+// Runs the workers of a load. The observer is called on the workers' threads.
 class LoadRun
 {
 public:
     LoadRun(const LoadPlan &plan, std::string run, const LoadWorker::Observer &observer);
 
     void start();
-    // Ends sending and waits for what is under way, up to the plan's giveUp.
+    // Stops sending, waits up to the plan's requestTimeout for requests in flight and returns the
+    // merged results.
     LoadResult finish();
 
 private:
--- a/src/bench/loadverify.cpp
+++ b/src/bench/loadverify.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Rows of one answer; an answer stays far below the limits of a statement's result.
+// Rows per query, below the size limit of a statement's result.
 constexpr int pageSize = 2000;
 constexpr int maxAttempts = 200;
 constexpr auto retryDelay = std::chrono::milliseconds(100);
@@ -18,7 +18,7 @@
 
 using RowCounts = std::map<std::string, int>;
 
-// One request and its answer, tried again while it is refused.
+// Sends a request and returns the first successful answer, trying the entries in turn.
 absl::StatusOr<CallerAnswer> queryWithRetries(const LoadPlan &plan, const std::string &body)
 {
     CallerAnswer last;
@@ -35,7 +35,7 @@
             return last;
         std::this_thread::sleep_for(retryDelay);
     }
-    return absl::UnavailableError("the table cannot be read: " + last.reason);
+    return absl::UnavailableError("cannot read the table: " + last.reason);
 }
 
 absl::StatusOr<RowCounts> readTable(const LoadPlan &plan, const std::string &group,
--- a/src/bench/loadverify.h
+++ b/src/bench/loadverify.h
@@ -11,31 +11,32 @@
 
 namespace kelptally::bench {
 
-// What the table holds, against what was answered.
+// Result of comparing the rows of the table with the answers to the writes.
 struct Verification
 {
     std::uint64_t acknowledged = 0;
-    // Acknowledged, but not there.
+    // Acknowledged writes that are not in the table.
     std::uint64_t lost = 0;
-    // There more than once.
+    // Ids that are in the table more than once.
     std::uint64_t doubled = 0;
-    // Answered with "executed: no", but there.
+    // Writes answered with "executed: no" that are in the table.
     std::uint64_t ranDespiteNo = 0;
-    // Outcome unknown to the end, there or not.
+    // Writes without a definite outcome, whether or not they are in the table.
     std::uint64_t unknown = 0;
-    // Why the table could not be read.
+    // Not OK if the table could not be read; then the counts are zero.
     absl::Status status;
 
     bool good() const { return status.ok() && lost + doubled + ranDespiteNo == 0; }
 };
 
-// Collects the outcomes of writes of {id} into load_writes(id, run) and holds them against the
+// Collects the outcomes of writes of {id} into load_writes(id, run) and compares them with the
 // table. Thread-safe.
 class WriteLedger
 {
 public:
     void add(const LoadOutcome &outcome);
-    // Reads the run's rows through the first entry, by a kind that asks for the newest data.
+    // Reads the run's rows through the entries and compares them with the outcomes. readKind must
+    // be a request kind that reads the newest data.
     Verification verify(const LoadPlan &plan, const std::string &group, const std::string &readKind,
                         const std::string &run) const;
 
--- a/src/bench/loadworker.cpp
+++ b/src/bench/loadworker.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A refusal that names no time is tried again after this; chosen, not measured.
+// Minimum delay before a retry.
 constexpr Duration defaultRetryDelay = std::chrono::milliseconds(20);
 constexpr int randomBound = 1000;
 
@@ -25,7 +25,8 @@
     return ++lastNumber_;
 }
 
-// Entries keep rising numbers only: a lower number that is acknowledged later tells nothing new.
+// Keeps entries in ascending order of both time and number, for the binary search. A lower number
+// that is acknowledged later doesn't change the maximum.
 void CounterLedger::acknowledge(std::uint64_t number, Instant when)
 {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -86,7 +87,7 @@
     return result_;
 }
 
-// The intended times are drawn ahead of the answers: a slow answer delays no other request.
+// Arrival times don't depend on answers, so a slow answer doesn't delay other requests.
 void LoadWorker::sendDueRequests()
 {
     while (!sendingDone_ && nextArrival_ <= thread_.timers().now()) {
@@ -114,7 +115,7 @@
     return sessions_.back().get();
 }
 
-// A session has one request under way at a time.
+// Returns a session without a request in flight. Each session has at most one at a time.
 LoadWorker::Session *LoadWorker::acquireSession()
 {
     if (freeSessions_.empty())
@@ -178,7 +179,8 @@
         finish(*pending, answer);
 }
 
-// A keyed statement is sent again, with the same key, until its outcome is known.
+// Retries a keyed statement with the same key if its outcome is unknown or the refusal is
+// retryable. Returns whether a retry was scheduled.
 bool LoadWorker::retry(const PendingPtr &pending, const CallerAnswer &answer)
 {
     const bool needsRetry =
@@ -226,7 +228,7 @@
         const std::uint64_t stored = std::strtoull(value.value_or("0").c_str(), nullptr, 10);
         const Duration age = statement.statedAge.value_or(Duration(0));
         const std::uint64_t acknowledged = counter_.acknowledgedBy(pending.outcome.answered - age);
-        // With no stated age, writes under way during the read don't count.
+        // Without a stated age, only writes acknowledged before the read was due are required.
         const std::uint64_t expected = statement.statedAge
             ? acknowledged
             : std::min(acknowledged, counter_.acknowledgedBy(pending.outcome.intended));
--- a/src/bench/loadworker.h
+++ b/src/bench/loadworker.h
@@ -16,13 +16,14 @@
 
 namespace kelptally::bench {
 
-// When each number of the counter was acknowledged, shared by the workers of a run.
+// Issues the values of the counter and records when they are acknowledged. Shared by the workers of
+// a run; thread-safe.
 class CounterLedger
 {
 public:
     std::uint64_t next();
     void acknowledge(std::uint64_t number, Instant when);
-    // Newest number that was acknowledged at or before the instant; 0 when there is none.
+    // Returns the highest number acknowledged at or before the instant, 0 if there is none.
     std::uint64_t acknowledgedBy(Instant when) const;
 
 private:
@@ -36,23 +37,23 @@
     std::vector<Entry> entries_;
 };
 
-// Sends its share of a load at the planned times, whether or not answers come (an open loop), on a
-// thread of its own.
+// Open-loop load generator: sends its share of the load at the planned times, independently of the
+// answers, on a thread of its own.
 class LoadWorker
 {
 public:
     using Observer = std::function<void(const LoadOutcome &)>;
 
-    // Ids begin with the run's name. The observer is called on the worker's thread.
+    // The observer, if any, is called with each final outcome on the worker's thread.
     LoadWorker(const LoadPlan &plan, int index, std::string run, CounterLedger &counter,
                Observer observer);
     ~LoadWorker();
 
     void start(Instant at);
-    // No more requests are begun; those under way go on.
+    // Starts no more requests. Requests in flight, and their retries, continue.
     void stopSending();
     bool idle() const { return inFlight_ == 0 && sendingDone_; }
-    // Ends the thread. What is still open counts as unfinished.
+    // Stops the thread. Requests still in flight count as unfinished.
     LoadResult stop();
 
 private:
--- a/src/bench/measure.h
+++ b/src/bench/measure.h
@@ -7,9 +7,10 @@
 #include <cstddef>
 #include <ctime>
 
-// Processor time and memory of pieces of this process.
+// CPU time and memory of code in this process.
 namespace kelptally::bench {
 
+// Returns the CPU time of the calling thread.
 inline Duration threadProcessorTime()
 {
     timespec time {};
@@ -17,7 +18,7 @@
     return std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
 }
 
-// Mean processor time of one call.
+// Returns the mean CPU time per call.
 template <typename Function>
 Duration meanCallTime(int calls, Function function)
 {
@@ -27,7 +28,7 @@
     return (threadProcessorTime() - before) / calls;
 }
 
-// Bytes that are allocated at the moment.
+// Returns the number of bytes currently allocated with malloc().
 inline std::size_t allocatedBytes()
 {
     const auto info = mallinfo2();
--- a/src/bench/quantile.h
+++ b/src/bench/quantile.h
@@ -7,7 +7,7 @@
 
 namespace kelptally::bench {
 
-// The value that so many percent of the values do not exceed; zero for none.
+// Returns the given percentile, zero for no values.
 inline Duration quantile(std::vector<Duration> values, int percent)
 {
     if (values.empty())
--- a/src/bench/replay.cpp
+++ b/src/bench/replay.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-// Time for the processes to settle before the trace begins, and for answers after its end.
+// Time for the processes to start before the trace, and for answers after its end.
 constexpr Duration settleTime = 5s;
 constexpr Duration drainTime = 15s;
-// Time until a changed configuration has reached every proxy (docs/design/configuration.md has the
-// measured figure; this is above it).
+// Upper bound on the time until a configuration change has reached every proxy
+// (docs/design/configuration.md).
 constexpr Duration configurationDelay = 500ms;
-// The perfectly informed router may wait for a replica as long as the real one does.
+// How long the oracle router may wait for a replica to catch up; the same as the real router.
 constexpr Duration oracleWait = 30ms;
 constexpr Duration oraclePollInterval = 1ms;
 
-// Runs one trace: sends its requests, causes its faults and hands the answers to the checker.
+// Replays a trace: sends its requests, injects its faults and passes the answers to the checker.
 class Replay
 {
 public:
@@ -90,7 +90,8 @@
             model_.checker.onAnswer(request, answer, model_.timers.now());
     }
 
-    // The balancer sends a caller whose host is down or stopping to the next one.
+    // Returns the host that the load balancer picks: the requested one, or the next that accepts
+    // callers.
     std::optional<HostName> entryFor(const TraceRequest &request) const
     {
         const auto &hosts = model_.trace.hosts;
@@ -105,8 +106,8 @@
         return std::nullopt;
     }
 
-    // A router that knows the true state of all servers could send the read to a replica if one
-    // has the data now, or within the time that the real one may wait.
+    // Counts the read if a router that knows the true state of all servers could send it to a
+    // replica: one has the required data now, or by the end of the allowed wait.
     void tryOracleRouter(const TraceRequest &request, Instant until)
     {
         const Instant now = model_.timers.now();
@@ -135,7 +136,7 @@
             return false;
         if (model_.isLeaving(server.what().name))
             return false;
-        // The way there and back and the statement's own time age the data.
+        // The data ages during the round trip and the execution of the statement.
         const Duration way = 2 * model_.trace.zoneDelay + 2 * model_.trace.clientDelay;
         const Instant committedBy = now + way + request.cost - *request.statedAge;
         return !model_.checker.missesOwn(request, server.applied())
@@ -200,7 +201,7 @@
         }
     }
 
-    // Requests without any answer count as unknown; then the logs are judged.
+    // Counts requests without an answer as unknown, then checks the logs.
     void finish()
     {
         for (const TraceEvent &event : model_.trace.events) {
--- a/src/bench/replay.h
+++ b/src/bench/replay.h
@@ -12,16 +12,16 @@
 
 struct ReplayOptions
 {
-    // How often a caller sends a request again that was refused as not run, and after what pause;
-    // nothing: as long as the answer asked it to wait.
+    // How often a caller retries a request that was refused as not run.
     int callerRetries = 0;
+    // Delay before a retry; by default the retryAfter of the answer.
     std::optional<Duration> callerRetryDelay;
-    // Slots of a primary that browsing may hold at a time, 0 for all; nothing: as the owner has it.
+    // Maximum slots of a primary for browse reads, 0 for no limit; by default the owner's setting.
     std::optional<int> primaryBrowseSlots;
 };
 
-// Replays a trace under a policy ("kelptally", "primary-only" or "round-robin") and judges every
-// answer. InvalidArgument when there is no such policy.
+// Replays a trace in the model under a policy ("kelptally", "primary-only" or "round-robin") and
+// checks every answer. InvalidArgument if the policy doesn't exist.
 absl::StatusOr<Figures> replay(const Trace &trace, const std::string &policy,
                                const ReplayOptions &options = {});
 
--- a/src/bench/replaycommand.cpp
+++ b/src/bench/replaycommand.cpp
@@ -56,7 +56,7 @@
     }
 }
 
-// Reads of all traces of a site together.
+// Sums over all traces of a site.
 struct SiteReads
 {
     int byReplica = 0;
@@ -68,6 +68,8 @@
     return sites[trace.name.substr(0, trace.name.find('-'))];
 }
 
+// Prints, for each site, the share of the eligible reads that replicas answered. Returns whether
+// all shares reach 98 percent.
 bool checkReplicaShares(const std::map<std::string, SiteReads> &sites)
 {
     bool sufficient = true;
@@ -157,27 +159,28 @@
 
 int runReplay(int argc, char **argv)
 {
-    TCLAP::CmdLine line("Replays traces through the decisions on a manual clock and checks every "
-                        "outcome. Exit code 1 when kelptally broke a promise, missed a stated "
-                        "outcome or sent fewer than 98% of the reads to replicas that could go "
-                        "there.");
-    TCLAP::ValueArg<std::string> file("t", "trace", "a trace file (default: the shipped traces)",
+    TCLAP::CmdLine line(
+        "Replays traces in a model on a manual clock and checks every outcome. Exit "
+        "code 1 if kelptally violated a guarantee, missed an expected outcome or "
+        "sent fewer than 98% of the eligible reads to replicas.");
+    TCLAP::ValueArg<std::string> file("t", "trace", "trace file (default: the shipped traces)",
                                       false, "", "FILE", line);
-    TCLAP::ValueArg<std::string> only("", "only", "only shipped traces whose name holds this",
+    TCLAP::ValueArg<std::string> only("", "only", "only shipped traces whose name contains this",
                                       false, "", "TEXT", line);
     TCLAP::ValueArg<std::string> policy("p", "policy", "kelptally, primary-only or round-robin",
                                         false, "kelptally", "NAME", line);
-    TCLAP::SwitchArg table("", "table", "all three policies side by side", line);
-    TCLAP::SwitchArg details("d", "details", "violations and refusals by kind", line);
-    TCLAP::SwitchArg live("", "live", "against running processes instead of the model", line);
+    TCLAP::SwitchArg table("", "table", "compare all three policies", line);
+    TCLAP::SwitchArg details("d", "details", "print violations and refusals by kind", line);
+    TCLAP::SwitchArg live("", "live", "replay against running processes instead of the model",
+                          line);
     TCLAP::MultiArg<std::string> entries("", "entry", "with --live: caller port of an entry", false,
                                          "IP:PORT", line);
-    TCLAP::ValueArg<std::string> key("", "key", "with --live: the callers' key", false, "demo-key",
-                                     "KEY", line);
+    TCLAP::ValueArg<std::string> key("", "key", "with --live: caller key", false, "demo-key", "KEY",
+                                     line);
     TCLAP::ValueArg<std::string> standin("", "standin", "with --live: control port of the stand-in",
                                          false, "", "IP:PORT", line);
-    TCLAP::ValueArg<int> timeFactor("", "slower", "with --live: stretch the trace's times so often",
-                                    false, 1, "N", line);
+    TCLAP::ValueArg<int> timeFactor(
+        "", "slower", "with --live: factor that stretches the trace's times", false, 1, "N", line);
     line.parse(argc, argv);
 
     std::vector<Trace> traces = selectTraces(only.getValue());
@@ -210,7 +213,7 @@
 int runTraces(int argc, char **argv)
 {
     TCLAP::CmdLine line("Writes the shipped traces as text files; docs/TRACES.md describes them.");
-    TCLAP::ValueArg<std::string> out("o", "out", "directory that exists", true, "", "DIR", line);
+    TCLAP::ValueArg<std::string> out("o", "out", "existing directory", true, "", "DIR", line);
     line.parse(argc, argv);
     for (const Trace &trace : shippedTraces()) {
         const std::string file = out.getValue() + "/" + trace.name + ".trace";
--- a/src/bench/shippedtraces.cpp
+++ b/src/bench/shippedtraces.cpp
@@ -3,8 +3,7 @@
 #include <algorithm>
 #include <random>
 
-// The shipped traces, drawn from fixed seeds: the rates and mixes are assumptions about the two
-// sites' days, the sizes and delays those that the sites have given.
+// Generates the shipped traces from fixed seeds.
 namespace kelptally::bench {
 
 using namespace std::chrono_literals;
@@ -14,10 +13,10 @@
 
 constexpr int hostCount = 6;
 constexpr int sessionCount = 200;
-// Until a replica's readers see a record that it holds; an assumption.
+// Delay until a record received by a replica is visible to reads.
 constexpr Duration replicationDelay = 10ms;
 
-// What callers of one site do.
+// Topology and workload of a site.
 struct Site
 {
     std::string name;
@@ -25,13 +24,11 @@
     std::vector<GroupName> groups;
     Duration zoneDelay;
     Duration clientDelay;
-    // Arrivals in one second.
     int requestsPerSecond = 0;
-    // Of a hundred requests.
     int writePercent = 0;
     int newestReadPercent = 0;
     std::vector<Duration> statedAges;
-    // Between the names of a group and of its servers.
+    // Separates the group's name from the letter in a server's name.
     std::string separator;
 };
 
@@ -92,8 +89,8 @@
         trace_.events.push_back(std::move(event));
     }
 
-    // Requests from one instant to another, at the site's rate times a percentage. Those expected
-    // otherwise than done lie in a disturbed stretch.
+    // Adds requests in a time range, at a percentage of the site's rate. Use an expected outcome
+    // other than Done where faults may cause refusals or losses.
     void requests(Duration from, Duration to, int percent = 100,
                   ExpectedOutcome expect = ExpectedOutcome::Done)
     {
@@ -110,7 +107,8 @@
         }
     }
 
-    // Sessions stay with one host unless they move.
+    // Whether each request of a session may go to another host. By default a session keeps its
+    // host.
     void setSessionsMove(bool sessionsMove) { sessionsMove_ = sessionsMove; }
 
     Trace take()
@@ -126,7 +124,7 @@
         return static_cast<std::int64_t>(random_() % std::max<std::uint64_t>(bound, 1));
     }
 
-    // Soon after a write its session reads, at whatever host it is sent to.
+    // Adds a read by the same session shortly after a write, to test read-your-writes.
     void addReadOfOwnWrite(Duration writtenAt, const TraceRequest &write)
     {
         TraceEvent event;
@@ -148,7 +146,7 @@
         request.session = static_cast<SessionId>(randomBelow(sessionCount));
         request.entry = hostName(sessionsMove_ ? static_cast<int>(randomBelow(hostCount))
                                                : static_cast<int>(request.session) % hostCount);
-        // A session keeps to one group, as a caseworker to a municipality.
+        // A session uses one group only.
         request.group = site_.groups[request.session % site_.groups.size()];
         request.team = request.session % 4 == 0 ? "batch" : "web";
         request.expect = expect;
@@ -188,8 +186,7 @@
 
 Trace normalLoad(const Site &site)
 {
-    // The agency: a billing run comes on top, whole municipalities at once. Lagon: offers and
-    // deposits while browsing dominates.
+    // A burst of requests between two phases of half the normal rate.
     Generator generator(site, site.name == "agency" ? "billing-burst" : "browsing", 11);
     generator.requests(0s, 10s, 50);
     generator.requests(10s, 20s, site.name == "agency" ? 160 : 120);
@@ -213,7 +210,8 @@
 {
     Generator generator(site, "partition", 13);
     generator.requests(0s, 5900ms, 50);
-    // Hosts in the lost zone can't reach the others' groups; their callers get no promise.
+    // Hosts in the partitioned zone can't reach the groups of other zones, so any outcome is
+    // allowed.
     generator.requests(5900ms, 20s, 50, ExpectedOutcome::Any);
     generator.requests(20s, 30s, 50);
     generator.fault(6s, FaultKind::CutZone, site.zones[0]);
@@ -262,7 +260,7 @@
 {
     Generator generator(site, "host-crash", 17);
     generator.requests(0s, 7s, 60);
-    // Callers of the dead host get no answer, and others wait for the lease to end.
+    // Callers of the crashed hosts get no answer, and others wait until the leases expire.
     generator.requests(7s, 12s, 60, ExpectedOutcome::Any);
     generator.requests(12s, 20s, 60);
     generator.fault(8s, FaultKind::CrashHost, Generator::hostName(0));
--- a/src/bench/trace.cpp
+++ b/src/bench/trace.cpp
@@ -43,7 +43,7 @@
 constexpr std::array<absl::string_view, 3> expectedOutcomeNames = {"done", "done-or-refused",
                                                                    "any"};
 
-// "KEY=VALUE" fields of one line; each must be asked for.
+// The "KEY=VALUE" fields of a line. take() removes a field, so that unknown ones remain at the end.
 class Fields
 {
 public:
@@ -79,7 +79,7 @@
     std::map<absl::string_view, absl::string_view> values_;
 };
 
-// Whole microseconds, such as "1500us"; "ms" and "s" are taken too.
+// Parses a non-negative whole number with a unit: "us", "ms" or "s".
 std::optional<Duration> parseTime(absl::string_view text)
 {
     const std::pair<absl::string_view, Duration> units[] = {{"us", 1us}, {"ms", 1ms}, {"s", 1s}};
@@ -262,7 +262,7 @@
             return absl::InvalidArgumentError(absl::StrCat("line ", number, ": ", line));
     }
     if (trace.hosts.empty() || trace.servers.empty())
-        return absl::InvalidArgumentError("the trace names no host or no server");
+        return absl::InvalidArgumentError("a trace requires at least one host and one server");
     return trace;
 }
 
--- a/src/bench/trace.h
+++ b/src/bench/trace.h
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-// Traces: what callers asked, what failed, and which outcomes are right. docs/TRACES.md describes
+// Traces: sequences of requests and faults, with the expected outcomes. docs/TRACES.md describes
 // the text format.
 namespace kelptally::bench {
 
@@ -33,7 +33,7 @@
     int slots = 3;
 };
 
-// Which final answers are right for a request, whatever the policy.
+// Final answers that are correct for a request under any policy.
 enum class ExpectedOutcome {
     Done,
     // Done, or refused as not run.
@@ -50,12 +50,13 @@
     GroupName group;
     TeamName team;
     settings::RequestClass requestClass = settings::RequestClass::Browse;
-    // Reads: nothing stands for the newest data.
+    // Reads: maximum age of the data; the newest data if not set.
     std::optional<Duration> statedAge;
     Duration deadline {0};
-    // Time that the statement holds a slot.
+    // Time that the statement occupies a slot.
     Duration cost {0};
-    // Writes: whether they may run twice. One that may not has an idempotency key.
+    // Writes: whether executing twice is harmless. A write that isn't repeatable has an idempotency
+    // key.
     bool repeatable = true;
     ExpectedOutcome expect = ExpectedOutcome::Done;
 };
@@ -63,21 +64,21 @@
 enum class FaultKind {
     KillServer,
     StartServer,
-    // Statements there stand still until HealServer.
+    // Statements on the server make no progress until HealServer.
     HangServer,
     HealServer,
-    // Statements there take so many times as long; 1 ends it.
+    // Multiplies the duration of the server's statements by a factor; 1 restores normal speed.
     SlowServer,
-    // Replication to the server is behind by this time from now on.
+    // Sets the replication lag of the server.
     LagServer,
-    // Operators mark the server as leaving.
+    // Marks the server as leaving in the configuration.
     LeaveServer,
-    // No messages between the zone and the others until HealZone.
+    // Partitions the zone from the others until HealZone.
     CutZone,
     HealZone,
     StopStore,
     StartStore,
-    // Planned stop, crash and start of the proxies of one host.
+    // Graceful stop, crash and start of the proxies of a host.
     StopHost,
     CrashHost,
     StartHost,
@@ -86,12 +87,13 @@
 struct TraceFault
 {
     FaultKind kind = FaultKind::KillServer;
+    // Name of the server, zone or host; empty for the store.
     std::string target;
     Duration time {0};
     int factor = 1;
 };
 
-// One line: a request or a fault.
+// A request or a fault; exactly one of them is set.
 struct TraceEvent
 {
     Duration at {0};
@@ -102,23 +104,25 @@
 struct Trace
 {
     std::string name;
-    // One way between availability zones, and between an entry and its callers.
+    // One-way network delay between availability zones, and between an entry and its callers.
     Duration zoneDelay {0};
     Duration clientDelay {0};
-    // Usual time until a replica has applied a record, the way not counted.
+    // Typical time until a replica has applied a record, without the network delay.
     Duration replicationDelay {0};
     std::vector<TraceHost> hosts;
     std::vector<TraceServer> servers;
     std::vector<TraceEvent> events;
 
+    // Returns the names of the servers' groups, sorted and without duplicates.
     std::vector<GroupName> groups() const;
 };
 
-// InvalidArgument names the line.
+// Parses the text format. InvalidArgument, with the line, if the text is invalid.
 absl::StatusOr<Trace> parseTrace(std::string_view text);
+// Returns the text format of a trace; the inverse of parseTrace().
 std::string formatTrace(const Trace &trace);
 
-// The shipped traces: both sites' days, the same on every machine.
+// Returns the traces of both sites. They are generated and identical on every machine.
 std::vector<Trace> shippedTraces();
 
 } // namespace kelptally::bench
--- a/tests/bench/fakeentry.h
+++ b/tests/bench/fakeentry.h
@@ -11,21 +11,21 @@
 
 namespace kelptally::bench {
 
-// What a fake entry does wrong.
+// Fault of a fake entry.
 enum class EntryFault {
     None,
-    // Acknowledges every tenth write without keeping it.
+    // Acknowledges every tenth write without storing it.
     LosesWrites,
-    // Keeps every tenth write twice.
+    // Stores every tenth write twice.
     DoublesWrites,
-    // Refuses every tenth write for good as not run, and keeps it.
+    // Stores every tenth write, but answers that it was not executed and can't be retried.
     StoresRefusedWrites,
-    // Reads find nothing.
+    // Reads don't see any write.
     ReadsMissWrites,
 };
 
-// An entry that keeps writes of {id} in memory and answers by the first word of the statement and
-// the number of its parameters. Each key is refused once, as not run, before it is taken.
+// An entry that stores writes of {id} in memory and recognises the few statements that the tests
+// send. The first request with each idempotency key is refused as not executed, to cause a retry.
 class FakeEntry : public caller::HttpHandler
 {
 public:
@@ -37,7 +37,7 @@
     ~FakeEntry() override { thread_.stop(); }
 
     std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
-    // Holds the first answer back for this time.
+    // Delays the first answer by this time.
     void delayFirstAnswer(Duration time) { firstAnswerDelay_ = time; }
 
     void onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply) override
--- a/tests/bench/load_test.cpp
+++ b/tests/bench/load_test.cpp
@@ -56,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("A plan's mistakes are reported together", "[load]")
+TEST_CASE("All errors of a plan are reported", "[load]")
 {
     settings::Findings findings;
     parseLoadPlan("load.ini",
@@ -66,7 +66,7 @@
     CHECK(findings.all().size() == 5);
 }
 
-TEST_CASE("Quantiles are exact", "[load]")
+TEST_CASE("Quantiles use the nearest rank", "[load]")
 {
     std::vector<std::uint32_t> values;
     for (std::uint32_t i = 100; i > 0; --i)
@@ -78,7 +78,7 @@
     CHECK(quantile(values, 0.5) == 0);
 }
 
-TEST_CASE("The counter tells what was acknowledged by an instant", "[load]")
+TEST_CASE("The counter returns the highest number acknowledged by an instant", "[load]")
 {
     CounterLedger counter;
     const Instant start {1h};
@@ -90,7 +90,7 @@
     CHECK(counter.acknowledgedBy(start + 5s) == 3);
 }
 
-TEST_CASE("Keyed writes are sent again until they are known", "[load]")
+TEST_CASE("Keyed writes are retried until their outcome is known", "[load]")
 {
     FakeEntry entry(EntryFault::None);
     WriteLedger ledger;
@@ -108,7 +108,7 @@
     CHECK(loadPlot(result).find("<polyline") != std::string::npos);
 }
 
-TEST_CASE("The check of the table finds each kind of broken promise", "[load]")
+TEST_CASE("The verification of the table detects each kind of violation", "[load]")
 {
     const EntryFault fault = GENERATE(EntryFault::LosesWrites, EntryFault::DoublesWrites,
                                       EntryFault::StoresRefusedWrites);
@@ -138,7 +138,7 @@
     CHECK((result.violations.ownWriteMissed > 0) == (fault == EntryFault::ReadsMissWrites));
 }
 
-TEST_CASE("A stall shows in every request that was due meanwhile", "[load]")
+TEST_CASE("A stall delays every request that was due during it", "[load]")
 {
     FakeEntry entry(EntryFault::None);
     LoadPlan plan = planFor(entry);
@@ -150,11 +150,11 @@
     const auto &latency = result.statements.at(0).latencyMicroseconds;
     const auto slow = std::count_if(latency.begin(), latency.end(),
                                     [](std::uint32_t us) { return us >= 200'000; });
-    // 500 a second were due in the 200 ms that lie at least 200 ms before the stall's end.
+    // About 100 requests were due in the first 200 ms of the stall of 400 ms.
     CHECK(slow > 50);
 }
 
-TEST_CASE("An entry that cannot be reached is a reason of its own", "[load]")
+TEST_CASE("Requests to an unreachable entry are counted as connection_refused", "[load]")
 {
     FakeEntry entry(EntryFault::None);
     LoadPlan plan = planFor(entry);
@@ -165,7 +165,7 @@
     CHECK(result.statements.at(0).refusals.count("connection_refused") == 1);
 }
 
-TEST_CASE("An entry that is gone is passed over", "[load]")
+TEST_CASE("Requests go to the next entry if one is unreachable", "[load]")
 {
     FakeEntry entry(EntryFault::None);
     LoadPlan plan = planFor(entry);
@@ -176,7 +176,7 @@
     CHECK(result.statements.at(0).refusals.empty());
 }
 
-TEST_CASE("The processor time of a process is read to the tick", "[load]")
+TEST_CASE("The CPU time of a process is accurate to a tick", "[load]")
 {
     const auto usedProcessorTime = [] {
         rusage usage {};
@@ -190,7 +190,7 @@
     const auto read = processorTime({getpid()});
     const Duration after = usedProcessorTime();
     REQUIRE(read.ok());
-    // User and system time are each cut to a tick of 10 ms.
+    // User and system time are each truncated to a tick of 10 ms.
     CHECK(*read >= before - 20ms);
     CHECK(*read <= after + 20ms);
     CHECK_FALSE(processorTime({-1}).ok());
--- a/tests/bench/replay_test.cpp
+++ b/tests/bench/replay_test.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("kelptally keeps its promises through each kind of fault")
+TEST_CASE("kelptally violates no guarantee under each kind of fault")
 {
     for (const std::string name : {"agency-failover", "lagon-rolling-restart",
                                    "agency-store-outage", "lagon-session-moves"}) {
@@ -59,7 +59,7 @@
     }
 }
 
-TEST_CASE("the checker sees what the baselines break")
+TEST_CASE("the checker detects violations of the baseline policies")
 {
     const Figures partition = replayFigures("agency-partition", "primary-only");
     CHECK(partition.violations.lostWrites > 0);
@@ -72,7 +72,7 @@
     CHECK(*std::max_element(failover.gaps.begin(), failover.gaps.end()) > 3s);
 }
 
-TEST_CASE("a replay gives the same figures twice")
+TEST_CASE("a replay is deterministic")
 {
     const Figures first = replayFigures("lagon-host-crash", "kelptally");
     const Figures second = replayFigures("lagon-host-crash", "kelptally");
@@ -81,12 +81,12 @@
     CHECK(first.writeLatency == second.writeLatency);
 }
 
-TEST_CASE("an unknown policy is refused")
+TEST_CASE("an unknown policy is an error")
 {
     CHECK(absl::IsInvalidArgument(replay(shippedTrace("agency-failover"), "best").status()));
 }
 
-TEST_CASE("the checker counts each kind of broken promise")
+TEST_CASE("the checker counts each kind of violation")
 {
     GroupLogs logs;
     Checker checker([&logs](const GroupName &) -> const GroupLogs & { return logs; });
@@ -105,7 +105,7 @@
     checker.onAnswer(requestOf(13, true), {13, Executed::No, Reason::QueueFull, {}, "", false},
                      start + 5ms);
 
-    // A read by the same session that sees nothing of its writes, and an answer of another request.
+    // A read that misses the writes of its own session, answered with another request's id.
     TraceRequest read = requestOf(20, false);
     read.statedAge = 1s;
     checker.onSent(read, start + 10ms);
@@ -114,7 +114,7 @@
     CHECK(checker.figures().violations.mixedAnswers == 1);
     CHECK(checker.figures().violations.statedAge == 0);
 
-    // The same by another session, once the writes are older than the stated age.
+    // A read by another session that misses writes older than its stated age.
     read.id = 22;
     read.session = 9;
     checker.onSent(read, start + 2s);
@@ -128,7 +128,7 @@
     checker.onCutOff(2);
     CHECK(checker.figures().violations.cutOff == 2);
 
-    // A new primary whose log ends after the first write: the second is lost.
+    // The log of a new primary ends after the first write, so the second is lost.
     logs.beginTerm(2, one, start + 3s);
     checker.atEnd("g", 2);
     CHECK(checker.figures().violations.lostWrites == 1);
--- a/tests/bench/trace_test.cpp
+++ b/tests/bench/trace_test.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("every shipped trace survives its text form")
+TEST_CASE("each shipped trace is unchanged after formatting and parsing")
 {
     for (const Trace &trace : shippedTraces()) {
         INFO(trace.name);
@@ -26,7 +26,7 @@
     }
 }
 
-TEST_CASE("a request and a fault are read with all their fields")
+TEST_CASE("requests and faults are parsed with all their fields")
 {
     const auto trace = parseTrace(header
                                   + "# a comment\n"
@@ -49,7 +49,7 @@
     CHECK(trace->events[2].fault->time == 3s);
 }
 
-TEST_CASE("a mistake in a trace is refused with its line")
+TEST_CASE("an invalid trace is rejected with the line")
 {
     const std::vector<std::string> invalidLines = {
         "@5ms write id=7\n",
