--- a/src/bench/livereplay.cpp
+++ b/src/bench/livereplay.cpp
@@ -26,7 +26,7 @@
 // Request kinds of a demo configuration.
 struct RequestKinds
 {
-    std::string once;
+    std::string nonRepeatable;
     std::string write;
     std::string browse;
     std::string newest;
@@ -155,7 +155,7 @@
         CallerRequest statement;
         statement.sessionToken = sessions_[request.session].token;
         if (request.write) {
-            const std::string &kind = request.repeatable ? kinds_.write : kinds_.once;
+            const std::string &kind = request.repeatable ? kinds_.write : kinds_.nonRepeatable;
             if (!request.repeatable)
                 statement.idempotencyKey = idOf(request);
             statement.body = statementBody(
@@ -281,32 +281,32 @@
     absl::Status readTables()
     {
         std::map<SessionId, GroupName> groups;
-        std::set<std::string> once;
+        std::set<std::string> nonRepeatable;
         for (const TraceEvent &event : trace_.events) {
             if (!event.request || !event.request->write)
                 continue;
             groups[event.request->session] = event.request->group;
             if (!event.request->repeatable)
-                once.insert(idOf(*event.request));
+                nonRepeatable.insert(idOf(*event.request));
         }
         for (const auto &[session, group] : groups) {
             const auto rowCounts = readSessionRows(session, group);
             if (!rowCounts.ok())
                 return rowCounts.status();
-            checkTable(sessions_[session], *rowCounts, once);
+            checkTable(sessions_[session], *rowCounts, nonRepeatable);
         }
         return absl::OkStatus();
     }
 
     void checkTable(const Session &session, const std::map<std::string, int> &rowCounts,
-                    const std::set<std::string> &once)
+                    const std::set<std::string> &nonRepeatable)
     {
         for (const Write &write : session.acknowledged)
             figures_.lostWrites += rowCounts.count(write.id) > 0 ? 0 : 1;
         for (const std::string &id : session.notRun)
             figures_.falseNotRun += rowCounts.count(id) > 0 ? 1 : 0;
         for (const auto &[id, count] : rowCounts)
-            figures_.doubledWrites += count > 1 && once.count(id) > 0 ? 1 : 0;
+            figures_.doubledWrites += count > 1 && nonRepeatable.count(id) > 0 ? 1 : 0;
     }
 
     const Trace &trace_;
