--- a/src/bench/loadprocess.cpp
+++ b/src/bench/loadprocess.cpp
@@ -17,9 +17,9 @@
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-absl::Status noProcess(int processId)
+absl::Status processNotFound(int processId)
 {
-    return absl::NotFoundError(absl::StrCat("no process ", processId));
+    return absl::NotFoundError(absl::StrCat("no such process: ", processId));
 }
 
 } // namespace
@@ -29,10 +29,11 @@
     Duration sum {0};
     for (const int processId : processIds) {
         const std::string text = readProcFile(processId, "stat");
-        // The name in brackets may hold blanks; field 3 follows it, utime and stime are 14 and 15.
+        // The process name in parentheses may contain blanks, so the fields are counted from the
+        // last ')': the next is field 3, utime and stime are fields 14 and 15.
         const std::size_t nameEnd = text.rfind(')');
         if (nameEnd == std::string::npos)
-            return noProcess(processId);
+            return processNotFound(processId);
         std::istringstream fields(text.substr(nameEnd + 1));
         std::string skipped;
         for (int field = 3; field < 14; ++field)
@@ -48,13 +49,13 @@
 absl::StatusOr<std::int64_t> residentMemory(int processId)
 {
     std::istringstream lines(readProcFile(processId, "status"));
-    std::string word;
-    while (lines >> word) {
+    std::string key;
+    while (lines >> key) {
         std::int64_t kilobytes = 0;
-        if (word == "RssAnon:" && lines >> kilobytes)
+        if (key == "RssAnon:" && lines >> kilobytes)
             return kilobytes * 1024;
     }
-    return noProcess(processId);
+    return processNotFound(processId);
 }
 
 } // namespace kelptally::bench
--- a/src/bench/loadworker.h
+++ b/src/bench/loadworker.h
@@ -16,18 +16,19 @@
 
 namespace kelptally::bench {
 
-// When each number of the counter was acknowledged, shared by the workers of a run.
+// Issues the values of the counter and records when they are acknowledged. Shared by the workers of
+// a run; thread-safe.
 class CounterLedger
 {
 public:
     std::uint64_t next();
     void acknowledge(std::uint64_t number, Instant when);
-    // Newest number that was acknowledged at or before the instant; 0 when there is none.
+    // Returns the highest number acknowledged at or before the instant, 0 if there is none.
     std::uint64_t acknowledgedBy(Instant when) const;
 
 private:
     mutable std::mutex mutex_;
-    std::uint64_t last_ = 0;
+    std::uint64_t lastNumber_ = 0;
     struct Entry
     {
         Instant when;
@@ -36,23 +37,23 @@
     std::vector<Entry> entries_;
 };
 
-// Sends its share of a load at the planned times, whether or not answers come (an open loop), on a
-// thread of its own.
+// Open-loop load generator: sends its share of the load at the planned times, independently of the
+// answers, on a thread of its own.
 class LoadWorker
 {
 public:
     using Observer = std::function<void(const LoadOutcome &)>;
 
-    // Ids begin with the run's name. The observer is called on the worker's thread.
+    // The observer, if any, is called with each final outcome on the worker's thread.
     LoadWorker(const LoadPlan &plan, int index, std::string run, CounterLedger &counter,
                Observer observer);
     ~LoadWorker();
 
     void start(Instant at);
-    // No more requests are begun; those under way go on.
-    void finishSending();
-    bool idle() const { return open_ == 0 && sendingDone_; }
-    // Ends the thread. What is still open counts as unfinished.
+    // Starts no more requests. Requests in flight, and their retries, continue.
+    void stopSending();
+    bool idle() const { return inFlight_ == 0 && sendingDone_; }
+    // Stops the thread. Requests still in flight count as unfinished.
     LoadResult stop();
 
 private:
@@ -71,17 +72,17 @@
     };
     using PendingPtr = std::shared_ptr<Pending>;
 
-    void sendDue();
+    void sendDueRequests();
     void begin(Instant intended);
     std::size_t chooseStatement();
-    std::string expand(const std::string &text, Pending &pending);
+    std::string expandPlaceholders(const std::string &text, Pending &pending);
     void send(const PendingPtr &pending);
     void onAnswer(const PendingPtr &pending, const CallerAnswer &answer);
     bool retry(const PendingPtr &pending, const CallerAnswer &answer);
     void finish(Pending &pending, const CallerAnswer &answer);
     void check(const Pending &pending, const CallerAnswer &answer);
     Session *addSession();
-    Session *takeSession();
+    Session *acquireSession();
 
     const LoadPlan &plan_;
     const std::string run_;
@@ -90,17 +91,17 @@
     DutyThread thread_;
     Caller caller_;
     std::mt19937_64 random_;
-    std::exponential_distribution<double> gapSeconds_;
+    std::exponential_distribution<double> interarrivalSeconds_;
     int totalWeight_ = 0;
 
-    Instant start_;
-    Instant next_;
+    Instant startTime_;
+    Instant nextArrival_;
     std::uint64_t lastId_ = 0;
     std::vector<std::unique_ptr<Session>> sessions_;
     std::vector<Session *> freeSessions_;
     LoadResult result_;
     std::atomic<bool> sendingDone_ {false};
-    std::atomic<int> open_ {0};
+    std::atomic<int> inFlight_ {0};
 };
 
 } // namespace kelptally::bench
--- a/tests/bench/load_test.cpp
+++ b/tests/bench/load_test.cpp
@@ -56,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("A plan's mistakes are reported together", "[load]")
+TEST_CASE("All errors of a plan are reported", "[load]")
 {
     settings::Findings findings;
     parseLoadPlan("load.ini",
@@ -66,7 +66,7 @@
     CHECK(findings.all().size() == 5);
 }
 
-TEST_CASE("Quantiles are exact", "[load]")
+TEST_CASE("Quantiles use the nearest rank", "[load]")
 {
     std::vector<std::uint32_t> values;
     for (std::uint32_t i = 100; i > 0; --i)
@@ -78,7 +78,7 @@
     CHECK(quantile(values, 0.5) == 0);
 }
 
-TEST_CASE("The counter tells what was acknowledged by an instant", "[load]")
+TEST_CASE("The counter returns the highest number acknowledged by an instant", "[load]")
 {
     CounterLedger counter;
     const Instant start {1h};
@@ -90,7 +90,7 @@
     CHECK(counter.acknowledgedBy(start + 5s) == 3);
 }
 
-TEST_CASE("Keyed writes are sent again until they are known", "[load]")
+TEST_CASE("Keyed writes are retried until their outcome is known", "[load]")
 {
     FakeEntry entry(EntryFault::None);
     WriteLedger ledger;
@@ -108,10 +108,10 @@
     CHECK(loadPlot(result).find("<polyline") != std::string::npos);
 }
 
-TEST_CASE("The check of the table finds each kind of broken promise", "[load]")
+TEST_CASE("The verification of the table detects each kind of violation", "[load]")
 {
-    const EntryFault fault =
-        GENERATE(EntryFault::LosesWrites, EntryFault::DoublesWrites, EntryFault::KeepsRefused);
+    const EntryFault fault = GENERATE(EntryFault::LosesWrites, EntryFault::DoublesWrites,
+                                      EntryFault::StoresRefusedWrites);
     FakeEntry entry(fault);
     WriteLedger ledger;
     const LoadPlan plan = planFor(entry);
@@ -120,12 +120,12 @@
     CHECK_FALSE(found.good());
     CHECK((found.lost > 0) == (fault == EntryFault::LosesWrites));
     CHECK((found.doubled > 0) == (fault == EntryFault::DoublesWrites));
-    CHECK((found.ranDespiteNo > 0) == (fault == EntryFault::KeepsRefused));
+    CHECK((found.ranDespiteNo > 0) == (fault == EntryFault::StoresRefusedWrites));
 }
 
 TEST_CASE("Reads that miss acknowledged writes are counted", "[load]")
 {
-    const EntryFault fault = GENERATE(EntryFault::None, EntryFault::ForgetsOnRead);
+    const EntryFault fault = GENERATE(EntryFault::None, EntryFault::ReadsMissWrites);
     FakeEntry entry(fault);
     LoadPlan plan = planFor(entry);
     plan.mix[0].check = LoadCheck::CounterWrite;
@@ -134,27 +134,27 @@
     plan.mix[2].sql = "SELECT id FROM load_writes";
     const LoadResult result = run(plan, 300ms, nullptr);
     CHECK(result.checked > 0);
-    CHECK((result.violations.tooStale > 0) == (fault == EntryFault::ForgetsOnRead));
-    CHECK((result.violations.ownWriteMissed > 0) == (fault == EntryFault::ForgetsOnRead));
+    CHECK((result.violations.tooStale > 0) == (fault == EntryFault::ReadsMissWrites));
+    CHECK((result.violations.ownWriteMissed > 0) == (fault == EntryFault::ReadsMissWrites));
 }
 
-TEST_CASE("A stall shows in every request that was due meanwhile", "[load]")
+TEST_CASE("A stall delays every request that was due during it", "[load]")
 {
     FakeEntry entry(EntryFault::None);
     LoadPlan plan = planFor(entry);
     plan.mix = {readOf(LoadCheck::None)};
     plan.connections = 1;
     plan.workers = 1;
-    entry.holdFirst(400ms);
+    entry.delayFirstAnswer(400ms);
     LoadResult result = run(plan, 600ms, nullptr);
     const auto &latency = result.statements.at(0).latencyMicroseconds;
     const auto slow = std::count_if(latency.begin(), latency.end(),
                                     [](std::uint32_t us) { return us >= 200'000; });
-    // 500 a second were due in the 200 ms that lie at least 200 ms before the stall's end.
+    // About 100 requests were due in the first 200 ms of the stall of 400 ms.
     CHECK(slow > 50);
 }
 
-TEST_CASE("An entry that cannot be reached is a reason of its own", "[load]")
+TEST_CASE("Requests to an unreachable entry are counted as connection_refused", "[load]")
 {
     FakeEntry entry(EntryFault::None);
     LoadPlan plan = planFor(entry);
@@ -165,7 +165,7 @@
     CHECK(result.statements.at(0).refusals.count("connection_refused") == 1);
 }
 
-TEST_CASE("An entry that is gone is passed over", "[load]")
+TEST_CASE("Requests go to the next entry if one is unreachable", "[load]")
 {
     FakeEntry entry(EntryFault::None);
     LoadPlan plan = planFor(entry);
@@ -176,21 +176,21 @@
     CHECK(result.statements.at(0).refusals.empty());
 }
 
-TEST_CASE("The processor time of a process is read to the tick", "[load]")
+TEST_CASE("The CPU time of a process is accurate to a tick", "[load]")
 {
-    const auto spent = [] {
+    const auto usedProcessorTime = [] {
         rusage usage {};
         getrusage(RUSAGE_SELF, &usage);
         const auto micro = [](const timeval &t) { return t.tv_sec * 1'000'000 + t.tv_usec; };
         return Duration(std::chrono::microseconds(micro(usage.ru_utime) + micro(usage.ru_stime)));
     };
-    const Duration begin = spent();
-    while (spent() - begin < 150ms) { }
-    const Duration before = spent();
+    const Duration begin = usedProcessorTime();
+    while (usedProcessorTime() - begin < 150ms) { }
+    const Duration before = usedProcessorTime();
     const auto read = processorTime({getpid()});
-    const Duration after = spent();
+    const Duration after = usedProcessorTime();
     REQUIRE(read.ok());
-    // User and system time are each cut to a tick of 10 ms.
+    // User and system time are each truncated to a tick of 10 ms.
     CHECK(*read >= before - 20ms);
     CHECK(*read <= after + 20ms);
     CHECK_FALSE(processorTime({-1}).ok());
