--- a/src/admin/adminpeers.cpp
+++ b/src/admin/adminpeers.cpp
@@ -12,7 +12,7 @@
 // Chosen, not measured: polling of the store makes up for a peer that does not answer.
 constexpr Duration configAnswerTimeout = std::chrono::seconds(2);
 // How long a link that only a call has wanted is kept for the next one, as when an operator polls.
-constexpr Duration linkKept = std::chrono::seconds(10);
+constexpr Duration idleLinkLifetime = std::chrono::seconds(10);
 // Ids of the frame's requests are far from those of the program, which shares the links.
 constexpr inner::RequestId firstRequestId = inner::RequestId(1) << 62;
 
@@ -21,7 +21,7 @@
 AdminPeers::AdminPeers(DutyThread &thread)
     : thread_(thread),
       inbox_(thread, inboxCapacity, [this](Event &&event) { handle(std::move(event)); }),
-      lastId_(firstRequestId)
+      lastRequestId_(firstRequestId)
 { }
 
 void AdminPeers::setHandlers(NoticeHandler onNotice, CurrentConfiguration current)
@@ -44,58 +44,58 @@
 
 void AdminPeers::onPeerUp(inner::LinkId link, const inner::Hello &peer)
 {
-    push({link, Up {peer.process.address, peer.configVersion}});
+    push({link, PeerUp {peer.process.address, peer.configVersion}});
 }
 
 bool AdminPeers::onPeerMessage(inner::LinkId link, inner::Message &message)
 {
-    const bool mine = std::holds_alternative<inner::ConfigNotice>(message)
+    const bool handled = std::holds_alternative<inner::ConfigNotice>(message)
         || std::holds_alternative<inner::ConfigRequest>(message)
         || std::holds_alternative<inner::ConfigAnswer>(message)
         || std::holds_alternative<inner::OperatorAnswer>(message);
-    if (mine)
+    if (handled)
         push({link, std::move(message)});
-    return mine;
+    return handled;
 }
 
 void AdminPeers::onPeerDown(inner::LinkId link, const std::string &address)
 {
-    push({link, Down {address}});
+    push({link, PeerDown {address}});
 }
 
-void AdminPeers::onVersionHeard(const std::string &address, ConfigVersion version)
+void AdminPeers::onPeerVersion(const std::string &address, ConfigVersion version)
 {
-    push({0, Heard {address, version}});
+    push({0, PeerVersion {address, version}});
 }
 
 void AdminPeers::handle(Event &&event)
 {
-    if (const auto *up = std::get_if<Up>(&event.what)) {
-        up_[event.link] = up->address;
+    if (const auto *up = std::get_if<PeerUp>(&event.payload)) {
+        linkAddresses_[event.link] = up->address;
         for (auto &entry : calls_)
             if (entry.second.address == up->address && !entry.second.sent)
                 trySend(entry.second);
         onNotice_(up->address, up->version);
-    } else if (const auto *down = std::get_if<Down>(&event.what)) {
-        up_.erase(event.link);
+    } else if (const auto *down = std::get_if<PeerDown>(&event.payload)) {
+        linkAddresses_.erase(event.link);
         std::vector<inner::RequestId> lost;
         for (const auto &entry : calls_)
             if (entry.second.address == down->address && entry.second.sent)
                 lost.push_back(entry.first);
         for (const inner::RequestId id : lost)
             finish(id, absl::UnavailableError("the link to " + down->address + " was lost"));
-    } else if (const auto *heard = std::get_if<Heard>(&event.what)) {
-        onNotice_(heard->address, heard->version);
+    } else if (const auto *reported = std::get_if<PeerVersion>(&event.payload)) {
+        onNotice_(reported->address, reported->version);
     } else {
-        onMessage(event.link, std::get<inner::Message>(event.what));
+        onMessage(event.link, std::get<inner::Message>(event.payload));
     }
 }
 
 void AdminPeers::onMessage(inner::LinkId link, inner::Message &message)
 {
     if (const auto *notice = std::get_if<inner::ConfigNotice>(&message)) {
-        const auto found = up_.find(link);
-        if (found != up_.end())
+        const auto found = linkAddresses_.find(link);
+        if (found != linkAddresses_.end())
             onNotice_(found->second, notice->version);
     } else if (const auto *request = std::get_if<inner::ConfigRequest>(&message)) {
         const settings::ConfigurationPtr current = current_();
@@ -109,8 +109,8 @@
             links->sendOn(link, std::move(answer)).IgnoreError();
     } else if (const auto *config = std::get_if<inner::ConfigAnswer>(&message)) {
         finish(config->requestId, std::move(message));
-    } else if (const auto *operated = std::get_if<inner::OperatorAnswer>(&message)) {
-        finish(operated->requestId, std::move(message));
+    } else if (const auto *operatorAnswer = std::get_if<inner::OperatorAnswer>(&message)) {
+        finish(operatorAnswer->requestId, std::move(message));
     }
 }
 
@@ -131,15 +131,15 @@
     inner::PeerLinks *links = links_;
     if (!links)
         return;
-    for (const auto &entry : up_)
+    for (const auto &entry : linkAddresses_)
         links->sendOn(entry.first, inner::ConfigNotice {version}).IgnoreError();
 }
 
-void AdminPeers::askForConfig(const std::string &address, ConfigVersion atLeast,
-                              ConfigCallback callback)
+void AdminPeers::fetchConfig(const std::string &address, ConfigVersion atLeast,
+                             ConfigCallback callback)
 {
     inner::ConfigRequest request;
-    request.requestId = ++lastId_;
+    request.requestId = ++lastRequestId_;
     request.atLeast = atLeast;
     start(address, request.requestId, request, configAnswerTimeout,
           [callback = std::move(callback)](absl::StatusOr<inner::Message> result) {
@@ -154,7 +154,7 @@
 void AdminPeers::operate(const std::string &address, inner::OperatorRequest request,
                          Duration timeout, OperatorCallback callback)
 {
-    request.requestId = ++lastId_;
+    request.requestId = ++lastRequestId_;
     const inner::RequestId id = request.requestId;
     start(address, id, std::move(request), timeout,
           [callback = std::move(callback)](absl::StatusOr<inner::Message> result) {
@@ -196,7 +196,8 @@
     const Call call = std::move(found->second);
     calls_.erase(found);
     thread_.timers().cancel(call.timer);
-    thread_.timers().subscribeAfter(linkKept, [this, address = call.address] { drop(address); });
+    thread_.timers().subscribeAfter(idleLinkLifetime,
+                                    [this, address = call.address] { drop(address); });
     call.callback(std::move(result));
 }
 
--- a/src/admin/adminpeers.h
+++ b/src/admin/adminpeers.h
@@ -38,35 +38,35 @@
     bool onPeerMessage(inner::LinkId link, inner::Message &message);
     void onPeerDown(inner::LinkId link, const std::string &address);
     // A heartbeat told the version of its sender; from any thread.
-    void onVersionHeard(const std::string &address, ConfigVersion version);
+    void onPeerVersion(const std::string &address, ConfigVersion version);
 
     // On the admin thread.
     void connect(const std::string &address);
     void announce(ConfigVersion version);
     // Each calls back exactly once, with Unavailable or DeadlineExceeded when no answer comes.
-    void askForConfig(const std::string &address, ConfigVersion atLeast, ConfigCallback callback);
+    void fetchConfig(const std::string &address, ConfigVersion atLeast, ConfigCallback callback);
     void operate(const std::string &address, inner::OperatorRequest request, Duration timeout,
                  OperatorCallback callback);
 
 private:
-    struct Heard
+    struct PeerVersion
     {
         std::string address;
         ConfigVersion version = 0;
     };
-    struct Up
+    struct PeerUp
     {
         std::string address;
         ConfigVersion version = 0;
     };
-    struct Down
+    struct PeerDown
     {
         std::string address;
     };
     struct Event
     {
         inner::LinkId link = 0;
-        std::variant<Up, Down, Heard, inner::Message> what;
+        std::variant<PeerUp, PeerDown, PeerVersion, inner::Message> payload;
     };
     using AnswerCallback = std::function<void(absl::StatusOr<inner::Message>)>;
     struct Call
@@ -92,9 +92,9 @@
     std::atomic<inner::PeerLinks *> links_ {nullptr};
     NoticeHandler onNotice_;
     CurrentConfiguration current_;
-    inner::RequestId lastId_ = 0;
+    inner::RequestId lastRequestId_ = 0;
     std::map<inner::RequestId, Call> calls_;
-    std::map<inner::LinkId, std::string> up_;
+    std::map<inner::LinkId, std::string> linkAddresses_;
 };
 
 } // namespace kelptally::admin
--- a/src/admin/configdiff.cpp
+++ b/src/admin/configdiff.cpp
@@ -11,7 +11,7 @@
 using settings::IniEntry;
 using settings::IniSection;
 
-std::vector<IniSection> sectionsOf(const std::string &document)
+std::vector<IniSection> parseSections(const std::string &document)
 {
     settings::Findings ignored;
     return settings::parseIni("document", document, ignored);
@@ -32,7 +32,7 @@
     return found == section.entries.end() ? nullptr : &*found;
 }
 
-std::string shown(const IniEntry &entry)
+std::string displayedValue(const IniEntry &entry)
 {
     return entry.key == "password" ? "(hidden)" : entry.value;
 }
@@ -44,21 +44,21 @@
     for (const IniEntry &entry : after.entries) {
         const IniEntry *old = findEntry(before, entry.key);
         if (!old)
-            changes.push_back({title, entry.key, std::nullopt, shown(entry)});
+            changes.push_back({title, entry.key, std::nullopt, displayedValue(entry)});
         else if (old->value != entry.value)
-            changes.push_back({title, entry.key, shown(*old), shown(entry)});
+            changes.push_back({title, entry.key, displayedValue(*old), displayedValue(entry)});
     }
     for (const IniEntry &entry : before.entries)
         if (!findEntry(after, entry.key))
-            changes.push_back({title, entry.key, shown(entry), std::nullopt});
+            changes.push_back({title, entry.key, displayedValue(entry), std::nullopt});
 }
 
 } // namespace
 
 std::vector<ConfigChange> diffDocuments(const std::string &before, const std::string &after)
 {
-    const std::vector<IniSection> oldSections = sectionsOf(before);
-    const std::vector<IniSection> newSections = sectionsOf(after);
+    const std::vector<IniSection> oldSections = parseSections(before);
+    const std::vector<IniSection> newSections = parseSections(after);
     std::vector<ConfigChange> changes;
     for (const IniSection &section : newSections) {
         if (const IniSection *old = findSection(oldSections, section.title()))
--- a/src/admin/configservice.cpp
+++ b/src/admin/configservice.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // An entry and an owner run on each host, and both poll.
-constexpr std::size_t processesEach = 2;
+constexpr std::size_t processesPerHost = 2;
 
 } // namespace
 
@@ -24,7 +24,7 @@
           metrics.gauge("kelptally_config_version", "Configuration version in force; 0 for none")),
       rejected_(metrics.counter("kelptally_config_rejected_total",
                                 "Accepted versions that this build can't read")),
-      spread_(std::random_device()())
+      propagation_(std::random_device()())
 { }
 
 settings::ConfigurationPtr ConfigService::current() const
@@ -41,21 +41,21 @@
 void ConfigService::start()
 {
     boost::asio::post(thread_.context(), [this] {
-        carryOut(spread_.start(thread_.timers().now()));
+        carryOut(propagation_.start(thread_.timers().now()));
         thread_.timers().subscribeEvery(decision::ConfigPropagation::tickPeriod, [this] {
-            carryOut(spread_.onTick(thread_.timers().now()));
+            carryOut(propagation_.onTick(thread_.timers().now()));
         });
     });
 }
 
 void ConfigService::onNotice(const std::string &peer, ConfigVersion version)
 {
-    carryOut(spread_.onNotice(thread_.timers().now(), peer, version));
+    carryOut(propagation_.onNotice(thread_.timers().now(), peer, version));
 }
 
 void ConfigService::onAccepted(ConfigVersion version, const std::string &document)
 {
-    carryOut(spread_.onDocument(thread_.timers().now(), version, document));
+    carryOut(propagation_.onDocument(thread_.timers().now(), version, document));
 }
 
 void ConfigService::carryOut(const decision::ConfigActions &actions)
@@ -67,14 +67,14 @@
             readVersion(read->version);
         else if (std::holds_alternative<decision::ReadConfigSnapshot>(action))
             readSnapshot();
-        else if (const auto *ask = std::get_if<decision::FetchConfigFromPeer>(&action))
-            askPeer(*ask);
+        else if (const auto *fetch = std::get_if<decision::FetchConfigFromPeer>(&action))
+            fetchFromPeer(*fetch);
         else if (const auto *announce = std::get_if<decision::AnnounceConfig>(&action))
             peers_.announce(announce->version);
         else if (const auto *install = std::get_if<decision::InstallConfig>(&action))
-            putInForce(*install);
-        else if (const auto *keep = std::get_if<decision::UpdateConfigSnapshot>(&action))
-            store_.keepSnapshot(keep->version);
+            installVersion(*install);
+        else if (const auto *update = std::get_if<decision::UpdateConfigSnapshot>(&action))
+            store_.updateSnapshot(update->version);
         else if (const auto *mismatch = std::get_if<decision::ReportConfigMismatch>(&action))
             LOG(ERROR) << "event=config_mismatch version=" << mismatch->version
                        << " cause=\"another document under the version in force\"";
@@ -85,7 +85,8 @@
 {
     store_.readNewestVersion([this](absl::StatusOr<ConfigVersion> newest) {
         const Instant now = thread_.timers().now();
-        carryOut(newest.ok() ? spread_.onNewestVersion(now, *newest) : spread_.onStoreFailed(now));
+        carryOut(newest.ok() ? propagation_.onNewestVersion(now, *newest)
+                             : propagation_.onStoreFailed(now));
     });
 }
 
@@ -95,9 +96,9 @@
                        [this, version](absl::StatusOr<std::optional<ConfigRecord>> record) {
                            const Instant now = thread_.timers().now();
                            if (record.ok() && *record && (*record)->version == version)
-                               carryOut(spread_.onDocument(now, version, (*record)->document));
+                               carryOut(propagation_.onDocument(now, version, (*record)->document));
                            else
-                               carryOut(spread_.onStoreFailed(now));
+                               carryOut(propagation_.onStoreFailed(now));
                        });
 }
 
@@ -105,26 +106,26 @@
 {
     store_.readSnapshot([this](absl::StatusOr<std::optional<ConfigRecord>> record) {
         if (record.ok() && *record)
-            carryOut(spread_.onDocument(thread_.timers().now(), (*record)->version,
-                                        (*record)->document));
+            carryOut(propagation_.onDocument(thread_.timers().now(), (*record)->version,
+                                             (*record)->document));
     });
 }
 
-void ConfigService::askPeer(const decision::FetchConfigFromPeer &action)
+void ConfigService::fetchFromPeer(const decision::FetchConfigFromPeer &action)
 {
-    peers_.askForConfig(action.address, action.atLeast,
-                        [this, peer = action.address](absl::StatusOr<inner::ConfigAnswer> answer) {
-                            const Instant now = thread_.timers().now();
-                            if (answer.ok() && answer->version > 0)
-                                carryOut(
-                                    spread_.onDocument(now, answer->version, answer->document));
-                            else
-                                carryOut(spread_.onPeerFailed(now, peer));
-                        });
+    peers_.fetchConfig(action.address, action.atLeast,
+                       [this, peer = action.address](absl::StatusOr<inner::ConfigAnswer> answer) {
+                           const Instant now = thread_.timers().now();
+                           if (answer.ok() && answer->version > 0)
+                               carryOut(
+                                   propagation_.onDocument(now, answer->version, answer->document));
+                           else
+                               carryOut(propagation_.onPeerFailed(now, peer));
+                       });
 }
 
 // A version that this build can't read, as one of a newer build, leaves the one before in force.
-void ConfigService::putInForce(const decision::InstallConfig &action)
+void ConfigService::installVersion(const decision::InstallConfig &action)
 {
     settings::Findings findings;
     auto configuration = std::make_shared<settings::Configuration>();
@@ -143,7 +144,7 @@
         const std::lock_guard<std::mutex> lock(mutex_);
         current_ = configuration;
     }
-    spread_.setProcessCount(processesEach * configuration->inventory.hosts.size());
+    propagation_.setProcessCount(processesPerHost * configuration->inventory.hosts.size());
     versionGauge_.Set(static_cast<double>(action.version));
     LOG(INFO) << "event=config_in_force version=" << action.version
               << " groups=" << configuration->inventory.groups.size()
--- a/src/admin/configservice.h
+++ b/src/admin/configservice.h
@@ -38,15 +38,15 @@
     void readNewestVersion();
     void readVersion(ConfigVersion version);
     void readSnapshot();
-    void askPeer(const decision::FetchConfigFromPeer &action);
-    void putInForce(const decision::InstallConfig &action);
+    void fetchFromPeer(const decision::FetchConfigFromPeer &action);
+    void installVersion(const decision::InstallConfig &action);
 
     DutyThread &thread_;
     AdminPeers &peers_;
     ConfigStore &store_;
     prometheus::Gauge &versionGauge_;
     prometheus::Counter &rejected_;
-    decision::ConfigPropagation spread_;
+    decision::ConfigPropagation propagation_;
     std::vector<Subscriber> subscribers_;
     mutable std::mutex mutex_;
     settings::ConfigurationPtr current_;
--- a/src/admin/configstore.h
+++ b/src/admin/configstore.h
@@ -47,7 +47,7 @@
     // The newest versions, newest first, without their documents.
     virtual void readHistory(std::size_t limit, ConfigHistoryCallback callback) = 0;
     // Brings the snapshot up to this version if it is behind, for as long as that takes.
-    virtual void keepSnapshot(ConfigVersion version) = 0;
+    virtual void updateSnapshot(ConfigVersion version) = 0;
     // Makes the document version expected + 1 if expected is the newest.
     virtual void apply(ConfigVersion expected, ConfigRecord record,
                        ConfigApplyCallback callback) = 0;
--- a/src/admin/ctl.cpp
+++ b/src/admin/ctl.cpp
@@ -17,7 +17,7 @@
 constexpr const char *keyVariable = "KELPTALLY_OPERATOR_KEY";
 constexpr int defaultTimeoutSeconds = 15;
 constexpr int defaultWaitSeconds = 30;
-constexpr int defaultHistory = 20;
+constexpr int defaultHistoryLimit = 20;
 
 constexpr const char *usage =
     "usage: kelptallyctl COMMAND [ARGUMENTS] [OPTIONS]\n"
@@ -115,7 +115,7 @@
 };
 
 using Arguments = std::vector<std::string>;
-using Text = TCLAP::UnlabeledValueArg<std::string>;
+using TextArgument = TCLAP::UnlabeledValueArg<std::string>;
 
 template <typename Run>
 CtlExit withClient(const CommonOptions &common, CtlOutput output, Run run)
@@ -133,7 +133,7 @@
 CtlExit check(const Arguments &arguments, CtlOutput output)
 {
     Command command("check", "List the mistakes of a configuration");
-    Text file("file", "INI document", true, "", "FILE", command.line());
+    TextArgument file("file", "INI document", true, "", "FILE", command.line());
     command.parse(arguments);
     return checkFile(file.getValue(), output);
 }
@@ -141,7 +141,7 @@
 CtlExit explain(const Arguments &arguments, CtlOutput output)
 {
     Command command("explain", "What a refusal means and what to do");
-    Text reason("reason", "stable name of a reason", true, "", "REASON", command.line());
+    TextArgument reason("reason", "stable name of a reason", true, "", "REASON", command.line());
     command.parse(arguments);
     return explainReason(reason.getValue(), output);
 }
@@ -162,7 +162,7 @@
 {
     Command command("diff", "What a file would change");
     CommonOptions common(command.line());
-    Text file("file", "INI document", true, "", "FILE", command.line());
+    TextArgument file("file", "INI document", true, "", "FILE", command.line());
     command.parse(arguments);
     return withClient(common, output, [&](ProxyClient &client) {
         return diffFile(client, file.getValue(), output);
@@ -179,7 +179,7 @@
 {
     Command command("apply", "Make a file the next configuration version");
     CommonOptions common(command.line());
-    Text file("file", "INI document", true, "", "FILE", command.line());
+    TextArgument file("file", "INI document", true, "", "FILE", command.line());
     TCLAP::ValueArg<ConfigVersion> expect("e", "expect",
                                           "version that is changed; 0 when there is none yet", true,
                                           0, "VERSION", command.line());
@@ -206,7 +206,7 @@
 {
     Command command("history", "Accepted versions, newest first");
     CommonOptions common(command.line());
-    TCLAP::ValueArg<int> limit("l", "limit", "most versions", false, defaultHistory, "COUNT",
+    TCLAP::ValueArg<int> limit("l", "limit", "most versions", false, defaultHistoryLimit, "COUNT",
                                command.line());
     command.parse(arguments);
     return withClient(common, output, [&](ProxyClient &client) {
@@ -229,7 +229,7 @@
 {
     Command command("drain", "Stop giving work to the processes of a host");
     CommonOptions common(command.line());
-    Text host("host", "name in the configuration", true, "", "HOST", command.line());
+    TextArgument host("host", "name in the configuration", true, "", "HOST", command.line());
     command.parse(arguments);
     return withClient(common, output, [&](ProxyClient &client) {
         return drainHost(client, host.getValue(), output);
@@ -240,8 +240,8 @@
 {
     Command command("promote", "Make a server the primary of its group");
     CommonOptions common(command.line());
-    Text group("group", "database group", true, "", "GROUP", command.line());
-    Text server("server", "server of the group", true, "", "SERVER", command.line());
+    TextArgument group("group", "database group", true, "", "GROUP", command.line());
+    TextArgument server("server", "server of the group", true, "", "SERVER", command.line());
     TCLAP::SwitchArg acceptLoss("", "accept-loss",
                                 "Promote without a majority: confirmed work may be lost",
                                 command.line());
--- a/src/admin/ctl.h
+++ b/src/admin/ctl.h
@@ -22,7 +22,7 @@
     // A change may have been made or not; say it again with the same change id.
     Unknown = 6,
     // --wait: not every process has the version in time.
-    NotEverywhere = 7,
+    WaitTimedOut = 7,
 };
 
 // Runs one command line without the program's name.
--- a/src/admin/ctlclient.cpp
+++ b/src/admin/ctlclient.cpp
@@ -42,8 +42,9 @@
     absl::Status run(const asio::ip::tcp::endpoint &endpoint, Duration timeout)
     {
         beast::get_lowest_layer(stream_).expires_after(timeout);
-        beast::get_lowest_layer(stream_).async_connect(
-            endpoint, [this](const ErrorCode &error) { next(error, [this] { secure(); }); });
+        beast::get_lowest_layer(stream_).async_connect(endpoint, [this](const ErrorCode &error) {
+            continueWith(error, [this] { handshake(); });
+        });
         context_.run();
         if (!error_)
             return absl::OkStatus();
@@ -57,27 +58,27 @@
 
 private:
     template <typename Step>
-    void next(const ErrorCode &error, Step step)
+    void continueWith(const ErrorCode &error, Step step)
     {
         error_ = error;
         if (!error_)
             step();
     }
 
-    void secure()
+    void handshake()
     {
         if constexpr (std::is_same_v<Stream, beast::tcp_stream>)
             write();
         else
             stream_.async_handshake(asio::ssl::stream_base::client, [this](const ErrorCode &error) {
-                next(error, [this] { write(); });
+                continueWith(error, [this] { write(); });
             });
     }
 
     void write()
     {
         http::async_write(stream_, request_, [this](const ErrorCode &error, std::size_t) {
-            next(error, [this] { read(); });
+            continueWith(error, [this] { read(); });
         });
     }
 
@@ -101,9 +102,9 @@
                                      const asio::ip::tcp::endpoint &endpoint, Duration timeout)
 {
     Exchange<Stream> exchange(context, stream, request);
-    const absl::Status done = exchange.run(endpoint, timeout);
-    if (!done.ok())
-        return done;
+    const absl::Status result = exchange.run(endpoint, timeout);
+    if (!result.ok())
+        return result;
     absl::StatusOr<JsonValue> body = parseJson(exchange.body(), maxAnswerValues);
     if (!body.ok())
         return absl::UnavailableError("the answer is not JSON; is this an administration port?");
@@ -113,14 +114,14 @@
     return answer;
 }
 
-absl::StatusOr<ProxyAnswer> ask(const ProxyOptions &options, const std::string &proxy,
-                                const Request &request)
+absl::StatusOr<ProxyAnswer> sendRequest(const ProxyOptions &options, const std::string &proxy,
+                                        const Request &request)
 {
-    const std::optional<settings::Endpoint> place = settings::parseEndpoint(proxy);
-    if (!place)
+    const std::optional<settings::Endpoint> parsed = settings::parseEndpoint(proxy);
+    if (!parsed)
         return absl::InvalidArgumentError("must be an IP and a port, as 127.0.0.1:7002");
-    const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(place->address),
-                                           static_cast<unsigned short>(place->port));
+    const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(parsed->address),
+                                           static_cast<unsigned short>(parsed->port));
     asio::io_context context;
     if (options.ca.empty()) {
         beast::tcp_stream stream(context);
@@ -163,7 +164,7 @@
         request.set(http::field::connection, "close");
         request.body() = body;
         request.prepare_payload();
-        absl::StatusOr<ProxyAnswer> answer = ask(options_, proxy, request);
+        absl::StatusOr<ProxyAnswer> answer = sendRequest(options_, proxy, request);
         if (answer.ok()) {
             current_ = index;
             answer->proxy = proxy;
--- a/src/admin/ctlclient.h
+++ b/src/admin/ctlclient.h
@@ -30,7 +30,7 @@
     // Who answered.
     std::string proxy;
 
-    bool done() const { return status >= 200 && status < 300; }
+    bool succeeded() const { return status >= 200 && status < 300; }
 };
 
 // A client of the administration API that goes from proxy to proxy until one answers. Every call
--- a/src/admin/ctlcommands.cpp
+++ b/src/admin/ctlcommands.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr auto waitPoll = std::chrono::milliseconds(250);
+constexpr auto waitPollPeriod = std::chrono::milliseconds(250);
 
 // The document of a file, or its mistakes on the error output.
-std::optional<std::string> readChecked(const std::string &file, CtlOutput output)
+std::optional<std::string> readValidDocument(const std::string &file, CtlOutput output)
 {
     settings::Findings findings;
     const std::string text = settings::readFile(file, findings);
@@ -29,7 +29,7 @@
     return std::nullopt;
 }
 
-CtlExit exitOf(const JsonValue &problem)
+CtlExit exitCodeFor(const JsonValue &problem)
 {
     if (problem.textOf("reason") == reasonInfo(Reason::VersionConflict).name)
         return CtlExit::Conflict;
@@ -41,13 +41,13 @@
 }
 
 // Prints why there is no result; nothing when there is one.
-std::optional<CtlExit> failureOf(const absl::StatusOr<ProxyAnswer> &answer, CtlOutput output)
+std::optional<CtlExit> reportFailure(const absl::StatusOr<ProxyAnswer> &answer, CtlOutput output)
 {
     if (!answer.ok()) {
         output.err << answer.status().message() << "\n";
         return CtlExit::Unreachable;
     }
-    if (answer->done())
+    if (answer->succeeded())
         return std::nullopt;
     const JsonValue &problem = answer->body;
     output.err << answer->proxy << " refused: " << problem.textOf("reason") << ": "
@@ -58,7 +58,7 @@
         for (const JsonValue &finding : findings->items)
             output.err << "  " << finding.textOf("place") << ": " << finding.textOf("problem")
                        << "\n";
-    return exitOf(problem);
+    return exitCodeFor(problem);
 }
 
 std::string documentBody(const std::string &document)
@@ -68,7 +68,7 @@
     return json.take();
 }
 
-std::string drawChangeId()
+std::string generateChangeId()
 {
     std::random_device random;
     constexpr char digits[] = "0123456789abcdef";
@@ -93,9 +93,9 @@
         return count;
     for (const JsonValue &process : processes->items) {
         const JsonValue *reachable = process.find("reachable");
-        const JsonValue *has = process.find("version");
-        const bool current = reachable && reachable->boolean && has
-            && has->toInteger() >= static_cast<std::int64_t>(version);
+        const JsonValue *processVersion = process.find("version");
+        const bool current = reachable && reachable->boolean && processVersion
+            && processVersion->toInteger() >= static_cast<std::int64_t>(version);
         ++count.processes;
         count.current += current ? 1 : 0;
         if (!current)
@@ -106,28 +106,29 @@
 }
 
 // Counts the processes that have the version until all have it or the time is over.
-CtlExit waitEverywhere(ProxyClient &client, ConfigVersion version, Duration limit, CtlOutput output)
+CtlExit waitUntilPropagated(ProxyClient &client, ConfigVersion version, Duration limit,
+                            CtlOutput output)
 {
     const Instant end = BootClock::now() + limit;
-    std::string shown;
+    std::string lastLine;
     for (;;) {
         const absl::StatusOr<ProxyAnswer> answer = client.get("/admin/v1/status");
-        if (const std::optional<CtlExit> failure = failureOf(answer, output))
+        if (const std::optional<CtlExit> failure = reportFailure(answer, output))
             return *failure;
         const VersionCount count = countVersions(answer->body, version);
         const std::string line = "version " + std::to_string(version) + ": "
             + std::to_string(count.current) + " of " + std::to_string(count.processes)
             + " processes have it\n";
-        if (line != shown)
+        if (line != lastLine)
             output.err << line << std::flush;
-        shown = line;
+        lastLine = line;
         if (count.current == count.processes)
             return CtlExit::Done;
         if (BootClock::now() >= end) {
             output.err << "not in force everywhere yet:\n" << count.missing;
-            return CtlExit::NotEverywhere;
+            return CtlExit::WaitTimedOut;
         }
-        std::this_thread::sleep_for(waitPoll);
+        std::this_thread::sleep_for(waitPollPeriod);
     }
 }
 
@@ -135,7 +136,7 @@
 
 CtlExit checkFile(const std::string &file, CtlOutput output)
 {
-    if (!readChecked(file, output))
+    if (!readValidDocument(file, output))
         return CtlExit::Mistakes;
     output.out << file << ": no mistakes\n";
     return CtlExit::Done;
@@ -162,7 +163,7 @@
 {
     const std::string query = version > 0 ? "?version=" + std::to_string(version) : "";
     const auto answer = client.get("/admin/v1/configuration" + query);
-    if (const auto failure = failureOf(answer, output))
+    if (const auto failure = reportFailure(answer, output))
         return *failure;
     const JsonValue &body = answer->body;
     output.err << "version " << body.textOf("version") << " by " << body.textOf("author") << " at "
@@ -174,11 +175,11 @@
 
 CtlExit diffFile(ProxyClient &client, const std::string &file, CtlOutput output)
 {
-    const std::optional<std::string> document = readChecked(file, output);
+    const std::optional<std::string> document = readValidDocument(file, output);
     if (!document)
         return CtlExit::Mistakes;
     const auto answer = client.post("/admin/v1/configuration/diff", documentBody(*document));
-    if (const auto failure = failureOf(answer, output))
+    if (const auto failure = reportFailure(answer, output))
         return *failure;
     std::vector<ConfigChange> changes;
     if (const JsonValue *list = answer->body.find("changes")) {
@@ -201,10 +202,10 @@
 
 CtlExit applyFile(ProxyClient &client, const ApplyOptions &options, CtlOutput output)
 {
-    const std::optional<std::string> document = readChecked(options.file, output);
+    const std::optional<std::string> document = readValidDocument(options.file, output);
     if (!document)
         return CtlExit::Mistakes;
-    const std::string changeId = options.changeId.empty() ? drawChangeId() : options.changeId;
+    const std::string changeId = options.changeId.empty() ? generateChangeId() : options.changeId;
     JsonWriter json;
     json.beginObject();
     json.member("document", *document);
@@ -213,7 +214,7 @@
     json.member("changeId", changeId);
     json.endObject();
     const auto answer = client.post("/admin/v1/configuration/apply", json.take());
-    if (const auto failure = failureOf(answer, output)) {
+    if (const auto failure = reportFailure(answer, output)) {
         if (*failure == CtlExit::Unknown || *failure == CtlExit::Unreachable)
             output.err << "to ask again for the same change: --change-id " << changeId << "\n";
         return *failure;
@@ -223,14 +224,14 @@
     output.out << "accepted as version " << accepted << "\n";
     if (!options.wait)
         return CtlExit::Done;
-    return waitEverywhere(client, accepted, *options.wait, output);
+    return waitUntilPropagated(client, accepted, *options.wait, output);
 }
 
 CtlExit showHistory(ProxyClient &client, int limit, CtlOutput output)
 {
     const auto answer =
         client.get("/admin/v1/configuration/history?limit=" + std::to_string(limit));
-    if (const auto failure = failureOf(answer, output))
+    if (const auto failure = reportFailure(answer, output))
         return *failure;
     if (const JsonValue *versions = answer->body.find("versions"))
         for (const JsonValue &version : versions->items)
@@ -242,7 +243,7 @@
 CtlExit showStatus(ProxyClient &client, bool json, CtlOutput output)
 {
     const auto answer = client.get("/admin/v1/status");
-    if (const auto failure = failureOf(answer, output))
+    if (const auto failure = reportFailure(answer, output))
         return *failure;
     output.out << (json ? toJson(answer->body) + "\n" : statusToTable(answer->body));
     return CtlExit::Done;
@@ -253,7 +254,7 @@
     JsonWriter json;
     json.beginObject().member("host", host).endObject();
     const auto answer = client.post("/admin/v1/drain", json.take());
-    if (const auto failure = failureOf(answer, output))
+    if (const auto failure = reportFailure(answer, output))
         return *failure;
     bool all = true;
     if (const JsonValue *processes = answer->body.find("processes")) {
@@ -279,7 +280,7 @@
     json.member("acceptLoss", acceptLoss);
     json.endObject();
     const auto answer = client.post("/admin/v1/promote", json.take());
-    if (const auto failure = failureOf(answer, output))
+    if (const auto failure = reportFailure(answer, output))
         return *failure;
     output.out << "the owner of " << group << " promotes " << server << "; see status\n";
     if (!answer->body.textOf("detail").empty())
--- a/src/admin/operatorapi.cpp
+++ b/src/admin/operatorapi.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr std::size_t defaultHistory = 20;
-constexpr std::size_t maxHistory = 1000;
+constexpr std::size_t defaultHistoryLimit = 20;
+constexpr std::size_t maxHistoryLimit = 1000;
 constexpr std::size_t maxAuthorLength = 128;
 constexpr const char *documentName = "document";
 
@@ -103,7 +103,7 @@
     HttpMethod method;
     const char *path;
     // For operators of all teams only.
-    bool allTeams;
+    bool requiresAllTeams;
     void (OperatorApi::*run)(Call);
 };
 
@@ -146,8 +146,8 @@
 void OperatorApi::onRequest(HttpRequest request, HttpReplyPtr reply)
 {
     const settings::ConfigurationPtr current = parts_.config.current();
-    if (current != keysOf_) {
-        keysOf_ = current;
+    if (current != keysConfiguration_) {
+        keysConfiguration_ = current;
         keys_ = caller::operatorKeys(current->inventory, parts_.settings.operatorKeyHash);
     }
     const std::optional<std::string_view> key = caller::bearerKey(request.authorization);
@@ -157,7 +157,7 @@
     const Route *route = findRoute(request);
     if (!route)
         return refuse(reply, Reason::UnknownPath, "see docs/ADMIN.md");
-    if (route->allTeams && !team->empty())
+    if (route->requiresAllTeams && !team->empty())
         return refuse(reply, Reason::Forbidden, "the key is limited to team " + *team);
     Call call {*team, std::move(request.query), {}, reply};
     if (request.method == HttpMethod::Post) {
@@ -179,9 +179,9 @@
         if (call.body.textOf(name).empty())
             problem.findings.push_back({std::string("/") + name, "is missing"});
     for (const std::string &name : call.body.names) {
-        const auto same = [&](const char *allowed) { return name == allowed; };
-        if (std::none_of(required.begin(), required.end(), same)
-            && std::none_of(optional.begin(), optional.end(), same))
+        const auto matches = [&](const char *allowed) { return name == allowed; };
+        if (std::none_of(required.begin(), required.end(), matches)
+            && std::none_of(optional.begin(), optional.end(), matches))
             problem.findings.push_back({"/" + name, "there is no such field here"});
     }
     if (problem.findings.empty())
@@ -191,7 +191,7 @@
     return false;
 }
 
-bool OperatorApi::mayTouch(const TeamName &team, const GroupName &group) const
+bool OperatorApi::mayAccess(const TeamName &team, const GroupName &group) const
 {
     if (team.empty())
         return true;
@@ -202,7 +202,7 @@
 
 // ---- Configuration ----
 
-void OperatorApi::answerRecord(const Call &call, const ConfigRecord &record)
+void OperatorApi::sendRecord(const Call &call, const ConfigRecord &record)
 {
     const settings::ConfigurationPtr current = parts_.config.current();
     JsonWriter json;
@@ -221,18 +221,18 @@
     const auto answer = [this, call, version](absl::StatusOr<std::optional<ConfigRecord>> record) {
         const settings::ConfigurationPtr current = parts_.config.current();
         if (record.ok() && *record)
-            return answerRecord(call, **record);
+            return sendRecord(call, **record);
         if (record.ok() && version > 0)
             return refuse(call.reply, Reason::UnknownPath, "there is no such version");
         if (record.ok())
-            return answerRecord(call, ConfigRecord());
+            return sendRecord(call, ConfigRecord());
         if (!current || (version > 0 && version != current->version))
             return refuse(call.reply, Reason::StoreUnavailable,
                           std::string(record.status().message()));
         ConfigRecord known;
         known.version = current->version;
         known.document = current->document;
-        answerRecord(call, known);
+        sendRecord(call, known);
     };
     version > 0 ? parts_.store.readVersion(version, answer) : parts_.store.readNewest(answer);
 }
@@ -339,7 +339,7 @@
 void OperatorApi::history(Call call)
 {
     const std::size_t limit = std::min<std::size_t>(
-        toNumber(queryValue(call.query, "limit"), defaultHistory), maxHistory);
+        toNumber(queryValue(call.query, "limit"), defaultHistoryLimit), maxHistoryLimit);
     parts_.store.readHistory(limit,
                              [this, call](absl::StatusOr<std::vector<ConfigRecord>> records) {
                                  if (!records.ok())
--- a/src/admin/operatorapi.h
+++ b/src/admin/operatorapi.h
@@ -2,7 +2,7 @@
 
 #include "admin/configservice.h"
 #include "admin/configstore.h"
-#include "admin/statusgather.h"
+#include "admin/operatorcalls.h"
 #include "caller/httpmessage.h"
 #include "caller/keyring.h"
 #include "caller/problem.h"
@@ -48,7 +48,7 @@
     // Refuses and returns false when the body lacks a field or has one that is not named.
     bool checkBody(const Call &call, std::initializer_list<const char *> required,
                    std::initializer_list<const char *> optional);
-    bool mayTouch(const TeamName &team, const GroupName &group) const;
+    bool mayAccess(const TeamName &team, const GroupName &group) const;
 
     void getConfiguration(Call call);
     void checkConfiguration(Call call);
@@ -60,15 +60,15 @@
     void promote(Call call);
     void explain(Call call);
 
-    void answerRecord(const Call &call, const ConfigRecord &record);
+    void sendRecord(const Call &call, const ConfigRecord &record);
     void onApplied(const Call &call, const ConfigRecord &record,
                    const absl::StatusOr<ConfigApplied> &applied);
-    void onOperated(const Call &call, const char *what,
-                    const absl::StatusOr<inner::OperatorAnswer> &answer);
+    void onOperatorAnswer(const Call &call, const char *commandName,
+                          const absl::StatusOr<inner::OperatorAnswer> &answer);
 
     const Parts parts_;
     // Keys of the version for which they were collected.
-    settings::ConfigurationPtr keysOf_;
+    settings::ConfigurationPtr keysConfiguration_;
     KeyRing keys_;
 };
 
--- a/src/admin/operatorprocesses.cpp
+++ b/src/admin/operatorapiprocesses.cpp
@@ -27,12 +27,13 @@
     if (!current)
         return call.reply->send(
             caller::jsonResponse(statusToJson({}, 0, [](const GroupName &) { return true; })));
-    parts_.calls.gather(current->inventory, [this, call, current](const SystemStatus &status) {
-        const GroupFilter visible = [&](const GroupName &group) {
-            return mayTouch(call.team, group);
-        };
-        call.reply->send(caller::jsonResponse(statusToJson(status, current->version, visible)));
-    });
+    parts_.calls.gatherStatus(
+        current->inventory, [this, call, current](const SystemStatus &status) {
+            const GroupFilter visible = [&](const GroupName &group) {
+                return mayAccess(call.team, group);
+            };
+            call.reply->send(caller::jsonResponse(statusToJson(status, current->version, visible)));
+        });
 }
 
 void OperatorApi::drain(Call call)
@@ -87,25 +88,26 @@
     const settings::ConfigurationPtr current = parts_.config.current();
     if (!current || !current->inventory.findGroup(request.group))
         return refuse(call.reply, Reason::UnknownGroup);
-    if (!mayTouch(call.team, request.group))
+    if (!mayAccess(call.team, request.group))
         return refuse(call.reply, Reason::Forbidden);
     LOG(INFO) << "event=operator_promote group=" << request.group
               << " server=" << logValue(request.server) << " accept_loss=" << request.acceptLoss
               << " cause=\"operator asked\"";
-    parts_.calls.gather(current->inventory, [this, call, request](const SystemStatus &status) {
-        for (const inner::GroupStatus &group : status.groups)
-            if (group.group == request.group)
-                return parts_.calls.operate(
-                    group.owner.address, request,
-                    [this, call](const absl::StatusOr<inner::OperatorAnswer> &answer) {
-                        onOperated(call, "promote", answer);
-                    });
-        refuse(call.reply, Reason::NoOwner);
-    });
+    parts_.calls.gatherStatus(
+        current->inventory, [this, call, request](const SystemStatus &status) {
+            for (const inner::GroupStatus &group : status.groups)
+                if (group.group == request.group)
+                    return parts_.calls.operate(
+                        group.owner.address, request,
+                        [this, call](const absl::StatusOr<inner::OperatorAnswer> &answer) {
+                            onOperatorAnswer(call, "promote", answer);
+                        });
+            refuse(call.reply, Reason::NoOwner);
+        });
 }
 
-void OperatorApi::onOperated(const Call &call, const char *what,
-                             const absl::StatusOr<inner::OperatorAnswer> &answer)
+void OperatorApi::onOperatorAnswer(const Call &call, const char *commandName,
+                                   const absl::StatusOr<inner::OperatorAnswer> &answer)
 {
     if (!answer.ok())
         return refuse(call.reply, Reason::OwnerUnreachable, std::string(answer.status().message()));
@@ -113,7 +115,7 @@
         return refuse(call.reply, answer->reason, answer->detail);
     JsonWriter json;
     json.beginObject();
-    json.member("accepted", what);
+    json.member("accepted", commandName);
     if (!answer->detail.empty())
         json.member("detail", answer->detail);
     json.endObject();
--- a/src/admin/statusgather.cpp
+++ b/src/admin/operatorcalls.cpp
@@ -1,4 +1,4 @@
-#include "admin/statusgather.h"
+#include "admin/operatorcalls.h"
 
 #include <algorithm>
 #include <map>
@@ -10,9 +10,9 @@
 // Chosen, not measured: an owner answers from memory, and a dead one should not hold up the rest.
 constexpr Duration operatorTimeout = std::chrono::seconds(2);
 // Processes asked at the same time.
-constexpr std::size_t gatherWindow = 64;
+constexpr std::size_t maxConcurrentRequests = 64;
 
-std::vector<ProcessStatus> processesOf(const settings::Inventory &inventory)
+std::vector<ProcessStatus> listProcesses(const settings::Inventory &inventory)
 {
     std::vector<ProcessStatus> processes;
     for (const settings::Host &host : inventory.hosts) {
@@ -61,7 +61,7 @@
 } // namespace
 
 // One request on its way to many processes.
-struct OperatorCalls::Round
+struct OperatorCalls::Broadcast
 {
     std::vector<std::string> addresses;
     inner::OperatorRequest request;
@@ -94,34 +94,34 @@
 {
     if (addresses.empty())
         return callback({});
-    const auto round = std::make_shared<Round>();
-    round->answers.resize(addresses.size(), absl::UnknownError("not asked"));
-    round->addresses = std::move(addresses);
-    round->request = request;
-    round->callback = std::move(callback);
-    const std::size_t first = std::min(gatherWindow, round->addresses.size());
+    const auto broadcast = std::make_shared<Broadcast>();
+    broadcast->answers.resize(addresses.size(), absl::UnknownError("not asked"));
+    broadcast->addresses = std::move(addresses);
+    broadcast->request = request;
+    broadcast->callback = std::move(callback);
+    const std::size_t first = std::min(maxConcurrentRequests, broadcast->addresses.size());
     for (std::size_t i = 0; i < first; ++i)
-        askNext(round);
+        sendNext(broadcast);
 }
 
-void OperatorCalls::askNext(const std::shared_ptr<Round> &round)
+void OperatorCalls::sendNext(const std::shared_ptr<Broadcast> &broadcast)
 {
-    const std::size_t index = round->next++;
-    if (index >= round->addresses.size())
+    const std::size_t index = broadcast->next++;
+    if (index >= broadcast->addresses.size())
         return;
-    operate(round->addresses[index], round->request,
-            [this, round, index](absl::StatusOr<inner::OperatorAnswer> answer) {
-                round->answers[index] = std::move(answer);
-                if (++round->answered == round->addresses.size())
-                    return round->callback(std::move(round->answers));
-                askNext(round);
+    operate(broadcast->addresses[index], broadcast->request,
+            [this, broadcast, index](absl::StatusOr<inner::OperatorAnswer> answer) {
+                broadcast->answers[index] = std::move(answer);
+                if (++broadcast->answered == broadcast->addresses.size())
+                    return broadcast->callback(std::move(broadcast->answers));
+                sendNext(broadcast);
             });
 }
 
-void OperatorCalls::gather(const settings::Inventory &inventory, StatusCallback callback)
+void OperatorCalls::gatherStatus(const settings::Inventory &inventory, StatusCallback callback)
 {
     SystemStatus status;
-    status.processes = processesOf(inventory);
+    status.processes = listProcesses(inventory);
     std::vector<std::string> addresses;
     for (const ProcessStatus &process : status.processes)
         addresses.push_back(process.address);
--- a/src/admin/statusgather.h
+++ b/src/admin/operatorcalls.h
@@ -31,11 +31,11 @@
                     std::function<void(OperatorAnswers)> callback);
 
     // Asks every process of the configuration for its status.
-    void gather(const settings::Inventory &inventory, StatusCallback callback);
+    void gatherStatus(const settings::Inventory &inventory, StatusCallback callback);
 
 private:
-    struct Round;
-    void askNext(const std::shared_ptr<Round> &round);
+    struct Broadcast;
+    void sendNext(const std::shared_ptr<Broadcast> &broadcast);
 
     DutyThread &thread_;
     AdminPeers &peers_;
--- a/src/admin/platformconfigstore.cpp
+++ b/src/admin/platformconfigstore.cpp
@@ -14,10 +14,10 @@
 using services::TableRow;
 
 // Most versions that one history tells.
-constexpr std::size_t maxHistory = 100;
+constexpr std::size_t maxHistoryLimit = 100;
 
 // How sure a failed write is not to have happened.
-WriteOutcome outcomeOf(const absl::Status &status)
+WriteOutcome toWriteOutcome(const absl::Status &status)
 {
     if (status.ok())
         return WriteOutcome::Done;
@@ -57,7 +57,7 @@
 
 // The rows of one accepted version.
 absl::StatusOr<std::vector<services::ConditionalWrite>>
-rowsOf(const ConfigRecord &record, const std::optional<std::string> &newestEtag)
+encodeVersionRows(const ConfigRecord &record, const std::optional<std::string> &newestEtag)
 {
     ConfigRecord entry = record;
     entry.document.clear();
@@ -80,10 +80,10 @@
 // One apply under way. Its timer and the callbacks of the table service keep it alive.
 struct PlatformConfigStore::Apply
 {
-    Apply(ConfigVersion expected, ConfigRecord theRecord, ConfigApplyCallback theCallback,
+    Apply(ConfigVersion expected, ConfigRecord recordToApply, ConfigApplyCallback applyCallback,
           std::uint64_t seed)
-        : record(std::move(theRecord)), decision(expected, record.changeId, patience, seed),
-          callback(std::move(theCallback))
+        : record(std::move(recordToApply)), decision(expected, record.changeId, applyTimeout, seed),
+          callback(std::move(applyCallback))
     { }
 
     const ConfigRecord record;
@@ -96,7 +96,7 @@
 struct PlatformConfigStore::History
 {
     std::vector<ConfigRecord> records;
-    std::size_t awaited = 0;
+    std::size_t pending = 0;
     absl::Status status;
     ConfigHistoryCallback callback;
 };
@@ -153,8 +153,8 @@
     readNewestVersion([this, limit, history](absl::StatusOr<ConfigVersion> newest) {
         if (!newest.ok())
             return history->callback(newest.status());
-        const std::size_t count = std::min<std::size_t>(std::min(limit, maxHistory), *newest);
-        history->awaited = count;
+        const std::size_t count = std::min<std::size_t>(std::min(limit, maxHistoryLimit), *newest);
+        history->pending = count;
         if (count == 0)
             return history->callback(std::vector<ConfigRecord>());
         for (std::size_t i = 0; i < count; ++i)
@@ -170,7 +170,7 @@
         history.status = record.status();
     else if (*record)
         history.records.push_back(**record);
-    if (--history.awaited > 0)
+    if (--history.pending > 0)
         return;
     std::sort(history.records.begin(), history.records.end(),
               [](const ConfigRecord &a, const ConfigRecord &b) { return a.version > b.version; });
@@ -180,7 +180,7 @@
         history.callback(history.status);
 }
 
-void PlatformConfigStore::keepSnapshot(ConfigVersion version)
+void PlatformConfigStore::updateSnapshot(ConfigVersion version)
 {
     readVersion(version, [this](absl::StatusOr<std::optional<ConfigRecord>> record) {
         if (record.ok() && *record)
@@ -243,12 +243,12 @@
 
 void PlatformConfigStore::writeFor(const ApplyPtr &apply, const decision::WriteVersionRow &action)
 {
-    const auto rows = rowsOf(apply->record, action.newestEtag);
+    const auto rows = encodeVersionRows(apply->record, action.newestEtag);
     // Not to be had by trying again, but certain not to have been written.
     if (!rows.ok())
         return step(apply, apply->decision.onWriteOutcome(timers_.now(), WriteOutcome::NotSent));
-    tables_->write(*rows, [this, apply](auto tags) {
-        step(apply, apply->decision.onWriteOutcome(timers_.now(), outcomeOf(tags.status())));
+    tables_->write(*rows, [this, apply](auto etags) {
+        step(apply, apply->decision.onWriteOutcome(timers_.now(), toWriteOutcome(etags.status())));
     });
 }
 
--- a/src/admin/platformconfigstore.h
+++ b/src/admin/platformconfigstore.h
@@ -25,11 +25,11 @@
     void readVersion(ConfigVersion version, ConfigRecordCallback callback) override;
     void readSnapshot(ConfigRecordCallback callback) override;
     void readHistory(std::size_t limit, ConfigHistoryCallback callback) override;
-    void keepSnapshot(ConfigVersion version) override;
+    void updateSnapshot(ConfigVersion version) override;
     void apply(ConfigVersion expected, ConfigRecord record, ConfigApplyCallback callback) override;
 
     // How long an apply goes on trying while the store does not answer.
-    static constexpr Duration patience = std::chrono::seconds(10);
+    static constexpr Duration applyTimeout = std::chrono::seconds(10);
 
 private:
     struct Apply;
--- a/src/admin/processframe.cpp
+++ b/src/admin/processframe.cpp
@@ -18,14 +18,14 @@
 // A whole configuration document, with room for the escapes of JSON.
 constexpr std::size_t maxAdminBodyBytes = 2 * settings::maxDocumentBytes;
 // How often a draining program is asked whether it is done.
-constexpr auto drainPoll = std::chrono::milliseconds(20);
+constexpr auto drainPollPeriod = std::chrono::milliseconds(20);
 // How often the log says that it is still draining.
-constexpr auto drainReport = std::chrono::seconds(10);
+constexpr auto drainLogPeriod = std::chrono::seconds(10);
 // Longest drain: an owner that can reach neither the store nor a successor has nobody to hand its
 // groups to; stopping then lets their leases run out. Longer than any deadline of the demo's kinds.
-constexpr auto drainLimit = std::chrono::seconds(30);
+constexpr auto drainTimeout = std::chrono::seconds(30);
 
-caller::HttpLimits limitsOf(const settings::ProcessSettings &settings)
+caller::HttpLimits adminLimits(const settings::ProcessSettings &settings)
 {
     caller::HttpLimits limits;
     limits.maxConnections = maxAdminConnections;
@@ -48,7 +48,7 @@
                 [this](caller::HttpRequest request, caller::HttpReplyPtr reply) {
                     api_.onRequest(std::move(request), std::move(reply));
                 }}),
-      server_(thread_, handler_, limitsOf(settings),
+      server_(thread_, handler_, adminLimits(settings),
               [&metrics](Reason reason) { metrics.countRefusal(reason); })
 {
     peers_.setHandlers(
@@ -107,20 +107,20 @@
     boost::asio::io_context context;
     boost::asio::signal_set signals(context, SIGTERM, SIGINT);
     boost::asio::steady_timer timer(context);
-    auto began = std::chrono::steady_clock::now();
-    auto reported = began;
+    auto drainStart = std::chrono::steady_clock::now();
+    auto lastLogged = drainStart;
     bool forced = false;
     std::function<void()> poll = [&] {
         if (frameProgram_.drained() || forced)
             return context.stop();
         const auto now = std::chrono::steady_clock::now();
-        if (now - began >= drainLimit)
+        if (now - drainStart >= drainTimeout)
             forced = true;
-        if (now - reported >= drainReport) {
-            reported = now;
+        if (now - lastLogged >= drainLogPeriod) {
+            lastLogged = now;
             LOG(INFO) << "event=draining program=" << program_ << " cause=\"work in progress\"";
         }
-        timer.expires_after(drainPoll);
+        timer.expires_after(drainPollPeriod);
         timer.async_wait([&](const boost::system::error_code &) { poll(); });
     };
     signals.async_wait([&](const boost::system::error_code &error, int number) {
@@ -128,7 +128,7 @@
             return;
         LOG(INFO) << "event=drain program=" << program_ << " cause=\"signal " << number << '"';
         draining_ = true;
-        began = reported = std::chrono::steady_clock::now();
+        drainStart = lastLogged = std::chrono::steady_clock::now();
         frameProgram_.drain();
         signals.async_wait(
             [&](const boost::system::error_code &secondError, int) { forced = !secondError; });
--- a/src/admin/processframe.h
+++ b/src/admin/processframe.h
@@ -5,7 +5,7 @@
 #include "admin/configservice.h"
 #include "admin/frameprogram.h"
 #include "admin/operatorapi.h"
-#include "admin/statusgather.h"
+#include "admin/operatorcalls.h"
 #include "caller/httpserver.h"
 #include "core/dutythread.h"
 #include "core/metrics.h"
--- a/src/admin/snapshotwriter.cpp
+++ b/src/admin/snapshotwriter.cpp
@@ -12,16 +12,16 @@
 
 void SnapshotWriter::update(services::ConfigVersionRow row)
 {
-    if (wanted_ && wanted_->version >= row.version)
+    if (pending_ && pending_->version >= row.version)
         return;
-    wanted_ = std::move(row);
-    if (!busy_)
+    pending_ = std::move(row);
+    if (!running_)
         read();
 }
 
 void SnapshotWriter::read()
 {
-    busy_ = true;
+    running_ = true;
     const std::weak_ptr<bool> alive = alive_;
     objects_.get(services::configSnapshotKey,
                  [this, alive](absl::StatusOr<std::optional<services::TableRow>> read) {
@@ -39,20 +39,20 @@
     if (*read) {
         // A snapshot that can't be read is of no use to anybody and is written over.
         const auto current = services::decodeConfigVersionRow((*read)->value);
-        if (current.ok() && current->version >= wanted_->version)
-            return done();
+        if (current.ok() && current->version >= pending_->version)
+            return finish();
         write.expectedEtag = (*read)->etag;
     }
-    const auto text = services::encodeConfigRow(*wanted_);
+    const auto text = services::encodeConfigRow(*pending_);
     if (!text.ok())
-        return done();
+        return finish();
     write.value = *text;
     const std::weak_ptr<bool> alive = alive_;
     objects_.put(
         std::move(write),
-        [this, alive, version = wanted_->version](absl::StatusOr<std::vector<std::string>> tags) {
+        [this, alive, version = pending_->version](absl::StatusOr<std::vector<std::string>> etags) {
             if (!alive.expired())
-                onWritten(version, tags.status());
+                onWritten(version, etags.status());
         });
 }
 
@@ -61,10 +61,10 @@
     if (!status.ok() && !absl::IsFailedPrecondition(status))
         return retry();
     // Another process was faster, or a still newer version has come up: look again.
-    if (!status.ok() || wanted_->version > version)
+    if (!status.ok() || pending_->version > version)
         return read();
     LOG(INFO) << "event=config_snapshot version=" << version;
-    done();
+    finish();
 }
 
 void SnapshotWriter::retry()
@@ -76,10 +76,10 @@
     });
 }
 
-void SnapshotWriter::done()
+void SnapshotWriter::finish()
 {
-    busy_ = false;
-    wanted_.reset();
+    running_ = false;
+    pending_.reset();
 }
 
 } // namespace kelptally::admin
--- a/src/admin/snapshotwriter.h
+++ b/src/admin/snapshotwriter.h
@@ -22,7 +22,7 @@
     void update(services::ConfigVersionRow row);
 
     // Whether nothing is left to write.
-    bool idle() const { return !wanted_; }
+    bool idle() const { return !pending_; }
 
     static constexpr Duration retryPeriod = std::chrono::seconds(1);
 
@@ -31,12 +31,12 @@
     void onRead(const absl::StatusOr<std::optional<services::TableRow>> &read);
     void onWritten(ConfigVersion version, const absl::Status &status);
     void retry();
-    void done();
+    void finish();
 
     TimerService &timers_;
     services::ObjectStore &objects_;
-    std::optional<services::ConfigVersionRow> wanted_;
-    bool busy_ = false;
+    std::optional<services::ConfigVersionRow> pending_;
+    bool running_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/admin/startup.cpp
+++ b/src/admin/startup.cpp
@@ -29,23 +29,23 @@
     return {file.getValue(), check.getValue()};
 }
 
-StartUp endWith(int exitCode)
+StartupResult exitWith(int exitCode)
 {
-    StartUp result;
+    StartupResult result;
     result.exitCode = exitCode;
     return result;
 }
 
-StartUp readSettings(const Options &options)
+StartupResult readSettings(const Options &options)
 {
     settings::Findings findings;
-    StartUp result;
+    StartupResult result;
     const std::string text = settings::readFile(options.settingsFile, findings);
     if (findings.empty())
         result.settings = settings::parseProcessSettings(options.settingsFile, text, findings);
     if (!findings.empty()) {
         std::cerr << findings.toText();
-        return endWith(exitFailed);
+        return exitWith(exitFailed);
     }
     if (options.check) {
         std::cout << options.settingsFile << ": no mistakes\n";
@@ -61,15 +61,15 @@
     return KELPTALLY_VERSION;
 }
 
-StartUp startUp(int argc, const char *const *argv, const std::string &summary)
+StartupResult startUp(int argc, const char *const *argv, const std::string &summary)
 {
     try {
         return readSettings(parseOptions(argc, argv, summary));
     } catch (const TCLAP::ArgException &error) {
         std::cerr << argv[0] << ": " << error.argId() << ": " << error.error() << " (see --help)\n";
-        return endWith(exitUsage);
+        return exitWith(exitUsage);
     } catch (const TCLAP::ExitException &end) {
-        return endWith(end.getExitStatus());
+        return exitWith(end.getExitStatus());
     }
 }
 
--- a/src/admin/startup.h
+++ b/src/admin/startup.h
@@ -15,7 +15,7 @@
 constexpr int exitUsage = 2;
 
 // What the command line of a daemon came to.
-struct StartUp
+struct StartupResult
 {
     // Set when the process ends here: after --help, --version, --check or on mistakes.
     std::optional<int> exitCode;
@@ -24,7 +24,7 @@
 
 // Takes the options --settings FILE, --check, --version and --help, and reads the settings file.
 // Every finding is printed on standard error.
-StartUp startUp(int argc, const char *const *argv, const std::string &summary);
+StartupResult startUp(int argc, const char *const *argv, const std::string &summary);
 
 // Version of the build, as --version prints it.
 std::string buildVersion();
--- a/src/admin/statusjson.cpp
+++ b/src/admin/statusjson.cpp
@@ -60,7 +60,7 @@
 using TableRow = std::vector<std::string>;
 
 // Columns as wide as their widest cell, two blanks between them.
-std::string layOut(const std::vector<TableRow> &rows)
+std::string formatTable(const std::vector<TableRow> &rows)
 {
     std::vector<std::size_t> widths;
     for (const TableRow &row : rows) {
@@ -115,7 +115,7 @@
     for (const JsonValue &process : itemsOf(status, "processes"))
         rows.push_back({process.textOf("host"), process.textOf("role"), process.textOf("address"),
                         process.textOf("version"), processState(process)});
-    return layOut(rows);
+    return formatTable(rows);
 }
 
 std::string groupTable(const JsonValue &status)
@@ -128,7 +128,7 @@
                             serverState(server), server.textOf("term"), server.textOf("offset"),
                             server.textOf("lagMs"), server.textOf("connections"),
                             server.textOf("slotsBusy"), server.textOf("queued")});
-    return layOut(rows);
+    return formatTable(rows);
 }
 
 std::string ownerTable(const JsonValue &status)
@@ -145,7 +145,7 @@
     }
     for (const JsonValue &group : itemsOf(status, "unowned"))
         rows.push_back({group.text, "(none)"});
-    return layOut(rows);
+    return formatTable(rows);
 }
 
 } // namespace
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -11,7 +11,7 @@
 {
     using namespace kelptally;
 
-    const admin::StartUp startUp =
+    const admin::StartupResult startUp =
         admin::startUp(argc, argv, "Terminates callers' connections and admits their requests");
     if (startUp.exitCode)
         return *startUp.exitCode;
--- a/src/owner/main.cpp
+++ b/src/owner/main.cpp
@@ -10,7 +10,7 @@
 int main(int argc, char **argv)
 {
     using namespace kelptally;
-    const admin::StartUp start = admin::startUp(argc, argv, "Owns database groups");
+    const admin::StartupResult start = admin::startUp(argc, argv, "Owns database groups");
     if (start.exitCode)
         return *start.exitCode;
     startLogging(argv[0], start.settings.logDirectory, start.settings.logLevel);
--- a/src/owner/peerinbox.cpp
+++ b/src/owner/peerinbox.cpp
@@ -50,9 +50,9 @@
     if (!adminPeers_)
         return;
     if (const auto *heartbeat = std::get_if<inner::Heartbeat>(&message))
-        adminPeers_->onVersionHeard(heartbeat->from.address, heartbeat->configVersion);
+        adminPeers_->onPeerVersion(heartbeat->from.address, heartbeat->configVersion);
     else if (const auto *answer = std::get_if<inner::HeartbeatAnswer>(&message))
-        adminPeers_->onVersionHeard(answer->from.address, answer->configVersion);
+        adminPeers_->onPeerVersion(answer->from.address, answer->configVersion);
 }
 
 // Bypasses the bounded queue, as the link's requests must be cancelled even when it is full.
--- a/tests/admin/framefixture.h
+++ b/tests/admin/framefixture.h
@@ -53,7 +53,7 @@
         callback(std::optional<ConfigRecord>(records_[version - 1]));
     }
 
-    void keepSnapshot(ConfigVersion) override { }
+    void updateSnapshot(ConfigVersion) override { }
 
     void readSnapshot(ConfigRecordCallback callback) override
     {
@@ -154,7 +154,7 @@
     explicit FakeLinks(AdminPeers &peers) : peers_(peers) { }
 
     // The peer says hello with this version.
-    void hold(ConfigVersion version, const std::string &document)
+    void connectPeer(ConfigVersion version, const std::string &document)
     {
         version_ = version;
         document_ = document;
@@ -180,11 +180,11 @@
     {
         if (const auto *request = std::get_if<inner::ConfigRequest>(&message)) {
             answer(inner::ConfigAnswer {request->requestId, version_, document_});
-        } else if (const auto *asked = std::get_if<inner::OperatorRequest>(&message)) {
+        } else if (const auto *operatorRequest = std::get_if<inner::OperatorRequest>(&message)) {
             inner::OperatorAnswer reply;
-            reply.requestId = asked->requestId;
+            reply.requestId = operatorRequest->requestId;
             reply.configVersion = version_;
-            drained_ = drained_ || asked->command == inner::OperatorCommand::Drain;
+            drained_ = drained_ || operatorRequest->command == inner::OperatorCommand::Drain;
             reply.draining = drained_;
             answer(reply);
         } else if (const auto *notice = std::get_if<inner::ConfigNotice>(&message)) {
@@ -257,7 +257,7 @@
 
 // A configuration of one host with an owner at 127.0.0.1:1 and an entry at 127.0.0.1:2, and the
 // groups offers (team brokers, operators' key "broker") and ledger (team books).
-inline std::string smallConfiguration(const std::string &more = {})
+inline std::string smallConfiguration(const std::string &extra = {})
 {
     std::string text = "[zone a]\nregion = r\n"
                        "[host h1]\nzone = a\nowner = 127.0.0.1:1\nentry = 127.0.0.1:2\n"
@@ -274,7 +274,7 @@
                 + group + "\nzone = a\naddress = 127.0.0.1:" + std::to_string(++port)
                 + "\nslots = 3\nconnections = 25\n";
     }
-    return text + "[kind browse]\naccess = read\nstated-age = 2s\n" + more;
+    return text + "[kind browse]\naccess = read\nstated-age = 2s\n" + extra;
 }
 
 // A file in the working directory that goes with the object.
--- a/tests/admin/operatorapi_test.cpp
+++ b/tests/admin/operatorapi_test.cpp
@@ -13,7 +13,7 @@
     return text.find(part) != std::string::npos;
 }
 
-caller::RawAnswer ask(const FrameFixture &fixture, const std::string &path,
+caller::RawAnswer get(const FrameFixture &fixture, const std::string &path,
                       const std::string &headers = {})
 {
     caller::RawClient client(fixture.frame.adminPort());
@@ -28,17 +28,17 @@
 TEST_CASE("An applied document is in force, and its history is told")
 {
     FrameFixture fixture;
-    fixture.links.hold(0, "");
-    CHECK(ask(fixture, "/readyz").status == 503);
-    CHECK(ask(fixture, "/readyz").body == "no configuration yet\n");
+    fixture.links.connectPeer(0, "");
+    CHECK(get(fixture, "/readyz").status == 503);
+    CHECK(get(fixture, "/readyz").body == "no configuration yet\n");
     const TemporaryFile file(fileName, smallConfiguration());
     CHECK(fixture.ctl({"apply", fileName, "--expect", "0", "--author", "Ada", "--wait"})
           == CtlExit::Done);
     CHECK(fixture.out == "accepted as version 1\n");
     CHECK(contains(fixture.err, "version 1: 2 of 2 processes have it"));
     CHECK(fixture.program.waitForVersion(1));
-    CHECK(ask(fixture, "/readyz").status == 200);
-    CHECK(contains(ask(fixture, "/metrics").body, "kelptally_config_version 1"));
+    CHECK(get(fixture, "/readyz").status == 200);
+    CHECK(contains(get(fixture, "/metrics").body, "kelptally_config_version 1"));
 
     CHECK(fixture.ctl({"history"}) == CtlExit::Done);
     CHECK(contains(fixture.out, "1  20"));
@@ -117,9 +117,9 @@
     const TemporaryFile file(fileName, smallConfiguration());
     REQUIRE(fixture.ctl({"apply", fileName, "--expect", "0"}) == CtlExit::Done);
     REQUIRE(fixture.program.waitForVersion(1));
-    CHECK(ask(fixture, "/admin/v1/status").status == 401);
-    CHECK(ask(fixture, "/admin/v1/status", "Authorization: Bearer caller\r\n").status == 401);
-    CHECK(ask(fixture, "/admin/v1/nothing", "Authorization: Bearer root\r\n").status == 404);
+    CHECK(get(fixture, "/admin/v1/status").status == 401);
+    CHECK(get(fixture, "/admin/v1/status", "Authorization: Bearer caller\r\n").status == 401);
+    CHECK(get(fixture, "/admin/v1/nothing", "Authorization: Bearer root\r\n").status == 404);
 
     CHECK(fixture.ctl({"status"}) == CtlExit::Done);
     CHECK(contains(fixture.out, "offers-s1"));
@@ -179,7 +179,7 @@
 {
     FrameFixture fixture;
     fixture.faults.down = true;
-    fixture.links.hold(5, smallConfiguration());
+    fixture.links.connectPeer(5, smallConfiguration());
     CHECK(fixture.program.waitForVersion(5));
     CHECK(fixture.frame.configuration()->document == smallConfiguration());
 }
--- a/tests/admin/platformconfigstore_test.cpp
+++ b/tests/admin/platformconfigstore_test.cpp
@@ -166,7 +166,7 @@
     // As if the process that applied version 2 had died before it wrote the snapshot.
     const auto row = fixture.getObject(configSnapshotKey);
     REQUIRE(fixture.putObject({"", configSnapshotKey, *encodeConfigRow(old), (*row)->etag}).ok());
-    boost::asio::post(fixture.thread.context(), [&] { fixture.store->keepSnapshot(2); });
+    boost::asio::post(fixture.thread.context(), [&] { fixture.store->updateSnapshot(2); });
     CHECK(fixture.awaitSnapshot(2).document == "two");
 }
 
--- a/tests/admin/startup_test.cpp
+++ b/tests/admin/startup_test.cpp
@@ -42,12 +42,13 @@
 };
 
 // Catches what a program prints.
-class Printed
+class CapturedOutput
 {
 public:
-    explicit Printed(std::ostream &stream) : stream_(stream), before_(stream.rdbuf(text_.rdbuf()))
+    explicit CapturedOutput(std::ostream &stream)
+        : stream_(stream), before_(stream.rdbuf(text_.rdbuf()))
     { }
-    ~Printed() { stream_.rdbuf(before_); }
+    ~CapturedOutput() { stream_.rdbuf(before_); }
     std::string text() const { return text_.str(); }
 
 private:
@@ -56,7 +57,7 @@
     std::streambuf *before_;
 };
 
-StartUp startWith(std::initializer_list<const char *> arguments)
+StartupResult startWith(std::initializer_list<const char *> arguments)
 {
     std::vector<const char *> argv = {"program"};
     argv.insert(argv.end(), arguments);
@@ -68,10 +69,10 @@
 TEST_CASE("A good settings file starts the process")
 {
     const TemporaryFile file(goodSettings);
-    const StartUp result = startWith({"--settings", file.path()});
+    const StartupResult result = startWith({"--settings", file.path()});
     CHECK_FALSE(result.exitCode);
     CHECK(result.settings.peerAddress() == "127.0.0.1:7001");
-    const Printed out(std::cout);
+    const CapturedOutput out(std::cout);
     CHECK(startWith({"--settings", file.path(), "--check"}).exitCode == exitOk);
     CHECK(out.text() == "startup_test.ini: no mistakes\n");
 }
@@ -84,7 +85,7 @@
     text.replace(text.find("host-list"), 9, "host-lost");
     text += "[extra]\n[limits]\nmax-request-bytes = x\n";
     const TemporaryFile file(text);
-    const Printed out(std::cerr);
+    const CapturedOutput out(std::cerr);
     CHECK(startWith({"--settings", file.path(), "--check"}).exitCode == exitFailed);
     const std::string report = out.text();
     CAPTURE(report);
@@ -95,12 +96,12 @@
 
 TEST_CASE("A wrong command line is told from a wrong file")
 {
-    const Printed out(std::cerr);
+    const CapturedOutput out(std::cerr);
     CHECK(startWith({"--settings", "/nowhere/x.ini"}).exitCode == exitFailed);
     CHECK(out.text().find("/nowhere/x.ini") == 0);
     CHECK(startWith({}).exitCode == exitUsage);
     CHECK(startWith({"--no-such-option"}).exitCode == exitUsage);
-    const Printed version(std::cout);
+    const CapturedOutput version(std::cout);
     CHECK(startWith({"--version"}).exitCode == exitOk);
     CHECK(version.text().find(buildVersion()) != std::string::npos);
 }
