--- a/src/admin/adminhandler.h
+++ b/src/admin/adminhandler.h
@@ -8,8 +8,8 @@
 
 namespace kelptally::admin {
 
-// Serves the administration port: /metrics, /healthz and /readyz to everybody, and what is below
-// /admin/v1 through the given function, which checks the operator's key.
+// Serves the administration port: /metrics, /healthz and /readyz without authentication, and paths
+// below /admin/v1 through Parts::api, which checks the operator's key.
 class AdminHandler : public caller::HttpHandler
 {
 public:
@@ -18,9 +18,9 @@
     struct Parts
     {
         Metrics &metrics;
-        // Brings gauges up to date.
+        // Updates the gauges before the metrics are written.
         std::function<void()> collect;
-        // Empty when ready, else why not.
+        // Returns why the process is not ready; empty when it is ready.
         std::function<std::string()> notReady;
         Api api;
     };
--- a/src/admin/adminpeers.cpp
+++ b/src/admin/adminpeers.cpp
@@ -6,14 +6,13 @@
 
 namespace {
 
-// Events of the links that may wait for the admin thread; one that finds the ring full is dropped,
-// and polling or the call's timeout takes its place.
+// Capacity of the queue from the links to the admin thread. Events beyond it are dropped: polling
+// or the timeout of the call makes up for them.
 constexpr std::size_t inboxCapacity = 4096;
-// Chosen, not measured: polling of the store makes up for a peer that does not answer.
 constexpr Duration configAnswerTimeout = std::chrono::seconds(2);
-// How long a link that only a call has wanted is kept for the next one, as when an operator polls.
+// How long a link that was opened for a call is kept open for further calls.
 constexpr Duration idleLinkLifetime = std::chrono::seconds(10);
-// Ids of the frame's requests are far from those of the program, which shares the links.
+// The program sends its own requests on the same links; the ranges of ids must not overlap.
 constexpr inner::RequestId firstRequestId = inner::RequestId(1) << 62;
 
 } // namespace
@@ -38,7 +37,8 @@
 void AdminPeers::push(Event event)
 {
     if (!inbox_.tryPush(std::move(event))) {
-        LOG_EVERY_N(WARNING, 1000) << "event=admin_ring_full cause=\"too many peers' messages\"";
+        LOG_EVERY_N(WARNING, 1000)
+            << "event=admin_ring_full cause=\"the queue of peers' messages is full\"";
     }
 }
 
@@ -147,7 +147,7 @@
                   return callback(result.status());
               if (auto *answer = std::get_if<inner::ConfigAnswer>(&*result))
                   return callback(std::move(*answer));
-              callback(absl::InternalError("an answer of another type"));
+              callback(absl::InternalError("unexpected type of answer"));
           });
 }
 
@@ -162,7 +162,7 @@
                   return callback(result.status());
               if (auto *answer = std::get_if<inner::OperatorAnswer>(&*result))
                   return callback(std::move(*answer));
-              callback(absl::InternalError("an answer of another type"));
+              callback(absl::InternalError("unexpected type of answer"));
           });
 }
 
@@ -180,7 +180,7 @@
     trySend(call);
 }
 
-// Sends when the link is up; else onPeerUp tries again.
+// Sends the message if the link is up; otherwise it is sent when the link comes up.
 void AdminPeers::trySend(Call &call)
 {
     inner::PeerLinks *links = links_;
--- a/src/admin/adminpeers.h
+++ b/src/admin/adminpeers.h
@@ -14,36 +14,38 @@
 
 namespace kelptally::admin {
 
-// The frame's part of the links to our other processes: configuration and operators' calls. The
-// program passes on what its links tell; everything else happens on the admin thread.
+// Exchanges configuration versions and operators' calls with the other processes, on the links that
+// belong to the program. The program forwards the events of its links; everything else runs on the
+// admin thread.
 class AdminPeers
 {
 public:
     using ConfigCallback = std::function<void(absl::StatusOr<inner::ConfigAnswer>)>;
     using OperatorCallback = std::function<void(absl::StatusOr<inner::OperatorAnswer>)>;
-    // A peer said that it has this version.
+    // Called when a peer reports the version that it has.
     using NoticeHandler = std::function<void(const std::string &peer, ConfigVersion version)>;
     using CurrentConfiguration = std::function<settings::ConfigurationPtr()>;
 
     explicit AdminPeers(DutyThread &thread);
 
-    // Before the links are made.
+    // Must be called before the links are created.
     void setHandlers(NoticeHandler onNotice, CurrentConfiguration current);
-    // Null when there are no links any more. Not while the admin thread runs, but for the first.
+    // Null once the links are destroyed. Must not be called while the admin thread runs, except for
+    // the first time.
     void setLinks(inner::PeerLinks *links);
 
-    // From the links' thread. Messages about configuration and operators' answers are taken, for
-    // which true is returned; others are left alone.
+    // Called on the links' thread. onPeerMessage() takes messages about configuration and answers
+    // to operators' calls and returns true for them; it leaves other messages unchanged.
     void onPeerUp(inner::LinkId link, const inner::Hello &peer);
     bool onPeerMessage(inner::LinkId link, inner::Message &message);
     void onPeerDown(inner::LinkId link, const std::string &address);
-    // A heartbeat told the version of its sender; from any thread.
+    // Reports the version that a heartbeat of a peer carried. Callable from any thread.
     void onPeerVersion(const std::string &address, ConfigVersion version);
 
-    // On the admin thread.
+    // These are called on the admin thread.
     void connect(const std::string &address);
     void announce(ConfigVersion version);
-    // Each calls back exactly once, with Unavailable or DeadlineExceeded when no answer comes.
+    // Both call back exactly once, with Unavailable or DeadlineExceeded when there is no answer.
     void fetchConfig(const std::string &address, ConfigVersion atLeast, ConfigCallback callback);
     void operate(const std::string &address, inner::OperatorRequest request, Duration timeout,
                  OperatorCallback callback);
--- a/src/admin/configservice.cpp
+++ b/src/admin/configservice.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// An entry and an owner run on each host, and both poll.
+// An entry and an owner run on each host; both poll the store.
 constexpr std::size_t processesPerHost = 2;
 
 } // namespace
@@ -124,7 +124,8 @@
                        });
 }
 
-// A version that this build can't read, as one of a newer build, leaves the one before in force.
+// Rejects a version that this build cannot parse, for example one for a newer build; the previous
+// version stays in force.
 void ConfigService::installVersion(const decision::InstallConfig &action)
 {
     settings::Findings findings;
--- a/src/admin/configservice.h
+++ b/src/admin/configservice.h
@@ -12,8 +12,9 @@
 
 namespace kelptally::admin {
 
-// The configuration in force in this process, and what brings newer versions: notices of peers,
-// polling of the table service, and the snapshot while that is down. Runs on the admin thread.
+// Holds the configuration in force in this process and obtains newer versions: from peers' notices,
+// by polling the table service, and from the snapshot while the service is down. Runs on the admin
+// thread.
 class ConfigService
 {
 public:
@@ -21,16 +22,17 @@
 
     ConfigService(DutyThread &thread, AdminPeers &peers, ConfigStore &store, Metrics &metrics);
 
-    // Null as long as there is none; from any thread.
+    // Returns null until a version is in force. Callable from any thread.
     settings::ConfigurationPtr current() const;
 
-    // Called on the admin thread for each version put in force. Before start().
+    // The subscriber is called on the admin thread for each version put in force. Must be called
+    // before start().
     void subscribe(Subscriber subscriber);
     void start();
 
-    // On the admin thread.
+    // Both are called on the admin thread.
     void onNotice(const std::string &peer, ConfigVersion version);
-    // A version that this process has just seen accepted.
+    // Reports a version that the store has just accepted from this process.
     void onAccepted(ConfigVersion version, const std::string &document);
 
 private:
--- a/src/admin/configstore.h
+++ b/src/admin/configstore.h
@@ -15,15 +15,15 @@
 
 namespace kelptally::admin {
 
-// One accepted version as the platform keeps it; without its document in a history.
+// An accepted version as stored; its document is empty in a history.
 using ConfigRecord = services::ConfigVersionRow;
 
-// How an apply ended. Unavailable: nothing was written; Unknown: it may have been written, ask
-// again with the same change id.
+// The result of an apply. The apply fails with Unavailable when nothing was written, and with
+// Unknown when it may have been written: it can be repeated with the same change id.
 struct ConfigApplied
 {
     bool accepted = false;
-    // The accepted version, or the newest one that stood in the way.
+    // The accepted version, or the newest version that conflicts.
     ConfigVersion version = 0;
 };
 
@@ -32,23 +32,23 @@
 using ConfigHistoryCallback = std::function<void(absl::StatusOr<std::vector<ConfigRecord>>)>;
 using ConfigApplyCallback = std::function<void(absl::StatusOr<ConfigApplied>)>;
 
-// Where accepted versions are kept: the platform's table service, with a snapshot of the newest in
-// the object store. Used on the admin thread; each callback comes exactly once, there.
+// Stores accepted versions in the platform's table service, with a snapshot of the newest in the
+// object store. Used on the admin thread; each callback is called exactly once, on that thread.
 class ConfigStore
 {
 public:
     virtual ~ConfigStore() = default;
 
-    // Number of the newest version, 0 when there is none; a small read.
+    // Reads the number of the newest version without its document; 0 when there is none.
     virtual void readNewestVersion(ConfigVersionCallback callback) = 0;
     virtual void readNewest(ConfigRecordCallback callback) = 0;
     virtual void readVersion(ConfigVersion version, ConfigRecordCallback callback) = 0;
     virtual void readSnapshot(ConfigRecordCallback callback) = 0;
-    // The newest versions, newest first, without their documents.
+    // Reads the newest versions, newest first, without their documents.
     virtual void readHistory(std::size_t limit, ConfigHistoryCallback callback) = 0;
-    // Brings the snapshot up to this version if it is behind, for as long as that takes.
+    // Updates the snapshot to this version if it is older; retries until that succeeds.
     virtual void updateSnapshot(ConfigVersion version) = 0;
-    // Makes the document version expected + 1 if expected is the newest.
+    // Stores the document as version expected + 1 if expected is the newest version.
     virtual void apply(ConfigVersion expected, ConfigRecord record,
                        ConfigApplyCallback callback) = 0;
 };
--- a/src/admin/ctl.cpp
+++ b/src/admin/ctl.cpp
@@ -34,7 +34,7 @@
     "\n"
     "kelptallyctl COMMAND --help tells the options of one command.\n";
 
-// Options that every command which talks to a proxy has.
+// Options common to all commands that connect to a proxy.
 class CommonOptions
 {
 public:
@@ -47,7 +47,8 @@
                    "seconds", line)
     { }
 
-    // Command line before file, environment before file.
+    // Reads the options; the command line and the environment take precedence over the options
+    // file.
     ProxyOptions read(settings::Findings &findings) const
     {
         ProxyOptions options;
@@ -90,7 +91,7 @@
     TCLAP::ValueArg<int> timeout_;
 };
 
-// The command line of one command: its own arguments are added to line().
+// Parses the command line of one command; the command adds its arguments to line().
 class Command
 {
 public:
--- a/src/admin/ctlclient.cpp
+++ b/src/admin/ctlclient.cpp
@@ -28,7 +28,7 @@
 using Request = http::request<http::string_body>;
 using Parser = http::response_parser<http::string_body>;
 
-// One request on a connection of its own, given up at the time limit.
+// Sends one request on a new connection and reads the response within a time limit.
 template <typename Stream>
 class Exchange
 {
--- a/src/admin/ctlclient.h
+++ b/src/admin/ctlclient.h
@@ -13,13 +13,13 @@
 // How kelptallyctl reaches the proxies.
 struct ProxyOptions
 {
-    // "ip:port" of administration ports; any live one will do.
+    // Administration ports as "ip:port"; the first that answers is used.
     std::vector<std::string> proxies;
-    // Never printed.
+    // Operator's key; never printed.
     std::string key;
-    // PEM file of the authority that signed the proxies' certificates; empty: no TLS.
+    // PEM file of the authority that signed the proxies' certificates; empty for no TLS.
     std::string ca;
-    // For each attempt at one proxy.
+    // Time limit for each attempt at one proxy.
     Duration timeout {std::chrono::seconds(15)};
 };
 
@@ -27,14 +27,14 @@
 {
     int status = 0;
     JsonValue body;
-    // Who answered.
+    // Address of the proxy that answered.
     std::string proxy;
 
     bool succeeded() const { return status >= 200 && status < 300; }
 };
 
-// A client of the administration API that goes from proxy to proxy until one answers. Every call
-// may therefore reach more than one proxy: changes carry an id that makes them happen once.
+// A client of the administration API that tries the proxies in turn until one answers. A call may
+// therefore reach more than one proxy: changes carry an id that makes them idempotent.
 class ProxyClient
 {
 public:
--- a/src/admin/ctlcommands.cpp
+++ b/src/admin/ctlcommands.cpp
@@ -16,7 +16,7 @@
 
 constexpr auto waitPollPeriod = std::chrono::milliseconds(250);
 
-// The document of a file, or its mistakes on the error output.
+// Returns the content of a configuration file, or nothing after printing its mistakes.
 std::optional<std::string> readValidDocument(const std::string &file, CtlOutput output)
 {
     settings::Findings findings;
@@ -40,7 +40,7 @@
     return CtlExit::Refused;
 }
 
-// Prints why there is no result; nothing when there is one.
+// Prints the failure and returns its exit code; returns nothing if the request succeeded.
 std::optional<CtlExit> reportFailure(const absl::StatusOr<ProxyAnswer> &answer, CtlOutput output)
 {
     if (!answer.ok()) {
@@ -105,7 +105,7 @@
     return count;
 }
 
-// Counts the processes that have the version until all have it or the time is over.
+// Polls the status until every process has the version or the time limit is reached.
 CtlExit waitUntilPropagated(ProxyClient &client, ConfigVersion version, Duration limit,
                             CtlOutput output)
 {
--- a/src/admin/ctlcommands.h
+++ b/src/admin/ctlcommands.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-// The commands of kelptallyctl, once their command line is read.
+// The commands of kelptallyctl, after their command line has been parsed.
 namespace kelptally::admin {
 
 struct CtlOutput
@@ -22,9 +22,9 @@
     std::string file;
     ConfigVersion expected = 0;
     std::string author;
-    // Drawn when empty.
+    // A random id is generated when empty.
     std::string changeId;
-    // Until every process has the version.
+    // How long to wait until every process has the version; unset for not at all.
     std::optional<Duration> wait;
 };
 
--- a/src/admin/frameprogram.h
+++ b/src/admin/frameprogram.h
@@ -9,23 +9,22 @@
 
 using OperatorReply = std::function<void(inner::OperatorAnswer)>;
 
-// What the process frame asks of the program that it starts, serves and stops. Callable from any
-// thread.
+// Interface through which ProcessFrame controls the program that it runs. Callable from any thread.
 class FrameProgram
 {
 public:
     virtual ~FrameProgram() = default;
 
-    // A configuration version is in force from now on.
+    // Puts a configuration version in force.
     virtual void install(settings::ConfigurationPtr configuration) = 0;
-    // Whether the balancer should send callers here.
+    // Returns whether the load balancer should send requests to this process.
     virtual bool ready() const = 0;
-    // Graceful stop: no new work from now on. drained() tells when nothing is left.
+    // Starts a graceful stop: accepts no new work. drained() returns true when no work is left.
     virtual void drain() = 0;
     virtual bool drained() const = 0;
-    // Carries out an operator's call on this process; replies exactly once, from any thread.
+    // Executes an operator's call on this process; replies exactly once, on any thread.
     virtual void operate(const inner::OperatorRequest &request, OperatorReply reply) = 0;
-    // Brings gauges up to date before the metrics are read.
+    // Updates the gauges before the metrics are written.
     virtual void collect() { }
 };
 
--- a/src/admin/operatorapi.cpp
+++ b/src/admin/operatorapi.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t maxAuthorLength = 128;
 constexpr const char *documentName = "document";
 
-// Value of one parameter of a query; empty when there is none.
+// Returns the value of a query parameter, or an empty string if it is missing.
 std::string queryValue(const std::string &query, const std::string &name)
 {
     std::size_t at = 0;
@@ -35,7 +35,7 @@
     return {};
 }
 
-// The number, or the fallback for a text that is none.
+// Returns the number, or the fallback if the text is not a non-negative integer.
 std::uint64_t toNumber(const std::string &text, std::uint64_t fallback)
 {
     JsonValue value;
@@ -102,7 +102,7 @@
 {
     HttpMethod method;
     const char *path;
-    // For operators of all teams only.
+    // Only for operators whose key is not limited to a team.
     bool requiresAllTeams;
     void (OperatorApi::*run)(Call);
 };
@@ -142,7 +142,7 @@
     refuse(reply, caller::makeProblem(reason, std::move(detail)));
 }
 
-// 1. Whose key is it. 2. Which call is it, and may this operator make it. 3. Read its body.
+// Authenticates the operator, finds and authorises the route, then parses the body.
 void OperatorApi::onRequest(HttpRequest request, HttpReplyPtr reply)
 {
     const settings::ConfigurationPtr current = parts_.config.current();
@@ -214,7 +214,7 @@
     call.reply->send(caller::jsonResponse(json.take()));
 }
 
-// Without the store, the version in force is told as the newest that is known here.
+// While the store is unavailable, the version in force in this process is returned as the newest.
 void OperatorApi::getConfiguration(Call call)
 {
     const ConfigVersion version = toNumber(queryValue(call.query, "version"), 0);
--- a/src/admin/operatorapi.h
+++ b/src/admin/operatorapi.h
@@ -14,7 +14,7 @@
 
 namespace kelptally::admin {
 
-// The administration API below /admin/v1 (docs/ADMIN.md), on the admin thread.
+// Serves the administration API below /admin/v1 (docs/ADMIN.md). Runs on the admin thread.
 class OperatorApi
 {
 public:
@@ -32,7 +32,7 @@
     void onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply);
 
 private:
-    // One authenticated call. A team of an empty name may do everything.
+    // An authenticated call. An empty team means a key that is not limited to a team.
     struct Call
     {
         TeamName team;
@@ -45,7 +45,8 @@
     static const Route *findRoute(const caller::HttpRequest &request);
     void refuse(const caller::HttpReplyPtr &reply, caller::Problem problem);
     void refuse(const caller::HttpReplyPtr &reply, Reason reason, std::string detail = {});
-    // Refuses and returns false when the body lacks a field or has one that is not named.
+    // Refuses the call and returns false when the body lacks a required field or has an unknown
+    // one.
     bool checkBody(const Call &call, std::initializer_list<const char *> required,
                    std::initializer_list<const char *> optional);
     bool mayAccess(const TeamName &team, const GroupName &group) const;
@@ -67,7 +68,7 @@
                           const absl::StatusOr<inner::OperatorAnswer> &answer);
 
     const Parts parts_;
-    // Keys of the version for which they were collected.
+    // The configuration that keys_ was built from.
     settings::ConfigurationPtr keysConfiguration_;
     KeyRing keys_;
 };
--- a/src/admin/operatorapiprocesses.cpp
+++ b/src/admin/operatorapiprocesses.cpp
@@ -6,12 +6,12 @@
 
 #include <algorithm>
 
-// The operators' calls on processes and groups.
+// The routes of OperatorApi that act on processes and groups.
 namespace kelptally::admin {
 
 namespace {
 
-// Why a process did not do what it was asked.
+// Returns why a process failed or refused a request.
 std::string problemOf(const absl::StatusOr<inner::OperatorAnswer> &answer)
 {
     if (!answer.ok())
@@ -74,7 +74,7 @@
         });
 }
 
-// The owner is found by the status of all; promotions are rare.
+// Finds the group's owner by gathering the status of all processes; promotions are rare.
 void OperatorApi::promote(Call call)
 {
     if (!checkBody(call, {"group", "server"}, {"acceptLoss"}))
--- a/src/admin/operatorcalls.cpp
+++ b/src/admin/operatorcalls.cpp
@@ -7,9 +7,8 @@
 
 namespace {
 
-// Chosen, not measured: an owner answers from memory, and a dead one should not hold up the rest.
+// Short, so that a process that is down does not delay the answer to the operator.
 constexpr Duration operatorTimeout = std::chrono::seconds(2);
-// Processes asked at the same time.
 constexpr std::size_t maxConcurrentRequests = 64;
 
 std::vector<ProcessStatus> listProcesses(const settings::Inventory &inventory)
@@ -29,7 +28,7 @@
     return processes;
 }
 
-// Puts together what the processes of the status answered, in their order.
+// Adds the answers to the status; they are in the order of its processes.
 SystemStatus toStatus(SystemStatus status, OperatorAnswers answers,
                       const settings::Inventory &inventory)
 {
@@ -60,7 +59,7 @@
 
 } // namespace
 
-// One request on its way to many processes.
+// A request to many processes, with a bounded number of them in flight.
 struct OperatorCalls::Broadcast
 {
     std::vector<std::string> addresses;
@@ -95,7 +94,7 @@
     if (addresses.empty())
         return callback({});
     const auto broadcast = std::make_shared<Broadcast>();
-    broadcast->answers.resize(addresses.size(), absl::UnknownError("not asked"));
+    broadcast->answers.resize(addresses.size(), absl::UnknownError("not sent"));
     broadcast->addresses = std::move(addresses);
     broadcast->request = request;
     broadcast->callback = std::move(callback);
--- a/src/admin/operatorcalls.h
+++ b/src/admin/operatorcalls.h
@@ -15,22 +15,24 @@
 using StatusCallback = std::function<void(SystemStatus)>;
 using OperatorAnswers = std::vector<absl::StatusOr<inner::OperatorAnswer>>;
 
-// Asks processes of ours, this one included. Calls back exactly once, on the admin thread.
+// Sends operators' requests to processes of the system, this one included. Each function calls back
+// exactly once, on the admin thread.
 class OperatorCalls
 {
 public:
-    // The address is that of this process's own peer endpoint.
+    // The address is this process's own peer address.
     OperatorCalls(DutyThread &thread, AdminPeers &peers, FrameProgram &program,
                   std::string address);
 
     void operate(const std::string &address, inner::OperatorRequest request,
                  AdminPeers::OperatorCallback callback);
 
-    // Asks all of them, a bounded number at a time; the answers are in the order of the addresses.
+    // Sends the request to all addresses, a bounded number at a time. The answers are in the order
+    // of the addresses.
     void operateAll(std::vector<std::string> addresses, const inner::OperatorRequest &request,
                     std::function<void(OperatorAnswers)> callback);
 
-    // Asks every process of the configuration for its status.
+    // Requests the status of every process of the configuration.
     void gatherStatus(const settings::Inventory &inventory, StatusCallback callback);
 
 private:
--- a/src/admin/platformconfigstore.cpp
+++ b/src/admin/platformconfigstore.cpp
@@ -13,17 +13,17 @@
 using decision::WriteOutcome;
 using services::TableRow;
 
-// Most versions that one history tells.
+// Limits the number of versions in one history, each of which is a read of its own.
 constexpr std::size_t maxHistoryLimit = 100;
 
-// How sure a failed write is not to have happened.
+// Maps the status of a write to whether it was made, refused or of unknown outcome.
 WriteOutcome toWriteOutcome(const absl::Status &status)
 {
     if (status.ok())
         return WriteOutcome::Done;
     if (absl::IsFailedPrecondition(status))
         return WriteOutcome::Conflict;
-    // The service has refused the request itself.
+    // The service has rejected the request or was never reached.
     if (absl::IsUnavailable(status) || absl::IsInvalidArgument(status))
         return WriteOutcome::NotSent;
     return WriteOutcome::Unknown;
@@ -55,7 +55,7 @@
     return newest->version;
 }
 
-// The rows of one accepted version.
+// Encodes the rows that are written together for one version.
 absl::StatusOr<std::vector<services::ConditionalWrite>>
 encodeVersionRows(const ConfigRecord &record, const std::optional<std::string> &newestEtag)
 {
@@ -77,7 +77,7 @@
 
 } // namespace
 
-// One apply under way. Its timer and the callbacks of the table service keep it alive.
+// An apply in progress; kept alive by its timer and by the callbacks of the table service.
 struct PlatformConfigStore::Apply
 {
     Apply(ConfigVersion expected, ConfigRecord recordToApply, ConfigApplyCallback applyCallback,
@@ -92,7 +92,7 @@
     TimerId timer = 0;
 };
 
-// One history under way: versions are read side by side and may arrive in any order.
+// A history read in progress: versions are read concurrently and may arrive in any order.
 struct PlatformConfigStore::History
 {
     std::vector<ConfigRecord> records;
@@ -244,7 +244,7 @@
 void PlatformConfigStore::writeFor(const ApplyPtr &apply, const decision::WriteVersionRow &action)
 {
     const auto rows = encodeVersionRows(apply->record, action.newestEtag);
-    // Not to be had by trying again, but certain not to have been written.
+    // A retry cannot help, but it is certain that nothing was written.
     if (!rows.ok())
         return step(apply, apply->decision.onWriteOutcome(timers_.now(), WriteOutcome::NotSent));
     tables_->write(*rows, [this, apply](auto etags) {
--- a/src/admin/platformconfigstore.h
+++ b/src/admin/platformconfigstore.h
@@ -11,8 +11,8 @@
 
 namespace kelptally::admin {
 
-// Accepted versions in the platform's table service, and the snapshot of the newest in its object
-// store. Carries out what ConfigApply decides. The timers outlive it.
+// Stores accepted versions in the platform's table service, and a snapshot of the newest in its
+// object store. Executes the actions of decision::ConfigApply. The timer service must outlive it.
 class PlatformConfigStore : public ConfigStore
 {
 public:
@@ -28,7 +28,7 @@
     void updateSnapshot(ConfigVersion version) override;
     void apply(ConfigVersion expected, ConfigRecord record, ConfigApplyCallback callback) override;
 
-    // How long an apply goes on trying while the store does not answer.
+    // How long an apply retries while the store does not answer.
     static constexpr Duration applyTimeout = std::chrono::seconds(10);
 
 private:
@@ -50,7 +50,7 @@
     const std::unique_ptr<services::ObjectStore> objects_;
     std::mt19937_64 random_;
     SnapshotWriter snapshot_;
-    // Gone with the store, so that late timers and answers are dropped.
+    // Expires with the store, so that late timers and answers are ignored.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/admin/processframe.cpp
+++ b/src/admin/processframe.cpp
@@ -13,16 +13,16 @@
 
 namespace {
 
-// Operators and the metrics collector; far fewer than callers.
+// Enough for the operators and the metrics collector.
 constexpr int maxAdminConnections = 256;
-// A whole configuration document, with room for the escapes of JSON.
+// A whole configuration document, with room for JSON escapes.
 constexpr std::size_t maxAdminBodyBytes = 2 * settings::maxDocumentBytes;
-// How often a draining program is asked whether it is done.
+// How often the program is polled while it drains.
 constexpr auto drainPollPeriod = std::chrono::milliseconds(20);
-// How often the log says that it is still draining.
+// How often a drain in progress is logged.
 constexpr auto drainLogPeriod = std::chrono::seconds(10);
-// Longest drain: an owner that can reach neither the store nor a successor has nobody to hand its
-// groups to; stopping then lets their leases run out. Longer than any deadline of the demo's kinds.
+// Ends the drain of an owner that can reach neither the store nor a successor to hand its groups
+// over: the process stops and the leases expire. Must exceed the deadlines of requests.
 constexpr auto drainTimeout = std::chrono::seconds(30);
 
 caller::HttpLimits adminLimits(const settings::ProcessSettings &settings)
@@ -98,8 +98,8 @@
     return {};
 }
 
-// 1. Wait for the signal. 2. Drain, and ask the program until it is done. 3. Stop; a second signal
-// or the drain limit ends the wait.
+// Waits for a signal, drains the program and stops. A second signal or the drain timeout ends the
+// drain early.
 int ProcessFrame::run()
 {
     std::signal(SIGHUP, SIG_IGN);
--- a/src/admin/processframe.h
+++ b/src/admin/processframe.h
@@ -22,12 +22,12 @@
 using ConfigStoreFactory =
     std::function<std::unique_ptr<ConfigStore>(DutyThread &, const settings::ProcessSettings &)>;
 
-// What every daemon has around its own work: the administration port, the configuration in force,
-// and the start and stop by signals. Its own work is on the admin thread.
+// The parts common to all daemons: the administration port, the configuration in force, and start
+// and stop by signals. It has a thread of its own, the admin thread.
 class ProcessFrame
 {
 public:
-    // The program and the metrics outlive the frame.
+    // The program and the metrics must outlive the frame.
     ProcessFrame(std::string program, const settings::ProcessSettings &settings, Metrics &metrics,
                  FrameProgram &frameProgram,
                  const ConfigStoreFactory &makeStore = makePlatformConfigStore);
@@ -35,20 +35,20 @@
     ProcessFrame(const ProcessFrame &) = delete;
     ProcessFrame &operator=(const ProcessFrame &) = delete;
 
-    // What the program passes the events of its links to. Its setLinks() is called once they are
-    // made, before start(), and again with null before they are destroyed, after run().
+    // Receives the events of the program's links. The program calls setLinks() on it after creating
+    // the links and before start(), and again with null after run(), before destroying them.
     AdminPeers &peers() { return peers_; }
     settings::ConfigurationPtr configuration() const { return config_.current(); }
 
-    // Opens the administration port and begins to look for a configuration.
+    // Opens the administration port and starts to obtain the configuration.
     absl::Status start();
-    // Blocks until SIGTERM or SIGINT, then until the program has drained. A second signal ends the
-    // wait. Gives the exit code of the process.
+    // Blocks until SIGTERM or SIGINT, then until the program has drained, a second signal arrives
+    // or the drain times out. Returns the exit code of the process.
     int run();
 
-    // Port of the administration server; for tests, which start it on a free one.
+    // Port that the administration server listens on; for tests that let the system choose it.
     int adminPort() const { return server_.port(); }
-    // Stops without draining: what is in progress is cut off.
+    // Stops without draining; work in progress is aborted.
     void stop();
 
 private:
--- a/src/admin/snapshotwriter.cpp
+++ b/src/admin/snapshotwriter.cpp
@@ -37,7 +37,7 @@
     services::ConditionalWrite write;
     write.key = services::configSnapshotKey;
     if (*read) {
-        // A snapshot that can't be read is of no use to anybody and is written over.
+        // A snapshot that cannot be decoded is overwritten.
         const auto current = services::decodeConfigVersionRow((*read)->value);
         if (current.ok() && current->version >= pending_->version)
             return finish();
@@ -60,7 +60,7 @@
 {
     if (!status.ok() && !absl::IsFailedPrecondition(status))
         return retry();
-    // Another process was faster, or a still newer version has come up: look again.
+    // Another process has written the snapshot, or a newer version is pending: read it again.
     if (!status.ok() || pending_->version > version)
         return read();
     LOG(INFO) << "event=config_snapshot version=" << version;
--- a/src/admin/snapshotwriter.h
+++ b/src/admin/snapshotwriter.h
@@ -9,8 +9,9 @@
 
 namespace kelptally::admin {
 
-// Brings the snapshot of the newest configuration version in the object store up to date, trying
-// again until it is done. Never lowers it: each write is conditional on the snapshot it has read.
+// Updates the snapshot of the newest configuration version in the object store, retrying until it
+// succeeds. Never replaces it by an older version: each write is conditional on the snapshot read
+// before.
 class SnapshotWriter
 {
 public:
@@ -21,7 +22,7 @@
 
     void update(services::ConfigVersionRow row);
 
-    // Whether nothing is left to write.
+    // Returns whether no update is pending.
     bool idle() const { return !pending_; }
 
     static constexpr Duration retryPeriod = std::chrono::seconds(1);
--- a/src/admin/startup.cpp
+++ b/src/admin/startup.cpp
@@ -16,7 +16,7 @@
     bool check = false;
 };
 
-// Throws TCLAP's exceptions; --help and --version end in an ExitException with status 0.
+// Throws TCLAP's exceptions; --help and --version throw an ExitException with status 0.
 Options parseOptions(int argc, const char *const *argv, const std::string &summary)
 {
     TCLAP::CmdLine line(summary, ' ', buildVersion());
--- a/src/admin/startup.h
+++ b/src/admin/startup.h
@@ -14,19 +14,19 @@
 // The command line is wrong.
 constexpr int exitUsage = 2;
 
-// What the command line of a daemon came to.
+// The result of parsing a daemon's command line and settings file.
 struct StartupResult
 {
-    // Set when the process ends here: after --help, --version, --check or on mistakes.
+    // Set when the process must exit: after --help, --version, --check or on mistakes.
     std::optional<int> exitCode;
     settings::ProcessSettings settings;
 };
 
-// Takes the options --settings FILE, --check, --version and --help, and reads the settings file.
-// Every finding is printed on standard error.
+// Parses the options --settings FILE, --check, --version and --help, and reads the settings file.
+// Prints all mistakes on standard error.
 StartupResult startUp(int argc, const char *const *argv, const std::string &summary);
 
-// Version of the build, as --version prints it.
+// Returns the version of the build, as printed by --version.
 std::string buildVersion();
 
 } // namespace kelptally::admin
--- a/src/admin/statusjson.cpp
+++ b/src/admin/statusjson.cpp
@@ -59,7 +59,7 @@
 
 using TableRow = std::vector<std::string>;
 
-// Columns as wide as their widest cell, two blanks between them.
+// Formats rows with columns as wide as their widest cell, separated by two spaces.
 std::string formatTable(const std::vector<TableRow> &rows)
 {
     std::vector<std::size_t> widths;
--- a/src/admin/statusjson.h
+++ b/src/admin/statusjson.h
@@ -9,37 +9,37 @@
 
 namespace kelptally::admin {
 
-// One of our processes, as it answered or did not.
+// The status of one process, reachable or not.
 struct ProcessStatus
 {
     HostName host;
     std::string address;
-    // "entry", "owner", or "host" for both in one.
+    // "entry", "owner", or "host" for a process that is both.
     std::string role;
     bool reachable = false;
     bool draining = false;
     ConfigVersion version = 0;
-    // Why it could not be asked.
+    // Why the process did not answer; empty if it did.
     std::string problem;
 };
 
 struct SystemStatus
 {
     std::vector<ProcessStatus> processes;
-    // As their owners tell; of two owners the one with the higher epoch counts.
+    // As reported by their owners; if two processes report a group, the higher epoch wins.
     std::vector<inner::GroupStatus> groups;
-    // Groups of the configuration that no process says it owns.
+    // Groups of the configuration that no process reports as its own.
     std::vector<GroupName> unowned;
 };
 
-// Tells whether an operator may see a group.
+// Returns whether an operator may see a group.
 using GroupFilter = std::function<bool(const GroupName &)>;
 
-// The body of GET /admin/v1/status (docs/ADMIN.md).
+// Returns the body of GET /admin/v1/status (docs/ADMIN.md).
 std::string statusToJson(const SystemStatus &status, ConfigVersion inForce,
                          const GroupFilter &visible);
 
-// The same document as a table for people, as `kelptallyctl status` prints it.
+// Formats that document as text tables, as printed by `kelptallyctl status`.
 std::string statusToTable(const JsonValue &status);
 
 } // namespace kelptally::admin
--- a/tests/admin/adminhandler_test.cpp
+++ b/tests/admin/adminhandler_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Keeps the answer for the test to look at.
+// Stores the response for the test to inspect.
 class CapturingReply : public caller::HttpReply
 {
 public:
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("The administration port tells health, readiness and metrics")
+TEST_CASE("The administration port serves health, readiness and metrics, and forwards the API")
 {
     Metrics metrics;
     std::string notReady = "no configuration yet";
--- a/tests/admin/configdiff_test.cpp
+++ b/tests/admin/configdiff_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace kelptally::admin;
 
-TEST_CASE("A diff names sections and keys, and hides passwords")
+TEST_CASE("A diff lists changed sections and keys and hides passwords")
 {
     const std::string before = "[zone a]\nregion = n\n[group g]\nteam = t\npassword = old\n"
                                "[zone gone]\nregion = n\n";
--- a/tests/admin/framefixture.h
+++ b/tests/admin/framefixture.h
@@ -18,11 +18,11 @@
 
 namespace kelptally::admin {
 
-// Versions in memory, with the store's outages and lost answers.
+// An in-memory store with injected outages and lost answers.
 class FakeConfigStore : public ConfigStore
 {
 public:
-    // What happens to the next calls; set from the test's thread.
+    // Faults injected into later calls; set on the test's thread.
     struct Faults
     {
         std::atomic<bool> down {false};
@@ -86,7 +86,7 @@
     std::deque<ConfigRecord> records_;
 };
 
-// A program that owns the groups it is told to, and keeps what it is asked.
+// A program that owns the groups offers and ledger and records the requests it gets.
 class FakeProgram : public FrameProgram
 {
 public:
@@ -144,7 +144,7 @@
     std::atomic<bool> drained_ {false};
 };
 
-// Links to one peer, the entry at 127.0.0.1:2, which has whatever version it is given.
+// Links to one simulated peer, the entry at 127.0.0.1:2.
 class FakeLinks : public inner::PeerLinks
 {
 public:
@@ -153,7 +153,7 @@
 
     explicit FakeLinks(AdminPeers &peers) : peers_(peers) { }
 
-    // The peer says hello with this version.
+    // Brings up the link to the peer, which reports and serves this version.
     void connectPeer(ConfigVersion version, const std::string &document)
     {
         version_ = version;
@@ -202,7 +202,7 @@
     bool drained_ = false;
 };
 
-// A process frame on a free port, without a program of its own.
+// A process frame on a free port with a fake store, program and peer.
 struct FrameFixture
 {
     explicit FrameFixture(const caller::HttpTls &tls = {})
@@ -234,7 +234,7 @@
 
     std::string proxy() const { return "127.0.0.1:" + std::to_string(frame.adminPort()); }
 
-    // Runs kelptallyctl; its output is in out and err.
+    // Runs kelptallyctl and stores its output in out and err.
     CtlExit ctl(std::vector<std::string> arguments)
     {
         std::ostringstream outStream;
@@ -255,8 +255,8 @@
     std::string err;
 };
 
-// A configuration of one host with an owner at 127.0.0.1:1 and an entry at 127.0.0.1:2, and the
-// groups offers (team brokers, operators' key "broker") and ledger (team books).
+// Returns a configuration of one host with an owner at 127.0.0.1:1 and an entry at 127.0.0.1:2, and
+// the groups offers (team brokers, operators' key "broker") and ledger (team books).
 inline std::string smallConfiguration(const std::string &extra = {})
 {
     std::string text = "[zone a]\nregion = r\n"
@@ -277,7 +277,7 @@
     return text + "[kind browse]\naccess = read\nstated-age = 2s\n" + extra;
 }
 
-// A file in the working directory that goes with the object.
+// Creates a file in the working directory and removes it on destruction.
 class TemporaryFile
 {
 public:
--- a/tests/admin/metricspage_test.cpp
+++ b/tests/admin/metricspage_test.cpp
@@ -27,7 +27,8 @@
     return (c >= 'a' && c <= 'z') || c == '_';
 }
 
-// Every name that stands between the two texts; blanks and line ends after the first are skipped.
+// Returns each name between the two texts; spaces, line ends and a quote after the first are
+// skipped.
 std::set<std::string> namesBetween(const std::string &text, const std::string &before,
                                    const std::string &after)
 {
@@ -56,7 +57,7 @@
     return found;
 }
 
-// The text of all sources of the programs that are shipped to operators.
+// Returns the concatenated text of all sources below src.
 const std::string &sources()
 {
     static const std::string all = [] {
@@ -75,7 +76,7 @@
     return text;
 }
 
-// In one but not in the other.
+// Returns the names that are in the first set but not in the second.
 std::vector<std::string> missing(const std::set<std::string> &from, const std::set<std::string> &in)
 {
     std::vector<std::string> result;
@@ -85,7 +86,7 @@
 
 } // namespace
 
-TEST_CASE("The page of metrics lists every metric of the code and no other")
+TEST_CASE("The metrics page lists exactly the metrics of the code")
 {
     const auto inCode = metricsOf(sources());
     std::set<std::string> onPage;
@@ -97,7 +98,7 @@
     CHECK(missing(onPage, inCode) == std::vector<std::string>());
 }
 
-TEST_CASE("The page of metrics has the row of every reason")
+TEST_CASE("The metrics page has a row for every reason")
 {
     for (const ReasonInfo &info : allReasons()) {
         const std::string row = "| `" + std::string(info.name) + "` | "
@@ -112,7 +113,7 @@
     CHECK(namesBetween(reasons, "\n| `", "` | ").size() == allReasons().size());
 }
 
-TEST_CASE("Every log line on the page of metrics is written somewhere")
+TEST_CASE("Every log event on the metrics page exists in the code")
 {
     const std::string lines = page().substr(page().find("## Log lines"));
     std::set<std::string> onPage = namesBetween(lines, "\n| `", "`");
--- a/tests/admin/operatorapi_test.cpp
+++ b/tests/admin/operatorapi_test.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("An applied document is in force, and its history is told")
+TEST_CASE("An applied document comes into force and appears in the history")
 {
     FrameFixture fixture;
     fixture.links.connectPeer(0, "");
@@ -56,7 +56,7 @@
     CHECK(fixture.out == smallConfiguration());
 }
 
-TEST_CASE("Of two operators one is told of the conflict")
+TEST_CASE("A second apply on the same version is a conflict")
 {
     FrameFixture fixture;
     const TemporaryFile file(fileName, smallConfiguration());
@@ -66,7 +66,7 @@
     CHECK(contains(fixture.err, "the newest version is 1, not 0"));
 }
 
-TEST_CASE("A document with mistakes is refused with all of them, as check lists them")
+TEST_CASE("An invalid document is refused with the same list of mistakes as check prints")
 {
     FrameFixture fixture;
     const TemporaryFile file(fileName, smallConfiguration("deadline = soon\nfoo = 1\n"));
@@ -79,7 +79,7 @@
     CHECK(runCtl({"check", fileName}, out, err) == CtlExit::Mistakes);
     CHECK(err.str() == byApply);
 
-    // The API itself refuses too, whatever the command line has checked.
+    // The API refuses it too, without the check that kelptallyctl makes.
     caller::RawClient client(fixture.frame.adminPort());
     client.post("/admin/v1/configuration/apply",
                 R"({"document":"[zone]","expect":0,"author":"a","changeId":"c"})",
@@ -92,7 +92,8 @@
                    R"({"place":"line 1: zone/region","problem":"the key is required"})"));
 }
 
-TEST_CASE("A lost answer is told as unknown, and the same change id is accepted once")
+TEST_CASE(
+    "A lost answer is reported as unknown, and a retry with the same change id is accepted once")
 {
     FrameFixture fixture;
     const TemporaryFile file(fileName, smallConfiguration());
@@ -105,13 +106,13 @@
     fixture.faults.down = true;
     CHECK(fixture.ctl({"apply", fileName, "--expect", "1"}) == CtlExit::Refused);
     CHECK(contains(fixture.err, "store_unavailable"));
-    // What is in force is still told.
+    // The version in force can still be read.
     CHECK(fixture.program.waitForVersion(1));
     CHECK(fixture.ctl({"show"}) == CtlExit::Done);
     CHECK(fixture.out == smallConfiguration());
 }
 
-TEST_CASE("Keys decide what an operator may do and see")
+TEST_CASE("An operator's key limits the calls and the groups shown")
 {
     FrameFixture fixture;
     const TemporaryFile file(fileName, smallConfiguration());
@@ -146,7 +147,7 @@
     CHECK_FALSE(contains(fixture.err, "wrong"));
 }
 
-TEST_CASE("Drain reaches both processes of a host, promote the owner")
+TEST_CASE("Drain is sent to both processes of a host and promote to the owner")
 {
     FrameFixture fixture;
     const TemporaryFile file(fileName, smallConfiguration());
@@ -184,7 +185,7 @@
     CHECK(fixture.frame.configuration()->document == smallConfiguration());
 }
 
-TEST_CASE("Any live proxy will do, and all that fail are named")
+TEST_CASE("kelptallyctl uses any live proxy and lists those that failed")
 {
     FrameFixture fixture;
     std::ostringstream out;
@@ -202,7 +203,7 @@
     CHECK(runCtl({"explain", "queue_full"}, out, err) == CtlExit::Done);
 }
 
-TEST_CASE("kelptallyctl speaks TLS to proxies that do")
+TEST_CASE("kelptallyctl connects with TLS when a CA is given")
 {
     const caller::SelfSigned certificate("operatorapi_test");
     FrameFixture fixture(certificate.files);
--- a/tests/admin/platformconfigstore_test.cpp
+++ b/tests/admin/platformconfigstore_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A process with its own connections to the stand-in of the platform.
+// A config store connected to the platform stand-in.
 class StoreFixture : public PlatformFixture
 {
 public:
@@ -42,7 +42,7 @@
             [&](ConfigHistoryCallback done) { store->readHistory(limit, std::move(done)); });
     }
 
-    // Waits until the snapshot, which is written after the answer, has this version.
+    // Waits until the snapshot, which is written after the apply is answered, has this version.
     ConfigRecord awaitSnapshot(ConfigVersion version)
     {
         absl::StatusOr<std::optional<ConfigRecord>> record;
@@ -58,7 +58,7 @@
 
 } // namespace
 
-TEST_CASE("accepted versions are numbered, kept and copied to the snapshot")
+TEST_CASE("accepted versions are numbered, stored and copied to the snapshot")
 {
     StoreFixture fixture;
     CHECK(fixture.readNewest()->has_value() == false);
@@ -85,7 +85,7 @@
     CHECK(fixture.awaitSnapshot(3).document == "document 3");
 }
 
-TEST_CASE("an apply on an older version is a conflict that names the newest")
+TEST_CASE("an apply on an older version is a conflict that reports the newest version")
 {
     StoreFixture fixture;
     REQUIRE(fixture.apply(0, "a", "one").ok());
@@ -95,14 +95,14 @@
     CHECK_FALSE(late->accepted);
     CHECK(late->version == 2);
     CHECK((*fixture.readNewest())->document == "two");
-    // The same operator asks again after an answer that was lost on the way to it.
+    // A retry with the change id of an apply that was accepted.
     const auto repeated = fixture.apply(0, "a", "one");
     REQUIRE(repeated.ok());
     CHECK(repeated->accepted);
     CHECK(repeated->version == 1);
 }
 
-TEST_CASE("of operators who race one wins and the others are told")
+TEST_CASE("of concurrent applies one is accepted and the others are conflicts")
 {
     StoreFixture fixture;
     std::promise<void> all;
@@ -137,7 +137,7 @@
     CHECK(fixture.readHistory(10)->size() == 1);
 }
 
-TEST_CASE("an apply goes through once the store is back")
+TEST_CASE("an apply succeeds once the store is back")
 {
     StoreFixture fixture;
     fixture.setFaults(R"({"service":"tables","outage":"refuse"})");
@@ -147,7 +147,7 @@
             0, {0, "ann", "a", "", "one"},
             [&](absl::StatusOr<ConfigApplied> applied) { promise.set_value(std::move(applied)); });
     });
-    // By then the apply has met the outage.
+    // Waits until the apply has failed to reach the store.
     while (fixture.request(HttpMethod::Get, "/counters").body.find(R"("tables":{"reads":0)")
            != std::string::npos) { }
     fixture.setFaults(R"({"service":"tables","outage":"none"})");
@@ -156,21 +156,22 @@
     CHECK(applied->accepted);
 }
 
-TEST_CASE("another process brings a snapshot up to date that was left behind")
+TEST_CASE("an outdated snapshot is updated by another process")
 {
     StoreFixture fixture;
     REQUIRE(fixture.apply(0, "a", "one").ok());
     const auto old = fixture.awaitSnapshot(1);
     REQUIRE(fixture.apply(1, "b", "two").ok());
     fixture.awaitSnapshot(2);
-    // As if the process that applied version 2 had died before it wrote the snapshot.
+    // Simulates that the process that applied version 2 died before it wrote the snapshot.
     const auto row = fixture.getObject(configSnapshotKey);
     REQUIRE(fixture.putObject({"", configSnapshotKey, *encodeConfigRow(old), (*row)->etag}).ok());
     boost::asio::post(fixture.thread.context(), [&] { fixture.store->updateSnapshot(2); });
     CHECK(fixture.awaitSnapshot(2).document == "two");
 }
 
-TEST_CASE("the snapshot is written once the object store is back, and never lowered")
+TEST_CASE(
+    "the snapshot is written once the object store is back, and never replaced by an older one")
 {
     StoreFixture fixture;
     fixture.setFaults(R"({"service":"objects","outage":"refuse"})");
@@ -178,7 +179,7 @@
     CHECK(fixture.apply(1, "b", "two")->accepted);
     fixture.setFaults(R"({"service":"objects","outage":"none"})");
     CHECK(fixture.awaitSnapshot(2).document == "two");
-    // A process that lags behind finds a newer one and leaves it.
+    // A writer with an older version leaves the newer snapshot unchanged.
     fixture.wait<bool>([&](const std::function<void(bool)> &done) {
         SnapshotWriter *writer = new SnapshotWriter(fixture.thread.timers(), *fixture.objects);
         writer->update({1, "ann", "a", "", "one"});
--- a/tests/admin/startup_test.cpp
+++ b/tests/admin/startup_test.cpp
@@ -32,7 +32,7 @@
                                      "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f200"
                                      "15ad\n";
 
-// A file in the working directory that is gone with the object.
+// Creates a file in the working directory and removes it on destruction.
 class TemporaryFile
 {
 public:
@@ -41,7 +41,7 @@
     const char *path() const { return "startup_test.ini"; }
 };
 
-// Catches what a program prints.
+// Captures what is printed to a stream.
 class CapturedOutput
 {
 public:
@@ -66,7 +66,7 @@
 
 } // namespace
 
-TEST_CASE("A good settings file starts the process")
+TEST_CASE("A valid settings file is accepted")
 {
     const TemporaryFile file(goodSettings);
     const StartupResult result = startWith({"--settings", file.path()});
@@ -77,7 +77,7 @@
     CHECK(out.text() == "startup_test.ini: no mistakes\n");
 }
 
-TEST_CASE("Every mistake of the settings is printed in one go")
+TEST_CASE("All mistakes of a settings file are printed at once")
 {
     std::string text = goodSettings;
     text.replace(text.find("7001"), 4, "0000");
@@ -94,7 +94,7 @@
         CHECK(report.find(place) != std::string::npos);
 }
 
-TEST_CASE("A wrong command line is told from a wrong file")
+TEST_CASE("A wrong command line and a wrong settings file have different exit codes")
 {
     const CapturedOutput out(std::cerr);
     CHECK(startWith({"--settings", "/nowhere/x.ini"}).exitCode == exitFailed);
@@ -106,7 +106,7 @@
     CHECK(version.text().find(buildVersion()) != std::string::npos);
 }
 
-TEST_CASE("Values of log lines stay one field each")
+TEST_CASE("A log value with spaces or quotes stays one field")
 {
     CHECK(logValue("offers-1") == "offers-1");
     CHECK(logValue("") == "\"\"");
