--- a/src/admin/operatorapi.h
+++ b/src/admin/operatorapi.h
@@ -2,7 +2,7 @@
 
 #include "admin/configservice.h"
 #include "admin/configstore.h"
-#include "admin/statusgather.h"
+#include "admin/operatorcalls.h"
 #include "caller/httpmessage.h"
 #include "caller/keyring.h"
 #include "caller/problem.h"
@@ -14,7 +14,7 @@
 
 namespace kelptally::admin {
 
-// The administration API below /admin/v1 (docs/ADMIN.md), on the admin thread.
+// Serves the administration API below /admin/v1 (docs/ADMIN.md). Runs on the admin thread.
 class OperatorApi
 {
 public:
@@ -32,7 +32,7 @@
     void onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply);
 
 private:
-    // One authenticated call. A team of an empty name may do everything.
+    // An authenticated call. An empty team means a key that is not limited to a team.
     struct Call
     {
         TeamName team;
@@ -45,10 +45,11 @@
     static const Route *findRoute(const caller::HttpRequest &request);
     void refuse(const caller::HttpReplyPtr &reply, caller::Problem problem);
     void refuse(const caller::HttpReplyPtr &reply, Reason reason, std::string detail = {});
-    // Refuses and returns false when the body lacks a field or has one that is not named.
+    // Refuses the call and returns false when the body lacks a required field or has an unknown
+    // one.
     bool checkBody(const Call &call, std::initializer_list<const char *> required,
                    std::initializer_list<const char *> optional);
-    bool mayTouch(const TeamName &team, const GroupName &group) const;
+    bool mayAccess(const TeamName &team, const GroupName &group) const;
 
     void getConfiguration(Call call);
     void checkConfiguration(Call call);
@@ -60,15 +61,15 @@
     void promote(Call call);
     void explain(Call call);
 
-    void answerRecord(const Call &call, const ConfigRecord &record);
+    void sendRecord(const Call &call, const ConfigRecord &record);
     void onApplied(const Call &call, const ConfigRecord &record,
                    const absl::StatusOr<ConfigApplied> &applied);
-    void onOperated(const Call &call, const char *what,
-                    const absl::StatusOr<inner::OperatorAnswer> &answer);
+    void onOperatorAnswer(const Call &call, const char *commandName,
+                          const absl::StatusOr<inner::OperatorAnswer> &answer);
 
     const Parts parts_;
-    // Keys of the version for which they were collected.
-    settings::ConfigurationPtr keysOf_;
+    // The configuration that keys_ was built from.
+    settings::ConfigurationPtr keysConfiguration_;
     KeyRing keys_;
 };
 
