--- a/src/bench/baseline.cpp
+++ b/src/bench/baseline.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Duration checkPeriod = 1s;
-constexpr int checksMissed = 3;
+constexpr Duration checkInterval = 1s;
+constexpr int maxMissedChecks = 3;
 
 // The proxy of one host, on its own.
 struct Proxy
@@ -24,7 +24,7 @@
     // By group: the primary as this proxy believes, and checks that it missed in a row.
     std::map<GroupName, ServerName> primary;
     std::map<GroupName, int> missed;
-    std::map<GroupName, std::size_t> turn;
+    std::map<GroupName, std::size_t> nextReader;
 };
 
 class Baseline : public Policy
@@ -35,15 +35,15 @@
     void start() override;
     void submit(const TraceRequest &request, const HostName &entry,
                 AnswerCallback callback) override;
-    bool takesCallers(const HostName &host) const override;
+    bool acceptsCallers(const HostName &host) const override;
     void stopHost(const HostName &host) override;
     void crashHost(const HostName &host) override;
     void startHost(const HostName &host) override;
-    void onLeaving(const ServerName &) override { }
+    void onServerLeaving(const ServerName &) override { }
 
 private:
     void check(Proxy &proxy, const GroupName &group);
-    void onChecked(Proxy &proxy, const GroupName &group, bool answered);
+    void onCheckResult(Proxy &proxy, const GroupName &group, bool answered);
     void promoteNext(Proxy &proxy, const GroupName &group);
     void promote(Proxy &proxy, const GroupName &group, ModelServer &server);
     ModelServer &chooseReader(Proxy &proxy, const GroupName &group);
@@ -63,13 +63,13 @@
         proxy.host = host;
         proxy.index = index++;
         for (const GroupName &group : model.trace.groups())
-            proxy.primary[group] = model.serversOf(group).front()->what().name;
+            proxy.primary[group] = model.serversOf(group).front()->details().name;
     }
 }
 
 void Baseline::start()
 {
-    model_.timers.subscribeEvery(checkPeriod, [this] {
+    model_.timers.subscribeEvery(checkInterval, [this] {
         for (auto &[name, proxy] : proxies_) {
             if (!proxy.alive)
                 continue;
@@ -86,17 +86,17 @@
     server.status(proxy.host.zone, [answered](const Reply &reply) {
         *answered = reply.kind == ReplyKind::Done && reply.report.isPrimary;
     });
-    model_.timers.subscribeAfter(checkPeriod - 1ms, [this, &proxy, group, answered] {
+    model_.timers.subscribeAfter(checkInterval - 1ms, [this, &proxy, group, answered] {
         if (proxy.alive)
-            onChecked(proxy, group, *answered);
+            onCheckResult(proxy, group, *answered);
     });
 }
 
-void Baseline::onChecked(Proxy &proxy, const GroupName &group, bool answered)
+void Baseline::onCheckResult(Proxy &proxy, const GroupName &group, bool answered)
 {
     int &missed = proxy.missed[group];
     missed = answered ? 0 : missed + 1;
-    if (missed >= checksMissed)
+    if (missed >= maxMissedChecks)
         promoteNext(proxy, group);
 }
 
@@ -119,7 +119,7 @@
         }
         proxy.missed[group] = 0;
         if (next != nullptr)
-            proxy.primary[group] = next->what().name;
+            proxy.primary[group] = next->details().name;
         else if (!answers->empty())
             promote(proxy, group, *answers->front());
     });
@@ -135,7 +135,7 @@
         server.promote(zone, term, [this, &proxy, group, &server, term, zone](const Reply &reply) {
             if (reply.kind != ReplyKind::Done)
                 return;
-            proxy.primary[group] = server.what().name;
+            proxy.primary[group] = server.details().name;
             for (ModelServer *other : model_.serversOf(group)) {
                 if (other != &server)
                     other->follow(zone, server, term, [](const Reply &) {});
@@ -149,12 +149,12 @@
     if (!readReplicas_)
         return model_.server(proxy.primary[group]);
     const auto servers = model_.serversOf(group);
-    std::size_t &turn = proxy.turn[group];
+    std::size_t &nextReader = proxy.nextReader[group];
     for (std::size_t i = 0; i < servers.size(); ++i) {
-        ModelServer &server = *servers[turn++ % servers.size()];
+        ModelServer &server = *servers[nextReader++ % servers.size()];
         // A server whose connections are refused is passed over.
-        if (server.alive() && !model_.isLeaving(server.what().name)
-            && server.what().name != proxy.primary[group])
+        if (server.alive() && !model_.isLeaving(server.details().name)
+            && server.details().name != proxy.primary[group])
             return server;
     }
     return model_.server(proxy.primary[group]);
@@ -174,13 +174,13 @@
         callback(answer);
         finishStop(proxy);
     };
-    const bool primary = server.what().name == proxy.primary[request.group];
+    const bool primary = server.details().name == proxy.primary[request.group];
     server.run(proxy.host.zone, {&request, ~OwnerEpoch(0), false},
                [&request, &server, finish, primary](const Reply &reply) {
                    Answer answer;
                    answer.request = request.id;
                    answer.position = reply.position;
-                   answer.server = server.what().name;
+                   answer.server = server.details().name;
                    answer.fromReplica = !primary;
                    answer.executed = reply.kind == ReplyKind::Done ? Executed::Yes
                        : reply.kind == ReplyKind::Lost             ? Executed::Unknown
@@ -190,15 +190,15 @@
                    finish(answer);
                });
     model_.timers.subscribeAfter(request.deadline, [&request, finish] {
-        Answer late;
-        late.request = request.id;
-        late.reason = Reason::DeadlineExceeded;
-        late.executed = request.write ? Executed::Unknown : Executed::No;
-        finish(late);
+        Answer timedOut;
+        timedOut.request = request.id;
+        timedOut.reason = Reason::DeadlineExceeded;
+        timedOut.executed = request.write ? Executed::Unknown : Executed::No;
+        finish(timedOut);
     });
 }
 
-bool Baseline::takesCallers(const HostName &host) const
+bool Baseline::acceptsCallers(const HostName &host) const
 {
     const Proxy &proxy = proxies_.at(host);
     return proxy.alive && !proxy.stopping;
--- a/src/bench/benchcommand.cpp
+++ b/src/bench/benchcommand.cpp
@@ -11,31 +11,31 @@
 
 namespace {
 
-std::uint64_t signatureOfAll(bool verbose)
+std::uint64_t computeSignature(bool verbose)
 {
-    Signature all;
+    Signature combined;
     for (const Script &script : scripts()) {
-        Signature one;
-        script.run(one);
-        all.add(one.value());
+        Signature scriptSignature;
+        script.run(scriptSignature);
+        combined.add(scriptSignature.value());
         if (verbose)
-            std::cout << script.name << " " << one.value() << "\n";
+            std::cout << script.name << " " << scriptSignature.value() << "\n";
     }
-    return all.value();
+    return combined.value();
 }
 
-int compare(std::uint64_t measured, const std::string &file)
+int compareWithFile(std::uint64_t computed, const std::string &file)
 {
     std::ifstream in(file);
-    std::uint64_t committed = 0;
-    if (!(in >> committed)) {
+    std::uint64_t expected = 0;
+    if (!(in >> expected)) {
         std::cerr << "kelptally-bench: " << file << " holds no number\n";
         return 2;
     }
-    if (committed == measured)
+    if (expected == computed)
         return 0;
-    std::cerr << "kelptally-bench: the signature is " << measured << " but " << file << " has "
-              << committed << ": a decision has changed\n";
+    std::cerr << "kelptally-bench: the signature is " << computed << " but " << file << " has "
+              << expected << ": a decision has changed\n";
     return 1;
 }
 
@@ -50,9 +50,9 @@
     TCLAP::SwitchArg verbose("v", "verbose", "print the number of each script too", line);
     line.parse(argc, argv);
 
-    const std::uint64_t signature = signatureOfAll(verbose.getValue());
+    const std::uint64_t signature = computeSignature(verbose.getValue());
     std::cout << "Bench: " << signature << std::endl;
-    return check.isSet() ? compare(signature, check.getValue()) : 0;
+    return check.isSet() ? compareWithFile(signature, check.getValue()) : 0;
 }
 
 } // namespace kelptally::bench
--- a/src/bench/checker.cpp
+++ b/src/bench/checker.cpp
@@ -7,19 +7,19 @@
 namespace {
 
 // "No new work after a few seconds": what the project promises itself.
-constexpr Duration leavingGrace = 2s;
+constexpr Duration leavingGracePeriod = 2s;
 
 } // namespace
 
 void Checker::onSent(const TraceRequest &request, Instant now)
 {
     const auto own = ownWrites_.find({request.session, request.group});
-    const std::size_t known = own == ownWrites_.end() ? 0 : own->second.size();
-    sent_[request.id] = {now, known};
+    const std::size_t knownWrites = own == ownWrites_.end() ? 0 : own->second.size();
+    sent_[request.id] = {now, knownWrites};
     ++figures_.requests;
     ++figures_.teams[request.team].requests;
     if (request.write && !request.repeatable)
-        once_.insert(request.id);
+        nonRepeatableWrites_.insert(request.id);
     figures_.agedReads += !request.write && request.statedAge ? 1 : 0;
 }
 
@@ -34,14 +34,14 @@
     return newest;
 }
 
-bool Checker::missesOwn(const TraceRequest &request, Position prefix) const
+bool Checker::missesOwnWrite(const TraceRequest &request, Position prefix) const
 {
     const auto own = ownWrites_.find({request.session, request.group});
     const auto sent = sent_.find(request.id);
     if (own == ownWrites_.end() || sent == sent_.end())
         return false;
-    const GroupLogs &logs = logsOf_(request.group);
-    for (std::size_t i = 0; i < sent->second.known; ++i) {
+    const GroupLogs &logs = findLogs_(request.group);
+    for (std::size_t i = 0; i < sent->second.knownWrites; ++i) {
         if (!logs.contains(prefix, own->second[i].request))
             return true;
     }
@@ -54,12 +54,12 @@
     const auto writes = acknowledged_.find(group);
     if (writes == acknowledged_.end())
         return false;
-    const GroupLogs &logs = logsOf_(group);
+    const GroupLogs &logs = findLogs_(group);
     // From the newest that counts backwards; a whole prefix holds all before, so a few tell.
-    constexpr int looked = 8;
-    int left = looked;
+    constexpr int maxWritesChecked = 8;
+    int remaining = maxWritesChecked;
     auto it = writes->second.upper_bound(committedBy);
-    while (it != writes->second.begin() && left-- > 0) {
+    while (it != writes->second.begin() && remaining-- > 0) {
         --it;
         for (const Acknowledged &write : it->second) {
             const bool counts = write.acknowledgedAt <= acknowledgedBy;
@@ -72,7 +72,7 @@
 
 void Checker::checkRead(const TraceRequest &request, const Answer &answer, Instant now)
 {
-    if (missesOwn(request, answer.position))
+    if (missesOwnWrite(request, answer.position))
         ++figures_.violations.readYourWrites;
     const Instant sent = sent_[request.id].at;
     // The newest data holds at least what was acknowledged before the request was sent.
@@ -83,9 +83,9 @@
     figures_.byReplica += request.statedAge && answer.fromReplica ? 1 : 0;
 }
 
-void Checker::noteWrite(const TraceRequest &request, const Answer &answer, Instant now)
+void Checker::recordWrite(const TraceRequest &request, const Answer &answer, Instant now)
 {
-    const auto &records = logsOf_(request.group).records(answer.position.term);
+    const auto &records = findLogs_(request.group).records(answer.position.term);
     const Instant committedAt = records[answer.position.offset - 1].committedAt;
     const Acknowledged write {request.id, committedAt, now, answer.position};
     ownWrites_[{request.session, request.group}].push_back(write);
@@ -98,7 +98,7 @@
     }
 }
 
-void Checker::noteOutcome(const TraceRequest &request, const Answer &answer)
+void Checker::recordOutcome(const TraceRequest &request, const Answer &answer)
 {
     const bool done = answer.executed == Executed::Yes;
     const bool refused = answer.executed == Executed::No;
@@ -108,13 +108,13 @@
     if (!done)
         ++figures_.refusals[answer.reason];
     if (refused && request.write)
-        notRun_[request.group].insert(request.id);
+        refusedWrites_[request.group].insert(request.id);
     const bool right = done || request.expect == Expect::Any
         || (refused && request.expect == Expect::DoneOrRefused);
     figures_.missedOutcomes += right ? 0 : 1;
 }
 
-void Checker::noteLatency(const TraceRequest &request, Duration latency)
+void Checker::recordLatency(const TraceRequest &request, Duration latency)
 {
     (request.write ? figures_.writeLatency : figures_.readLatency).push_back(latency);
     TeamFigures &team = figures_.teams[request.team];
@@ -124,7 +124,7 @@
     figures_.inTime += inTime ? 1 : 0;
 }
 
-void Checker::sign(const Answer &answer, Instant now)
+void Checker::addToDigest(const Answer &answer, Instant now)
 {
     figures_.answers.add(answer.request);
     figures_.answers.add(now.time_since_epoch());
@@ -136,22 +136,22 @@
 
 void Checker::onAnswer(const TraceRequest &request, const Answer &answer, Instant now)
 {
-    sign(answer, now);
-    noteOutcome(request, answer);
+    addToDigest(answer, now);
+    recordOutcome(request, answer);
     if (answer.executed != Executed::Yes)
         return;
-    noteLatency(request, now - sent_[request.id].at);
+    recordLatency(request, now - sent_[request.id].at);
     if (answer.request != request.id)
-        ++figures_.violations.mixedAnswers;
+        ++figures_.violations.misdirectedAnswers;
     if (request.write)
-        noteWrite(request, answer, now);
+        recordWrite(request, answer, now);
     else
         checkRead(request, answer, now);
 }
 
-void Checker::onWorkOnLeaving(Duration since)
+void Checker::onStatementOnLeavingServer(Duration since)
 {
-    figures_.violations.workOnLeaving += since > leavingGrace ? 1 : 0;
+    figures_.violations.statementsOnLeavingServer += since > leavingGracePeriod ? 1 : 0;
 }
 
 void Checker::onWritesStop(const std::vector<GroupName> &groups, Instant now)
@@ -160,19 +160,20 @@
         writesStopped_.emplace(group, now);
 }
 
-void Checker::atEnd(const GroupName &group, Term term)
+void Checker::checkFinalLog(const GroupName &group, Term term)
 {
-    const GroupLogs &logs = logsOf_(group);
+    const GroupLogs &logs = findLogs_(group);
     const Position end = logs.end(term);
     for (const auto &[committedAt, writes] : acknowledged_[group]) {
         for (const Acknowledged &write : writes)
             figures_.violations.lostWrites += logs.contains(end, write.request) ? 0 : 1;
     }
-    for (const RequestId request : notRun_[group])
+    for (const RequestId request : refusedWrites_[group])
         figures_.violations.falseNotRun += logs.contains(end, request) ? 1 : 0;
     std::set<RequestId> seen;
     for (const LogRecord &record : logs.records(term)) {
-        const bool again = once_.count(record.request) > 0 && !seen.insert(record.request).second;
+        const bool again =
+            nonRepeatableWrites_.count(record.request) > 0 && !seen.insert(record.request).second;
         figures_.violations.doubledWrites += again ? 1 : 0;
     }
 }
--- a/src/bench/checker.h
+++ b/src/bench/checker.h
@@ -35,14 +35,14 @@
     int lostWrites = 0;
     int doubledWrites = 0;
     int falseNotRun = 0;
-    int mixedAnswers = 0;
-    int workOnLeaving = 0;
-    int cutOff = 0;
+    int misdirectedAnswers = 0;
+    int statementsOnLeavingServer = 0;
+    int abortedRequests = 0;
 
     int all() const
     {
-        return readYourWrites + statedAge + lostWrites + doubledWrites + falseNotRun + mixedAnswers
-            + workOnLeaving + cutOff;
+        return readYourWrites + statedAge + lostWrites + doubledWrites + falseNotRun
+            + misdirectedAnswers + statementsOnLeavingServer + abortedRequests;
     }
 };
 
@@ -67,7 +67,7 @@
     // Reads that state an age: all, those that a perfectly informed router could send to a replica,
     // and those that a replica answered.
     int agedReads = 0;
-    int couldReplica = 0;
+    int replicaEligibleReads = 0;
     int byReplica = 0;
     // From each fault that stops writes to the first write committed after it and acknowledged.
     std::vector<Duration> gaps;
@@ -85,24 +85,24 @@
 class Checker
 {
 public:
-    using LogsOf = std::function<const GroupLogs &(const GroupName &)>;
+    using LogLookup = std::function<const GroupLogs &(const GroupName &)>;
 
-    explicit Checker(LogsOf logsOf) : logsOf_(std::move(logsOf)) { }
+    explicit Checker(LogLookup findLogs) : findLogs_(std::move(findLogs)) { }
 
     void onSent(const TraceRequest &request, Instant now);
     // The caller sends a refused request again; its latency counts from here.
-    void onRepeated(const TraceRequest &request, Instant now) { sent_[request.id].at = now; }
+    void onRetried(const TraceRequest &request, Instant now) { sent_[request.id].at = now; }
     void onAnswer(const TraceRequest &request, const Answer &answer, Instant now);
     // A read that states an age was or was not such that a replica could have served it.
-    void onCouldReplica() { ++figures_.couldReplica; }
+    void onReplicaEligibleRead() { ++figures_.replicaEligibleReads; }
     // A statement begins on a server that has been leaving for this long.
-    void onWorkOnLeaving(Duration since);
+    void onStatementOnLeavingServer(Duration since);
     // A planned stop of a proxy ended with requests unanswered.
-    void onCutOff(int requests) { figures_.violations.cutOff += requests; }
+    void onRequestsAborted(int requests) { figures_.violations.abortedRequests += requests; }
     // Writes of these groups stop now.
     void onWritesStop(const std::vector<GroupName> &groups, Instant now);
     // The last primary's log of a group, once the trace is over.
-    void atEnd(const GroupName &group, Term term);
+    void checkFinalLog(const GroupName &group, Term term);
 
     const Figures &figures() const { return figures_; }
     // Newest position that a session has been told, for its token.
@@ -111,7 +111,7 @@
     // instants, or one of the session's own.
     bool isStale(const GroupName &group, Position prefix, Instant committedBy,
                  Instant acknowledgedBy) const;
-    bool missesOwn(const TraceRequest &request, Position prefix) const;
+    bool missesOwnWrite(const TraceRequest &request, Position prefix) const;
 
 private:
     struct Acknowledged
@@ -125,25 +125,25 @@
     {
         Instant at;
         // Writes that the session knew to be done when it sent this.
-        std::size_t known = 0;
+        std::size_t knownWrites = 0;
     };
     using SessionGroup = std::pair<SessionId, GroupName>;
 
     void checkRead(const TraceRequest &request, const Answer &answer, Instant now);
-    void noteWrite(const TraceRequest &request, const Answer &answer, Instant now);
-    void noteLatency(const TraceRequest &request, Duration latency);
-    void sign(const Answer &answer, Instant now);
-    void noteOutcome(const TraceRequest &request, const Answer &answer);
+    void recordWrite(const TraceRequest &request, const Answer &answer, Instant now);
+    void recordLatency(const TraceRequest &request, Duration latency);
+    void addToDigest(const Answer &answer, Instant now);
+    void recordOutcome(const TraceRequest &request, const Answer &answer);
 
-    LogsOf logsOf_;
+    LogLookup findLogs_;
     Figures figures_;
     std::map<RequestId, Sent> sent_;
     std::map<SessionGroup, std::vector<Acknowledged>> ownWrites_;
     // In the order of commit.
     std::map<GroupName, std::map<Instant, std::vector<Acknowledged>>> acknowledged_;
-    std::map<GroupName, std::set<RequestId>> notRun_;
+    std::map<GroupName, std::set<RequestId>> refusedWrites_;
     // Writes that must not run twice.
-    std::set<RequestId> once_;
+    std::set<RequestId> nonRepeatableWrites_;
     std::map<GroupName, Instant> writesStopped_;
 };
 
--- a/src/bench/grouplogs.cpp
+++ b/src/bench/grouplogs.cpp
@@ -10,9 +10,9 @@
     if (from.offset > 0) {
         next = logs_.at(from.term);
         next.records.resize(from.offset);
-        const auto cut = [&from](const auto &entry) { return entry.second > from.offset; };
+        const auto isTruncated = [&from](const auto &entry) { return entry.second > from.offset; };
         for (auto it = next.index.begin(); it != next.index.end();)
-            it = cut(*it) ? next.index.erase(it) : std::next(it);
+            it = isTruncated(*it) ? next.index.erase(it) : std::next(it);
     }
     next.history.push_back({term, from.offset + 1});
     logs_[term] = std::move(next);
--- a/src/bench/groupowner.cpp
+++ b/src/bench/groupowner.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 // A server is not chosen for reads when nothing was heard of it for this long.
-constexpr Duration reachableFor = 300ms;
+constexpr Duration reachabilityTimeout = 300ms;
 // Pause between two probes of a replica while writes wait for confirmation.
-constexpr Duration confirmPause = 1ms;
-constexpr int queueLength = 256;
+constexpr Duration confirmationProbeInterval = 1ms;
+constexpr int maxQueueLength = 256;
 constexpr int primaryReadPercent = 50;
 
 std::vector<ServerName> namesOf(const std::vector<ModelServer *> &servers)
 {
     std::vector<ServerName> names;
     for (const ModelServer *server : servers)
-        names.push_back(server->what().name);
+        names.push_back(server->details().name);
     return names;
 }
 
@@ -33,10 +33,10 @@
       failover_(group_, epoch, namesOf(model.serversOf(group_))), routing_(primaryReadPercent)
 {
     for (ModelServer *server : model_.serversOf(group_)) {
-        Backend &backend = backends_[server->what().name];
+        Backend &backend = backends_[server->details().name];
         backend.server = server;
-        backend.admission = std::make_unique<Admission>(server->what().slots, queueLength);
-        backend.leaving = model_.isLeaving(server->what().name);
+        backend.admission = std::make_unique<Admission>(server->details().slots, maxQueueLength);
+        backend.leaving = model_.isLeaving(server->details().name);
     }
 }
 
@@ -47,7 +47,7 @@
         if (const auto self = weak.lock())
             self->onTick();
     });
-    act(failover_.start(model_.timers.now(), termHint, primaryHint));
+    performAll(failover_.start(model_.timers.now(), termHint, primaryHint));
 }
 
 void GroupOwner::stop()
@@ -58,27 +58,27 @@
 
 void GroupOwner::drain(std::function<void()> drained)
 {
-    drained_ = std::move(drained);
+    onDrained_ = std::move(drained);
     checkDrained();
 }
 
 void GroupOwner::checkDrained()
 {
-    if (!drained_ || open_ > 0)
+    if (!onDrained_ || openRequests_ > 0)
         return;
-    const auto drained = std::exchange(drained_, nullptr);
+    const auto drained = std::exchange(onDrained_, nullptr);
     drained();
 }
 
 void GroupOwner::onTick()
 {
-    act(failover_.onTick(model_.timers.now()));
+    performAll(failover_.onTick(model_.timers.now()));
     for (auto &[name, backend] : backends_) {
         if (!backend.running.empty() && !reachable(backend) && !backend.server->primary())
             abandonServer(backend);
-        pump(backend);
+        sendQueued(backend);
     }
-    expireParked();
+    expireAwaitingPrimary();
 }
 
 // ---- What is known of the servers ----
@@ -92,7 +92,7 @@
     backend.server->status(zone_, guarded([this, &backend, sent](const Reply &reply) {
                                if (reply.kind == ReplyKind::Done)
                                    onReport(backend, sent, reply);
-                               model_.timers.subscribeAfter(confirmPause,
+                               model_.timers.subscribeAfter(confirmationProbeInterval,
                                                             [weak = weak_from_this(), &backend] {
                                                                 const auto self = weak.lock();
                                                                 if (!self || self->stopped_)
@@ -103,9 +103,9 @@
                                                             });
                            }));
     // A probe whose answer is lost is given up.
-    model_.timers.subscribeAfter(reachableFor, [weak = weak_from_this(), &backend, sent] {
+    model_.timers.subscribeAfter(reachabilityTimeout, [weak = weak_from_this(), &backend, sent] {
         const auto self = weak.lock();
-        if (self && backend.heardAt.value_or(Instant()) < sent)
+        if (self && backend.lastReplyAt.value_or(Instant()) < sent)
             backend.probing = false;
     });
 }
@@ -120,20 +120,20 @@
 
 bool GroupOwner::reachable(const Backend &backend) const
 {
-    return backend.heardAt && model_.timers.now() - *backend.heardAt <= reachableFor;
+    return backend.lastReplyAt && model_.timers.now() - *backend.lastReplyAt <= reachabilityTimeout;
 }
 
 ServerView GroupOwner::viewOf(const Backend &backend, const Task &task) const
 {
-    const ServerName &name = backend.server->what().name;
+    const ServerName &name = backend.server->details().name;
     const Instant now = model_.timers.now();
     ServerView view;
     view.name = name;
-    view.zone = backend.server->what().zone;
+    view.zone = backend.server->details().zone;
     view.primary = failover_.primary() == name;
     view.reachable = reachable(backend);
     view.draining = backend.leaving && !view.primary;
-    view.slots = backend.server->what().slots;
+    view.slots = backend.server->details().slots;
     view.busy = backend.admission->busy();
     view.queued = backend.admission->queued();
     view.queueDelay =
@@ -155,20 +155,20 @@
     return all;
 }
 
-ReadRequirements GroupOwner::needsOf(const Task &task) const
+ReadRequirements GroupOwner::requirementsOf(const Task &task) const
 {
     const Instant now = model_.timers.now();
     const Duration transit = model_.trace.zoneDelay + model_.trace.clientDelay;
-    ReadRequirements needs;
+    ReadRequirements requirements;
     if (task.request->statedAge)
-        needs.statedAge = std::max(Duration(0), *task.request->statedAge - transit);
-    needs.sessionPosition = task.session;
-    needs.deadlineIn = task.deadline - now;
-    needs.waited = now - task.arrived;
-    return needs;
+        requirements.statedAge = std::max(Duration(0), *task.request->statedAge - transit);
+    requirements.sessionPosition = task.session;
+    requirements.deadlineIn = task.deadline - now;
+    requirements.waited = now - task.arrived;
+    return requirements;
 }
 
-void GroupOwner::onLeaving(const ServerName &server)
+void GroupOwner::onServerLeaving(const ServerName &server)
 {
     const auto found = backends_.find(server);
     if (found == backends_.end())
@@ -181,7 +181,7 @@
         if (backend.leaving)
             leaving.push_back(name);
     }
-    act(failover_.setServers(model_.timers.now(), all, leaving));
+    performAll(failover_.setServers(model_.timers.now(), all, leaving));
 }
 
 // ---- Requests ----
@@ -196,39 +196,40 @@
     task->session = session;
     task->callback = std::move(callback);
     task->id = ++lastId_;
-    ++open_;
-    if (drained_ || !holdsLease_())
-        return finish(task, drained_ ? Reason::NotOwner : Reason::LeaseLost, Executed::No, 0ns);
-    place(task);
+    ++openRequests_;
+    if (onDrained_ || !holdsLease_())
+        return finish(task, onDrained_ ? Reason::NotOwner : Reason::LeaseLost, Executed::No, 0ns);
+    dispatch(task);
 }
 
-void GroupOwner::place(const TaskPtr &task)
+void GroupOwner::dispatch(const TaskPtr &task)
 {
     if (task->answered)
         return;
     if (!task->request->write)
-        return placeRead(task);
+        return dispatchRead(task);
     if (!failover_.primary())
-        return parked_.push_back(task);
+        return awaitingPrimary_.push_back(task);
     enqueue(task, *failover_.primary());
 }
 
-void GroupOwner::placeRead(const TaskPtr &task)
+void GroupOwner::dispatchRead(const TaskPtr &task)
 {
     if (task->session && failover_.isLost(*task->session))
         return finish(task, Reason::PositionLost, Executed::No, 0ns);
-    const Route route = routing_.routeRead(needsOf(*task), views(*task), model_.timers.now());
+    const Route route =
+        routing_.routeRead(requirementsOf(*task), views(*task), model_.timers.now());
     if (route.kind == RouteKind::Server)
         return enqueue(task, route.server);
     if (route.kind == RouteKind::Refuse && route.reason == Reason::NoPrimary)
-        return parked_.push_back(task);
+        return awaitingPrimary_.push_back(task);
     if (route.kind == RouteKind::Refuse)
         return finish(task, route.reason, Executed::No, route.retryIn);
     sampleReplicas();
     model_.timers.subscribeAfter(route.retryIn, [weak = weak_from_this(), task] {
         const auto self = weak.lock();
         if (self && !self->stopped_)
-            self->place(task);
+            self->dispatch(task);
     });
 }
 
@@ -238,15 +239,15 @@
     const Work work {task->id, task->request->team, task->request->requestClass, task->deadline};
     const AdmissionAnswer answer = backend.admission->offer(model_.timers.now(), work);
     if (answer.reason != Reason::None) {
-        const Executed executed = task->maybeRun ? Executed::Unknown : Executed::No;
+        const Executed executed = task->maybeExecuted ? Executed::Unknown : Executed::No;
         return finish(task, answer.reason, executed, answer.retryAfter);
     }
     task->server = server;
     backend.queued[task->id] = task;
-    pump(backend);
+    sendQueued(backend);
 }
 
-void GroupOwner::pump(Backend &backend)
+void GroupOwner::sendQueued(Backend &backend)
 {
     const Instant now = model_.timers.now();
     while (const auto work = backend.admission->next(now)) {
@@ -257,7 +258,7 @@
     for (const DroppedWork &dropped : backend.admission->expire(now)) {
         const TaskPtr task = backend.queued[dropped.id];
         backend.queued.erase(dropped.id);
-        const Executed executed = task->maybeRun ? Executed::Unknown : Executed::No;
+        const Executed executed = task->maybeExecuted ? Executed::Unknown : Executed::No;
         finish(task, dropped.reason, executed, dropped.retryAfter);
     }
 }
@@ -265,27 +266,27 @@
 void GroupOwner::send(Backend &backend, const Work &work, const TaskPtr &task)
 {
     const Instant now = model_.timers.now();
-    const bool primary = failover_.primary() == backend.server->what().name;
-    const bool fit =
-        primary || (!task->request->write && qualifies(viewOf(backend, *task), needsOf(*task)));
-    if (!holdsLease_() || !fit) {
+    const bool primary = failover_.primary() == backend.server->details().name;
+    const bool eligible = primary
+        || (!task->request->write && qualifies(viewOf(backend, *task), requirementsOf(*task)));
+    if (!holdsLease_() || !eligible) {
         // What was true when it was queued is not any more; no slot was used.
         backend.admission->abandoned(work);
         if (!holdsLease_())
             return finish(task, Reason::LeaseLost,
-                          task->maybeRun ? Executed::Unknown : Executed::No, 0ns);
-        return place(task);
+                          task->maybeExecuted ? Executed::Unknown : Executed::No, 0ns);
+        return dispatch(task);
     }
     task->sentAt = now;
-    task->asOf = now;
+    task->dataAsOf = now;
     if (!primary)
-        task->asOf = now - freshness_.age(backend.server->what().name, now).value_or(1h);
-    const int sending = ++task->sending;
+        task->dataAsOf = now - freshness_.age(backend.server->details().name, now).value_or(1h);
+    const int attempt = ++task->attempt;
     backend.running[task->id] = task;
     ModelStatement statement {task->request, epoch_, !task->request->repeatable};
     backend.server->run(zone_, statement,
-                        guarded([this, &backend, work, task, sending](const Reply &reply) {
-                            if (sending == task->sending)
+                        guarded([this, &backend, work, task, attempt](const Reply &reply) {
+                            if (attempt == task->attempt)
                                 onReply(backend, work, task, reply);
                         }));
 }
@@ -294,8 +295,8 @@
                          const Reply &reply)
 {
     const Instant now = model_.timers.now();
-    const ServerName &name = backend.server->what().name;
-    ++task->sending;
+    const ServerName &name = backend.server->details().name;
+    ++task->attempt;
     backend.running.erase(task->id);
     if (reply.kind == ReplyKind::Done)
         backend.admission->finished(work, now - task->sentAt);
@@ -303,33 +304,34 @@
         backend.admission->abandoned(work);
     if (reply.kind == ReplyKind::Done) {
         failover_.onTraffic(now, name);
-        backend.heardAt = now;
+        backend.lastReplyAt = now;
     } else if (reply.kind != ReplyKind::Failed) {
-        backend.heardAt.reset();
-        act(failover_.onConnectionLost(now, name));
+        backend.lastReplyAt.reset();
+        performAll(failover_.onConnectionLost(now, name));
     }
     if (task->request->write) {
-        task->maybeRun = task->maybeRun || reply.kind == ReplyKind::Lost;
+        task->maybeExecuted = task->maybeExecuted || reply.kind == ReplyKind::Lost;
         reply.kind == ReplyKind::Done ? onWritten(task, reply) : retryLater(task);
     } else {
-        reply.kind == ReplyKind::Done ? onRead(backend, task, reply) : place(task);
+        reply.kind == ReplyKind::Done ? onRead(backend, task, reply) : dispatch(task);
     }
-    pump(backend);
+    sendQueued(backend);
 }
 
 void GroupOwner::onRead(Backend &backend, const TaskPtr &task, const Reply &reply)
 {
-    const bool primary = failover_.primary() == backend.server->what().name;
-    const ReadRequirements needs = needsOf(*task);
-    const bool tooOld = needs.statedAge && model_.timers.now() - *task->asOf > *needs.statedAge;
+    const bool primary = failover_.primary() == backend.server->details().name;
+    const ReadRequirements requirements = requirementsOf(*task);
+    const bool tooOld =
+        requirements.statedAge && model_.timers.now() - *task->dataAsOf > *requirements.statedAge;
     if (tooOld || !holdsLease_())
-        return place(task);
+        return dispatch(task);
     finishDone(task, reply.position, !primary);
 }
 
 void GroupOwner::onWritten(const TaskPtr &task, const Reply &reply)
 {
-    task->maybeRun = true;
+    task->maybeExecuted = true;
     freshness_.onPrimarySample(task->sentAt, reply.report.applied);
     if (reply.position.term != failover_.term())
         return finishDone(task, reply.position, false);
@@ -363,20 +365,20 @@
     if (task->answered)
         return;
     if (failover_.primary())
-        place(task);
+        dispatch(task);
     else
-        parked_.push_back(task);
+        awaitingPrimary_.push_back(task);
 }
 
-void GroupOwner::expireParked()
+void GroupOwner::expireAwaitingPrimary()
 {
-    const auto waiting = std::exchange(parked_, {});
+    const auto waiting = std::exchange(awaitingPrimary_, {});
     for (const TaskPtr &task : waiting) {
         if (task->deadline > model_.timers.now() + 5ms) {
-            parked_.push_back(task);
+            awaitingPrimary_.push_back(task);
             continue;
         }
-        const Executed executed = task->maybeRun ? Executed::Unknown : Executed::No;
+        const Executed executed = task->maybeExecuted ? Executed::Unknown : Executed::No;
         finish(task, Reason::NoPrimary, executed, 100ms);
     }
 }
@@ -386,26 +388,26 @@
 {
     const auto running = std::exchange(backend.running, {});
     for (const auto &[id, task] : running) {
-        ++task->sending;
+        ++task->attempt;
         const Work work {id, task->request->team, task->request->requestClass, task->deadline};
         backend.admission->abandoned(work);
-        task->maybeRun = task->maybeRun || task->request->write;
+        task->maybeExecuted = task->maybeExecuted || task->request->write;
         retryLater(task);
     }
     for (const Work &work : backend.admission->takeAll()) {
         const TaskPtr task = backend.queued[work.id];
         backend.queued.erase(work.id);
-        task->request->write ? retryLater(task) : place(task);
+        task->request->write ? retryLater(task) : dispatch(task);
     }
-    freshness_.forget(backend.server->what().name);
-    backend.heardAt.reset();
+    freshness_.forget(backend.server->details().name);
+    backend.lastReplyAt.reset();
 }
 
 void GroupOwner::finish(const TaskPtr &task, Reason reason, Executed executed, Duration retryAfter)
 {
     if (std::exchange(task->answered, true))
         return;
-    --open_;
+    --openRequests_;
     OwnerAnswer answer;
     answer.reason = reason;
     answer.executed = executed;
@@ -418,7 +420,7 @@
 {
     if (std::exchange(task->answered, true))
         return;
-    --open_;
+    --openRequests_;
     OwnerAnswer answer;
     answer.executed = Executed::Yes;
     answer.answer = {task->request->id, Executed::Yes, Reason::None,
--- a/src/bench/groupowner.h
+++ b/src/bench/groupowner.h
@@ -40,7 +40,7 @@
 
     void submit(const TraceRequest &request, Instant deadline, std::optional<Position> session,
                 OwnerCallback callback);
-    void onLeaving(const ServerName &server);
+    void onServerLeaving(const ServerName &server);
 
     const decision::Failover &failover() const { return failover_; }
 
@@ -56,11 +56,11 @@
         ServerName server;
         // When it left for its server, and since when the data there is known to be complete.
         Instant sentAt;
-        std::optional<Instant> asOf;
-        bool maybeRun = false;
+        std::optional<Instant> dataAsOf;
+        bool maybeExecuted = false;
         bool answered = false;
         // Counts the times it was sent, so that a late answer of an earlier one is told apart.
-        int sending = 0;
+        int attempt = 0;
     };
     using TaskPtr = std::shared_ptr<Task>;
 
@@ -70,7 +70,7 @@
         std::unique_ptr<decision::Admission> admission;
         std::map<decision::WorkId, TaskPtr> queued;
         std::map<decision::WorkId, TaskPtr> running;
-        std::optional<Instant> heardAt;
+        std::optional<Instant> lastReplyAt;
         bool probing = false;
         bool leaving = false;
     };
@@ -79,7 +79,7 @@
     std::function<void(const Reply &)> guarded(Function function);
 
     void onTick();
-    void act(const decision::FailoverActions &actions);
+    void performAll(const decision::FailoverActions &actions);
     void perform(const decision::SendProbe &action);
     void perform(const decision::SendPrepare &action);
     void perform(const decision::SendPromote &action);
@@ -97,12 +97,12 @@
     bool reachable(const Backend &backend) const;
     decision::ServerView viewOf(const Backend &backend, const Task &task) const;
     std::vector<decision::ServerView> views(const Task &task) const;
-    decision::ReadRequirements needsOf(const Task &task) const;
+    decision::ReadRequirements requirementsOf(const Task &task) const;
 
-    void place(const TaskPtr &task);
-    void placeRead(const TaskPtr &task);
+    void dispatch(const TaskPtr &task);
+    void dispatchRead(const TaskPtr &task);
     void enqueue(const TaskPtr &task, const ServerName &server);
-    void pump(Backend &backend);
+    void sendQueued(Backend &backend);
     void send(Backend &backend, const decision::Work &work, const TaskPtr &task);
     void onReply(Backend &backend, const decision::Work &work, const TaskPtr &task,
                  const Reply &reply);
@@ -110,7 +110,7 @@
     void onWritten(const TaskPtr &task, const Reply &reply);
     void acknowledge(const std::vector<decision::WriteId> &writes);
     void retryLater(const TaskPtr &task);
-    void expireParked();
+    void expireAwaitingPrimary();
     void finish(const TaskPtr &task, Reason reason, Executed executed, Duration retryAfter);
     void finishDone(const TaskPtr &task, Position position, bool fromReplica);
     void abandonServer(Backend &backend);
@@ -126,7 +126,7 @@
     decision::Routing routing_;
     decision::Confirmation confirmation_;
     std::map<ServerName, Backend> backends_;
-    std::deque<TaskPtr> parked_;
+    std::deque<TaskPtr> awaitingPrimary_;
     std::map<decision::WriteId, TaskPtr> unconfirmed_;
     std::map<decision::WriteId, Position> written_;
     // Every acknowledged write lies at or before this position; nothing until the first sample of
@@ -134,10 +134,10 @@
     std::optional<Position> acknowledged_;
     Instant primarySince_;
     decision::WorkId lastId_ = 0;
-    int open_ = 0;
+    int openRequests_ = 0;
     TimerId tick_ = 0;
     bool stopped_ = false;
-    std::function<void()> drained_;
+    std::function<void()> onDrained_;
 };
 
 // Callbacks that come after the owner has stopped do nothing.
--- a/src/bench/groupownerfailover.cpp
+++ b/src/bench/groupownerfailover.cpp
@@ -5,16 +5,16 @@
 
 using namespace decision;
 
-void GroupOwner::act(const FailoverActions &actions)
+void GroupOwner::performAll(const FailoverActions &actions)
 {
     for (const FailoverAction &action : actions)
-        std::visit([this](const auto &what) { perform(what); }, action);
+        std::visit([this](const auto &details) { perform(details); }, action);
 }
 
 void GroupOwner::onReport(Backend &backend, Instant sent, const Reply &reply)
 {
-    const ServerName &name = backend.server->what().name;
-    backend.heardAt = model_.timers.now();
+    const ServerName &name = backend.server->details().name;
+    backend.lastReplyAt = model_.timers.now();
     if (reply.report.isPrimary && failover_.primary() == name) {
         freshness_.onPrimarySample(sent, reply.report.applied);
         if (!acknowledged_ && sent >= primarySince_)
@@ -33,12 +33,12 @@
         zone_, guarded([this, &backend, action, sent](const Reply &reply) {
             const Instant now = model_.timers.now();
             if (reply.kind == ReplyKind::Done) {
-                act(failover_.onReport(now, action.server, action.sequence, reply.report));
+                performAll(failover_.onReport(now, action.server, action.sequence, reply.report));
                 onReport(backend, sent, reply);
                 return;
             }
             const bool refused = reply.kind == ReplyKind::Refused;
-            act(failover_.onProbeFailed(now, action.server, action.sequence, refused));
+            performAll(failover_.onProbeFailed(now, action.server, action.sequence, refused));
         }));
 }
 
@@ -49,7 +49,7 @@
         failure = CommandFailure::NotSent;
     else if (reply.kind == ReplyKind::Lost)
         failure = CommandFailure::Unknown;
-    act(failover_.onCommandFailed(model_.timers.now(), server, failure));
+    performAll(failover_.onCommandFailed(model_.timers.now(), server, failure));
 }
 
 void GroupOwner::perform(const SendPrepare &action)
@@ -58,8 +58,8 @@
         .server->prepare(zone_, action.term, guarded([this, action](const Reply &reply) {
                              if (reply.kind != ReplyKind::Done)
                                  return commandAnswered(action.server, reply);
-                             act(failover_.onPrepared(model_.timers.now(), action.server,
-                                                      action.term, reply.report));
+                             performAll(failover_.onPrepared(model_.timers.now(), action.server,
+                                                             action.term, reply.report));
                          }));
 }
 
@@ -70,7 +70,7 @@
             zone_, action.term, guarded([this, action](const Reply &reply) {
                 if (reply.kind != ReplyKind::Done)
                     return commandAnswered(action.server, reply);
-                act(failover_.onPromoted(model_.timers.now(), action.server, action.term));
+                performAll(failover_.onPromoted(model_.timers.now(), action.server, action.term));
             }));
 }
 
@@ -82,19 +82,19 @@
             zone_, primary, action.term, guarded([this, action](const Reply &reply) {
                 if (reply.kind != ReplyKind::Done)
                     return commandAnswered(action.server, reply);
-                act(failover_.onFollowing(model_.timers.now(), action.server, action.term));
+                performAll(failover_.onFollowing(model_.timers.now(), action.server, action.term));
             }));
 }
 
 void GroupOwner::perform(const SendRaiseFence &action)
 {
     backends_.at(action.server)
-        .server->raiseFence(
-            zone_, action.epoch, guarded([this, action](const Reply &reply) {
-                if (reply.kind != ReplyKind::Done)
-                    return commandAnswered(action.server, reply);
-                act(failover_.onFenceRaised(model_.timers.now(), action.server, action.epoch));
-            }));
+        .server->raiseFence(zone_, action.epoch, guarded([this, action](const Reply &reply) {
+                                if (reply.kind != ReplyKind::Done)
+                                    return commandAnswered(action.server, reply);
+                                performAll(failover_.onFenceRaised(model_.timers.now(),
+                                                                   action.server, action.epoch));
+                            }));
 }
 
 void GroupOwner::perform(const SendReadHistory &action)
@@ -103,8 +103,8 @@
     server->status(zone_, guarded([this, server, action](const Reply &reply) {
                        if (reply.kind != ReplyKind::Done)
                            return commandAnswered(action.server, reply);
-                       act(failover_.onHistory(model_.timers.now(), action.server,
-                                               model_.logs(group_).history(server->term())));
+                       performAll(failover_.onHistory(model_.timers.now(), action.server,
+                                                      model_.logs(group_).history(server->term())));
                    }));
 }
 
@@ -122,7 +122,7 @@
     acknowledged_.reset();
     primarySince_ = model_.timers.now();
     for (auto &[name, backend] : backends_) {
-        const int usual = std::max(1, backend.server->what().slots - 1);
+        const int usual = std::max(1, backend.server->details().slots - 1);
         const int slots = model_.primaryBrowseSlots.value_or(usual);
         backend.admission->setBrowseSlots(name == action.server ? slots : 0);
     }
@@ -132,9 +132,9 @@
             retryLater(found->second);
     }
     unconfirmed_.clear();
-    const auto parked = std::exchange(parked_, {});
+    const auto parked = std::exchange(awaitingPrimary_, {});
     for (const TaskPtr &task : parked)
-        place(task);
+        dispatch(task);
 }
 
 } // namespace kelptally::bench
--- a/src/bench/kelptally.cpp
+++ b/src/bench/kelptally.cpp
@@ -16,9 +16,9 @@
 
 constexpr int retryBudgetPercent = 10;
 // Peers see the end of a link after this.
-constexpr Duration linkEndSeen = 5ms;
+constexpr Duration linkEndDetectionTime = 5ms;
 // A planned stop ends at the latest after this.
-constexpr Duration stopLimit = 3s;
+constexpr Duration stopTimeout = 3s;
 
 class Kelptally;
 
@@ -52,7 +52,7 @@
     std::optional<Position> session;
     AnswerCallback callback;
     int attempts = 0;
-    bool maybeRun = false;
+    bool maybeExecuted = false;
     bool answered = false;
 };
 using EntryRequestPtr = std::shared_ptr<EntryRequest>;
@@ -65,22 +65,22 @@
     void start() override;
     void submit(const TraceRequest &request, const HostName &entry,
                 AnswerCallback callback) override;
-    bool takesCallers(const HostName &host) const override;
+    bool acceptsCallers(const HostName &host) const override;
     void stopHost(const HostName &host) override;
     void crashHost(const HostName &host) override;
     void startHost(const HostName &host) override;
-    void onLeaving(const ServerName &server) override;
+    void onServerLeaving(const ServerName &server) override;
 
 private:
     Process &process(const HostName &name) { return *processes_.at(name); }
     Process *liveProcess(const ProcessId &id);
     void begin(Process &process);
     void end(Process &process);
-    void noteMembers();
-    void noteMembersLater();
+    void updateMembership();
+    void scheduleMembershipUpdate();
     void chooseOwners(Process &process);
     void tick(Process &process);
-    void act(Process &process, const GroupName &group, const OwnershipActions &actions);
+    void performAll(Process &process, const GroupName &group, const OwnershipActions &actions);
     void perform(Process &process, const GroupName &group, const ReadRow &action);
     void perform(Process &process, const GroupName &group, const WriteRow &action);
     void perform(Process &process, const GroupName &group, const SendLeaseRequest &action);
@@ -92,7 +92,7 @@
 
     Process *ownerOf(const GroupName &group);
     void attempt(const EntryRequestPtr &request);
-    void deliver(const EntryRequestPtr &request, Process &owner, const ProcessId &asked);
+    void deliver(const EntryRequestPtr &request, Process &owner, const ProcessId &ownerId);
     void onFailed(const EntryRequestPtr &request, Reason reason, Executed executed,
                   Duration retryAfter = Duration(0));
     void answer(const EntryRequestPtr &request, Answer answer);
@@ -101,7 +101,7 @@
     ModelStore store_;
     std::map<HostName, std::unique_ptr<Process>> processes_;
     std::uint64_t lastIncarnation_ = 0;
-    bool membersDue_ = false;
+    bool membershipUpdateScheduled_ = false;
 };
 
 Process::Process(Kelptally &cluster, const TraceHost &host)
@@ -120,7 +120,7 @@
 {
     for (auto &[name, process] : processes_)
         begin(*process);
-    noteMembers();
+    updateMembership();
     model_.timers.subscribeEvery(Ownership::tickPeriod, [this] {
         for (auto &[name, process] : processes_)
             tick(*process);
@@ -159,35 +159,35 @@
         owner->stop();
     process.owners.clear();
     process.ownerships.clear();
-    noteMembersLater();
+    scheduleMembershipUpdate();
 }
 
-void Kelptally::noteMembersLater()
+void Kelptally::scheduleMembershipUpdate()
 {
-    if (std::exchange(membersDue_, true))
+    if (std::exchange(membershipUpdateScheduled_, true))
         return;
-    model_.timers.subscribeAfter(linkEndSeen, [this] {
-        membersDue_ = false;
-        noteMembers();
+    model_.timers.subscribeAfter(linkEndDetectionTime, [this] {
+        membershipUpdateScheduled_ = false;
+        updateMembership();
     });
 }
 
 // Links between processes come and go; each tells its ends.
-void Kelptally::noteMembers()
+void Kelptally::updateMembership()
 {
     const Instant now = model_.timers.now();
     for (auto &[name, process] : processes_) {
         if (!process->alive)
             continue;
         for (const auto &[peerName, peer] : processes_) {
-            const bool up = peer->alive && model_.way(process->host.zone, peer->host.zone);
+            const bool up = peer->alive && model_.networkDelay(process->host.zone, peer->host.zone);
             if (!up || peer->stopping) {
                 process->membership.onPeerDown(now, peer->id());
                 continue;
             }
             process->membership.onPeerUp(now, peer->id());
             for (auto &[group, ownership] : process->ownerships)
-                act(*process, group, ownership->onIncarnation(now, peer->id()));
+                performAll(*process, group, ownership->onIncarnation(now, peer->id()));
         }
         chooseOwners(*process);
     }
@@ -198,11 +198,11 @@
 {
     for (auto &[group, ownership] : process.ownerships) {
         const ModelServer *primary = model_.primaryOf(group);
-        const ZoneName zone = primary != nullptr ? primary->what().zone : ZoneName();
-        const auto wanted = process.membership.preferredOwner(group, zone);
+        const ZoneName zone = primary != nullptr ? primary->details().zone : ZoneName();
+        const auto preferred = process.membership.preferredOwner(group, zone);
         ownership->setSuccessorCandidates(
             process.membership.successorCandidates(group, process.id()));
-        ownership->setPreferredOwner(!process.stopping && wanted == process.id());
+        ownership->setPreferredOwner(!process.stopping && preferred == process.id());
     }
 }
 
@@ -212,13 +212,13 @@
         return;
     const Instant now = model_.timers.now();
     for (auto &[group, ownership] : process.ownerships) {
-        act(process, group, ownership->onTick(now));
+        performAll(process, group, ownership->onTick(now));
         if (!process.alive)
             return;
     }
 }
 
-bool Kelptally::takesCallers(const HostName &host) const
+bool Kelptally::acceptsCallers(const HostName &host) const
 {
     const Process &process = *processes_.at(host);
     return process.alive && !process.stopping;
@@ -232,23 +232,24 @@
 void Kelptally::startHost(const HostName &host)
 {
     begin(process(host));
-    noteMembers();
+    updateMembership();
 }
 
 void Kelptally::stopHost(const HostName &host)
 {
     Process &stopping = process(host);
     stopping.stopping = true;
-    noteMembers();
+    updateMembership();
     for (auto &[group, owner] : stopping.owners) {
         owner->drain([this, &stopping, group = group] {
-            act(stopping, group, stopping.ownerships.at(group)->beginHandOver(model_.timers.now()));
+            performAll(stopping, group,
+                       stopping.ownerships.at(group)->beginHandOver(model_.timers.now()));
         });
     }
     const Incarnation incarnation = stopping.incarnation;
-    model_.timers.subscribeAfter(stopLimit, [this, &stopping, incarnation] {
+    model_.timers.subscribeAfter(stopTimeout, [this, &stopping, incarnation] {
         if (stopping.alive && stopping.incarnation == incarnation) {
-            model_.checker.onCutOff(stopping.unanswered);
+            model_.checker.onRequestsAborted(stopping.unanswered);
             end(stopping);
         }
     });
@@ -265,42 +266,44 @@
     };
     if (!isDone())
         return;
-    model_.timers.subscribeAfter(linkEndSeen, [this, &process, isDone] {
+    model_.timers.subscribeAfter(linkEndDetectionTime, [this, &process, isDone] {
         if (isDone())
             end(process);
     });
 }
 
-void Kelptally::onLeaving(const ServerName &server)
+void Kelptally::onServerLeaving(const ServerName &server)
 {
     for (auto &[name, process] : processes_) {
         for (auto &[group, owner] : process->owners)
-            owner->onLeaving(server);
+            owner->onServerLeaving(server);
     }
 }
 
 // ---- Ownership's actions ----
 
-void Kelptally::act(Process &process, const GroupName &group, const OwnershipActions &actions)
+void Kelptally::performAll(Process &process, const GroupName &group,
+                           const OwnershipActions &actions)
 {
     for (const OwnershipAction &action : actions) {
         if (process.alive)
-            std::visit([&](const auto &what) { perform(process, group, what); }, action);
+            std::visit([&](const auto &details) { perform(process, group, details); }, action);
     }
 }
 
 void Kelptally::perform(Process &process, const GroupName &group, const ReadRow &)
 {
     const ProcessId id = process.id();
-    store_.read(
-        process.host.zone, group, [this, id, group](bool ok, const std::optional<TaggedRow> &row) {
-            Process *reader = liveProcess(id);
-            if (reader == nullptr)
-                return;
-            Ownership &ownership = *reader->ownerships.at(group);
-            const Instant now = model_.timers.now();
-            act(*reader, group, ok ? ownership.onRow(now, row) : ownership.onRowReadFailed(now));
-        });
+    store_.read(process.host.zone, group,
+                [this, id, group](bool ok, const std::optional<TaggedRow> &row) {
+                    Process *reader = liveProcess(id);
+                    if (reader == nullptr)
+                        return;
+                    Ownership &ownership = *reader->ownerships.at(group);
+                    const Instant now = model_.timers.now();
+                    performAll(*reader, group,
+                               ok ? ownership.onRow(now, row) : ownership.onRowReadFailed(now));
+                });
 }
 
 void Kelptally::perform(Process &process, const GroupName &group, const WriteRow &action)
@@ -312,9 +315,9 @@
                      Process *writer = liveProcess(id);
                      if (writer == nullptr)
                          return;
-                     act(*writer, group,
-                         writer->ownerships.at(group)->onWriteOutcome(model_.timers.now(), changeId,
-                                                                      outcome, etag));
+                     performAll(*writer, group,
+                                writer->ownerships.at(group)->onWriteOutcome(
+                                    model_.timers.now(), changeId, outcome, etag));
                  });
 }
 
@@ -324,15 +327,15 @@
     OwnershipActions actions;
     const auto answer = successor.ownerships.at(group)->onLeaseRequest(model_.timers.now(),
                                                                        action.request, actions);
-    act(successor, group, actions);
+    performAll(successor, group, actions);
     if (!answer)
         return;
     const ProcessId owner = action.request.owner;
     const ZoneName ownerZone = process(owner.address).host.zone;
     model_.send(successor.host.zone, ownerZone, [this, owner, group, answer = *answer] {
         if (Process *receiver = liveProcess(owner))
-            act(*receiver, group,
-                receiver->ownerships.at(group)->onLeaseAnswer(model_.timers.now(), answer));
+            performAll(*receiver, group,
+                       receiver->ownerships.at(group)->onLeaseAnswer(model_.timers.now(), answer));
     });
 }
 
@@ -373,8 +376,8 @@
     const ZoneName toZone = this->process(action.to.address).host.zone;
     model_.send(process.host.zone, toZone, [this, group, action] {
         if (Process *next = liveProcess(action.to))
-            act(*next, group,
-                next->ownerships.at(group)->onHandOver(model_.timers.now(), action.epoch));
+            performAll(*next, group,
+                       next->ownerships.at(group)->onHandOver(model_.timers.now(), action.epoch));
     });
 }
 
@@ -412,18 +415,18 @@
     Process *owner = ownerOf(request->request->group);
     if (owner == nullptr)
         return onFailed(request, Reason::NoOwner, Executed::No);
-    const ProcessId asked = owner->id();
-    const auto way = model_.way(request->entry->host.zone, owner->host.zone);
-    if (!way)
+    const ProcessId ownerId = owner->id();
+    const auto networkDelay = model_.networkDelay(request->entry->host.zone, owner->host.zone);
+    if (!networkDelay)
         return onFailed(request, Reason::OwnerUnreachable, Executed::No);
-    model_.timers.subscribeAfter(*way, [this, request, owner, asked] {
-        if (liveProcess(asked) != nullptr)
-            return deliver(request, *owner, asked);
+    model_.timers.subscribeAfter(*networkDelay, [this, request, owner, ownerId] {
+        if (liveProcess(ownerId) != nullptr)
+            return deliver(request, *owner, ownerId);
         onFailed(request, Reason::OwnerUnreachable, Executed::No);
     });
 }
 
-void Kelptally::deliver(const EntryRequestPtr &request, Process &owner, const ProcessId &asked)
+void Kelptally::deliver(const EntryRequestPtr &request, Process &owner, const ProcessId &ownerId)
 {
     const auto found = owner.owners.find(request->request->group);
     if (found == owner.owners.end())
@@ -449,19 +452,19 @@
 
     // 2. Or the link ends with the owner, or the deadline passes.
     const auto watch = std::make_shared<std::function<void()>>();
-    *watch = [this, request, attempt, asked, group = request->request->group,
+    *watch = [this, request, attempt, ownerId, group = request->request->group,
               weak = std::weak_ptr<std::function<void()>>(watch)] {
         if (request->answered || attempt != request->attempts)
             return;
-        const Process *live = liveProcess(asked);
+        const Process *live = liveProcess(ownerId);
         if (live == nullptr || live->owners.count(group) == 0)
             return onFailed(request, Reason::OwnerUnreachable, Executed::Unknown);
         if (model_.timers.now() > request->deadline)
             return onFailed(request, Reason::DeadlineExceeded, Executed::Unknown);
         if (const auto again = weak.lock())
-            model_.timers.subscribeAfter(linkEndSeen, [again] { (*again)(); });
+            model_.timers.subscribeAfter(linkEndDetectionTime, [again] { (*again)(); });
     };
-    model_.timers.subscribeAfter(linkEndSeen, [watch] { (*watch)(); });
+    model_.timers.subscribeAfter(linkEndDetectionTime, [watch] { (*watch)(); });
 }
 
 void Kelptally::onFailed(const EntryRequestPtr &request, Reason reason, Executed executed,
@@ -469,13 +472,13 @@
 {
     if (request->answered || liveProcess(request->entryId) == nullptr)
         return;
-    const TraceRequest &what = *request->request;
-    request->maybeRun = request->maybeRun || (what.write && executed != Executed::No);
+    const TraceRequest &details = *request->request;
+    request->maybeExecuted = request->maybeExecuted || (details.write && executed != Executed::No);
     FailedAttempt attempt;
     attempt.reason = reason;
     attempt.notExecuted = executed == Executed::No;
-    attempt.repeatable = what.repeatable;
-    attempt.hasKey = !what.repeatable;
+    attempt.repeatable = details.repeatable;
+    attempt.hasKey = !details.repeatable;
     attempt.number = request->attempts++;
     attempt.deadlineLeft = request->deadline - model_.timers.now();
     const auto delay = request->entry->retries.retryAfter(attempt);
@@ -484,10 +487,10 @@
         return;
     }
     Answer refused;
-    refused.request = what.id;
+    refused.request = details.id;
     refused.reason = reason;
     refused.retryAfter = retryAfter;
-    refused.executed = request->maybeRun ? Executed::Unknown : Executed::No;
+    refused.executed = request->maybeExecuted ? Executed::Unknown : Executed::No;
     answer(request, refused);
 }
 
--- a/src/bench/losses.cpp
+++ b/src/bench/losses.cpp
@@ -18,39 +18,41 @@
 constexpr int zoneCount = 6;
 
 // Three regions of two zones; each group has its servers in three zones.
-Trace makePlace(int hosts, int groups)
+Trace makeTopology(int hosts, int groups)
 {
-    Trace place;
-    place.name = "losses";
-    place.zoneDelay = 1500us;
-    place.clientDelay = 1ms;
-    place.replicationDelay = 10ms;
+    Trace topology;
+    topology.name = "losses";
+    topology.zoneDelay = 1500us;
+    topology.clientDelay = 1ms;
+    topology.replicationDelay = 10ms;
     for (int i = 0; i < hosts; ++i)
-        place.hosts.push_back({absl::StrFormat("h%04d", i), absl::StrCat("zone-", i % zoneCount)});
+        topology.hosts.push_back(
+            {absl::StrFormat("h%04d", i), absl::StrCat("zone-", i % zoneCount)});
     for (int g = 0; g < groups; ++g) {
         for (int s = 0; s < 3; ++s)
-            place.servers.push_back({absl::StrFormat("g%04d-%d", g, s), absl::StrFormat("g%04d", g),
-                                     absl::StrCat("zone-", (g + 2 * s) % zoneCount), 3});
+            topology.servers.push_back({absl::StrFormat("g%04d-%d", g, s),
+                                        absl::StrFormat("g%04d", g),
+                                        absl::StrCat("zone-", (g + 2 * s) % zoneCount), 3});
     }
-    return place;
+    return topology;
 }
 
 enum class Loss { None, PlannedStop, Restart, Host, Rack, Zone, Region };
 
-std::vector<HostName> hostsLost(const Trace &place, Loss loss)
+std::vector<HostName> lostHosts(const Trace &topology, Loss loss)
 {
-    const std::size_t hosts = place.hosts.size();
+    const std::size_t hosts = topology.hosts.size();
     const std::size_t rack = std::max<std::size_t>(1, hosts / 65);
     std::vector<HostName> lost;
     for (std::size_t i = 0; i < hosts; ++i) {
         const std::size_t zone = i % zoneCount;
-        const bool hit = loss == Loss::Region ? zone < 2
-            : loss == Loss::Zone              ? zone == 0
-            : loss == Loss::Rack              ? zone == 0 && i / zoneCount < rack
-            : loss == Loss::None              ? false
-                                              : i == 0;
-        if (hit)
-            lost.push_back(place.hosts[i].name);
+        const bool affected = loss == Loss::Region ? zone < 2
+            : loss == Loss::Zone                   ? zone == 0
+            : loss == Loss::Rack                   ? zone == 0 && i / zoneCount < rack
+            : loss == Loss::None                   ? false
+                                                   : i == 0;
+        if (affected)
+            lost.push_back(topology.hosts[i].name);
     }
     return lost;
 }
@@ -61,9 +63,9 @@
     return loss == Loss::Region ? zone || server.zone == "zone-1" : loss == Loss::Zone && zone;
 }
 
-void cause(Model &model, Policy &policy, Loss loss)
+void injectLoss(Model &model, Policy &policy, Loss loss)
 {
-    for (const HostName &host : hostsLost(model.trace, loss)) {
+    for (const HostName &host : lostHosts(model.trace, loss)) {
         if (loss == Loss::PlannedStop)
             policy.stopHost(host);
         else
@@ -77,9 +79,9 @@
     }
 }
 
-void measure(const Trace &place, const char *name, Loss loss)
+void measure(const Trace &topology, const char *name, Loss loss)
 {
-    Model model(place);
+    Model model(topology);
     const auto policy = makeKelptally(model);
     policy->start();
     model.timers.advance(20s);
@@ -87,20 +89,20 @@
     const int reads = model.storeReads;
     const int writes = model.storeWrites;
     const std::size_t started = model.ownerStarts.size();
-    cause(model, *policy, loss);
-    int busiest = 0;
+    injectLoss(model, *policy, loss);
+    int maxPerSecond = 0;
     for (int second = 0; second < 60; ++second) {
         const int before = model.storeReads + model.storeWrites;
         model.timers.advance(1s);
-        busiest = std::max(busiest, model.storeReads + model.storeWrites - before);
+        maxPerSecond = std::max(maxPerSecond, model.storeReads + model.storeWrites - before);
     }
     const std::size_t moved = model.ownerStarts.size() - started;
     const Duration last = moved == 0 ? Duration(0) : model.ownerStarts.back() - begin;
     absl::PrintF(
         "  %-14s hosts %4d, groups that changed owner %4d, the last after %6.0f ms; store: "
         "%5d reads, %5d writes in a minute, %4d operations in the busiest second\n",
-        name, hostsLost(place, loss).size(), moved, toMilliseconds(last), model.storeReads - reads,
-        model.storeWrites - writes, busiest);
+        name, lostHosts(topology, loss).size(), moved, toMilliseconds(last),
+        model.storeReads - reads, model.storeWrites - writes, maxPerSecond);
 }
 
 } // namespace
@@ -112,15 +114,15 @@
     TCLAP::ValueArg<int> hosts("", "hosts", "hosts in six zones", false, 65, "N", line);
     TCLAP::ValueArg<int> groups("", "groups", "database groups", false, 105, "N", line);
     line.parse(argc, argv);
-    const Trace place = makePlace(hosts.getValue(), groups.getValue());
+    const Trace topology = makeTopology(hosts.getValue(), groups.getValue());
     absl::PrintF("%d hosts, %d groups\n", hosts.getValue(), groups.getValue());
-    measure(place, "none", Loss::None);
-    measure(place, "planned stop", Loss::PlannedStop);
-    measure(place, "restart", Loss::Restart);
-    measure(place, "host crash", Loss::Host);
-    measure(place, "rack", Loss::Rack);
-    measure(place, "zone", Loss::Zone);
-    measure(place, "region", Loss::Region);
+    measure(topology, "none", Loss::None);
+    measure(topology, "planned stop", Loss::PlannedStop);
+    measure(topology, "restart", Loss::Restart);
+    measure(topology, "host crash", Loss::Host);
+    measure(topology, "rack", Loss::Rack);
+    measure(topology, "zone", Loss::Zone);
+    measure(topology, "region", Loss::Region);
     return 0;
 }
 
--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -44,17 +44,17 @@
 {
     if (argc < 2)
         return usage(std::cerr, 2);
-    const absl::string_view wanted = argv[1];
-    if (wanted == "--help" || wanted == "-h")
+    const absl::string_view requested = argv[1];
+    if (requested == "--help" || requested == "-h")
         return usage(std::cout, 0);
-    if (wanted == "--version") {
+    if (requested == "--version") {
         std::cout << "kelptally-bench " KELPTALLY_VERSION "\n";
         return 0;
     }
     for (const Command &command : commands) {
-        if (command.name == wanted)
+        if (command.name == requested)
             return command.run(argc - 1, argv + 1);
     }
-    std::cerr << "kelptally-bench: unknown command " << wanted << "\n";
+    std::cerr << "kelptally-bench: unknown command " << requested << "\n";
     return usage(std::cerr, 2);
 }
--- a/src/bench/model.cpp
+++ b/src/bench/model.cpp
@@ -13,13 +13,15 @@
 
 } // namespace
 
-ModelServer::ModelServer(Model &model, const TraceServer &what) : model_(model), what_(what) { }
+ModelServer::ModelServer(Model &model, const TraceServer &details)
+    : model_(model), details_(details)
+{ }
 
-void ModelServer::becomeFirstPrimary(Term term)
+void ModelServer::startAsPrimary(Term term)
 {
     term_ = term;
     primary_ = true;
-    position_ = model_.logs(what_.group).beginTerm(term, {}, model_.timers.now());
+    position_ = model_.logs(details_.group).beginTerm(term, {}, model_.timers.now());
     applied_ = position_;
 }
 
@@ -31,18 +33,19 @@
 void ModelServer::answer(const ZoneName &to, const ReplyCallback &callback, ReplyKind kind)
 {
     const Reply reply {kind, report(), applied_};
-    model_.send(what_.zone, to, [callback, reply] { callback(reply); });
+    model_.send(details_.zone, to, [callback, reply] { callback(reply); });
 }
 
 // A short call that needs no slot. A hung server answers once it is healed.
 void ModelServer::call(const ZoneName &from, ReplyCallback callback,
                        std::function<ReplyKind()> work)
 {
-    model_.send(from, what_.zone, [this, from, callback, work] {
+    model_.send(from, details_.zone, [this, from, callback, work] {
         if (!alive_)
             return answer(from, callback, ReplyKind::Refused);
         if (hung_) {
-            whileHung_.push_back([this, from, callback, work] { answer(from, callback, work()); });
+            deferredCalls_.push_back(
+                [this, from, callback, work] { answer(from, callback, work()); });
             return;
         }
         answer(from, callback, work());
@@ -75,7 +78,7 @@
             return ReplyKind::Failed;
         primary_ = true;
         source_ = nullptr;
-        position_ = model_.logs(what_.group).beginTerm(term, position_, model_.timers.now());
+        position_ = model_.logs(details_.group).beginTerm(term, position_, model_.timers.now());
         applied_ = position_;
         return ReplyKind::Done;
     });
@@ -90,8 +93,8 @@
         term_ = term;
         primary_ = false;
         source_ = &primary;
-        position_ = model_.logs(what_.group).commonPrefix(position_, term);
-        applied_ = model_.logs(what_.group).commonPrefix(applied_, term);
+        position_ = model_.logs(details_.group).commonPrefix(position_, term);
+        applied_ = model_.logs(details_.group).commonPrefix(applied_, term);
         replicate();
         return ReplyKind::Done;
     });
@@ -114,7 +117,7 @@
     const Position end = source_->position();
     const Term term = term_;
     ModelServer *source = source_;
-    model_.send(source->what().zone, what_.zone,
+    model_.send(source->details().zone, details_.zone,
                 [this, source, end, term] { receive(source, end, term); });
 }
 
@@ -133,9 +136,9 @@
     });
 }
 
-void ModelServer::passOn()
+void ModelServer::replicateToFollowers()
 {
-    for (ModelServer *other : model_.serversOf(what_.group)) {
+    for (ModelServer *other : model_.serversOf(details_.group)) {
         if (other->source_ == this)
             other->replicate();
     }
@@ -148,8 +151,8 @@
     source_ = nullptr;
     running_ = 0;
     ++run_;
-    waiting_.clear();
-    whileHung_.clear();
+    queuedCalls_.clear();
+    deferredCalls_.clear();
     const auto lost = std::move(inFlight_);
     inFlight_.clear();
     for (const auto &call : lost)
@@ -167,34 +170,34 @@
     hung_ = hung;
     if (hung)
         return;
-    const auto calls = std::move(whileHung_);
-    whileHung_.clear();
+    const auto calls = std::move(deferredCalls_);
+    deferredCalls_.clear();
     for (const auto &call : calls)
         call();
     applied_ = position_;
     replicate();
-    startWaiting();
+    startQueuedCalls();
 }
 
 void ModelServer::run(const ZoneName &from, const ModelStatement &statement, ReplyCallback callback)
 {
     auto call = std::make_shared<Call>(Call {from, statement, std::move(callback)});
-    model_.send(from, what_.zone, [this, call] {
+    model_.send(from, details_.zone, [this, call] {
         if (!alive_)
             return answer(call->from, call->callback, ReplyKind::Refused);
         inFlight_.insert(call);
-        waiting_.push_back(call);
-        startWaiting();
+        queuedCalls_.push_back(call);
+        startQueuedCalls();
     });
 }
 
-void ModelServer::startWaiting()
+void ModelServer::startQueuedCalls()
 {
-    while (alive_ && !hung_ && running_ < what_.slots && !waiting_.empty()) {
-        const auto call = waiting_.front();
-        waiting_.pop_front();
+    while (alive_ && !hung_ && running_ < details_.slots && !queuedCalls_.empty()) {
+        const auto call = queuedCalls_.front();
+        queuedCalls_.pop_front();
         ++running_;
-        model_.noteWork(what_.name);
+        model_.onStatementStarted(details_.name);
         const int run = run_;
         model_.timers.subscribeAfter(call->statement.request->cost * slowness_, [this, call, run] {
             if (run == run_)
@@ -205,7 +208,7 @@
 
 ReplyKind ModelServer::write(const ModelStatement &statement, Position &position)
 {
-    GroupLogs &logs = model_.logs(what_.group);
+    GroupLogs &logs = model_.logs(details_.group);
     if (!primary_ || statement.epoch < fence_)
         return ReplyKind::Failed;
     const RequestId request = statement.request->id;
@@ -217,14 +220,14 @@
     position_ = logs.append(term_, request, model_.timers.now());
     position = position_;
     applied_ = position_;
-    passOn();
+    replicateToFollowers();
     return ReplyKind::Done;
 }
 
 void ModelServer::finish(const std::shared_ptr<Call> &call)
 {
     if (hung_) {
-        whileHung_.push_back([this, call] { finish(call); });
+        deferredCalls_.push_back([this, call] { finish(call); });
         return;
     }
     --running_;
@@ -233,39 +236,39 @@
     if (call->statement.request->write)
         reply.kind = write(call->statement, reply.position);
     const ReplyCallback callback = call->callback;
-    model_.send(what_.zone, call->from, [callback, reply] { callback(reply); });
-    startWaiting();
+    model_.send(details_.zone, call->from, [callback, reply] { callback(reply); });
+    startQueuedCalls();
 }
 
 Model::Model(const Trace &trace)
     : trace(trace),
       checker([this](const GroupName &group) -> const GroupLogs & { return logs_[group]; })
 {
-    std::set<GroupName> begun;
-    for (const TraceServer &what : trace.servers) {
-        servers_[what.name] = std::make_unique<ModelServer>(*this, what);
-        if (begun.insert(what.group).second)
-            servers_[what.name]->becomeFirstPrimary(makeTerm(0, 1));
+    std::set<GroupName> groupsWithPrimary;
+    for (const TraceServer &details : trace.servers) {
+        servers_[details.name] = std::make_unique<ModelServer>(*this, details);
+        if (groupsWithPrimary.insert(details.group).second)
+            servers_[details.name]->startAsPrimary(makeTerm(0, 1));
     }
     for (const auto &[name, server] : servers_) {
-        ModelServer *primary = primaryOf(server->what().group);
+        ModelServer *primary = primaryOf(server->details().group);
         if (primary != server.get())
-            server->follow(server->what().zone, *primary, makeTerm(0, 1), [](const Reply &) {});
+            server->follow(server->details().zone, *primary, makeTerm(0, 1), [](const Reply &) {});
     }
 }
 
-std::optional<Duration> Model::way(const ZoneName &from, const ZoneName &to) const
+std::optional<Duration> Model::networkDelay(const ZoneName &from, const ZoneName &to) const
 {
     if (from == to)
         return sameZoneDelay;
-    if (cut_.count(from) > 0 || cut_.count(to) > 0)
+    if (partitionedZones_.count(from) > 0 || partitionedZones_.count(to) > 0)
         return std::nullopt;
     return trace.zoneDelay;
 }
 
 void Model::send(const ZoneName &from, const ZoneName &to, std::function<void()> function)
 {
-    if (const auto delay = way(from, to))
+    if (const auto delay = networkDelay(from, to))
         timers.subscribeAfter(*delay, std::move(function));
 }
 
@@ -277,9 +280,9 @@
 std::vector<ModelServer *> Model::serversOf(const GroupName &group)
 {
     std::vector<ModelServer *> found;
-    for (const TraceServer &what : trace.servers) {
-        if (what.group == group)
-            found.push_back(servers_.at(what.name).get());
+    for (const TraceServer &details : trace.servers) {
+        if (details.group == group)
+            found.push_back(servers_.at(details.name).get());
     }
     return found;
 }
@@ -294,22 +297,22 @@
     return newest;
 }
 
-void Model::setCut(const ZoneName &zone, bool cut)
+void Model::setPartitioned(const ZoneName &zone, bool cut)
 {
     if (cut) {
-        cut_.insert(zone);
+        partitionedZones_.insert(zone);
         return;
     }
-    cut_.erase(zone);
+    partitionedZones_.erase(zone);
     for (const auto &[name, server] : servers_)
         server->replicate();
 }
 
-void Model::noteWork(const ServerName &name)
+void Model::onStatementStarted(const ServerName &name)
 {
     const auto leaving = leaving_.find(name);
     if (leaving != leaving_.end())
-        checker.onWorkOnLeaving(timers.now() - leaving->second);
+        checker.onStatementOnLeavingServer(timers.now() - leaving->second);
 }
 
 } // namespace kelptally::bench
--- a/src/bench/model.h
+++ b/src/bench/model.h
@@ -51,7 +51,7 @@
 class ModelServer
 {
 public:
-    ModelServer(Model &model, const TraceServer &what);
+    ModelServer(Model &model, const TraceServer &details);
 
     void run(const ZoneName &from, const ModelStatement &statement, ReplyCallback callback);
     void status(const ZoneName &from, ReplyCallback callback);
@@ -67,9 +67,9 @@
     void setLag(Duration lag) { lag_ = lag; }
     // Sends what the primary holds now to this server.
     void replicate();
-    void becomeFirstPrimary(Term term);
+    void startAsPrimary(Term term);
 
-    const TraceServer &what() const { return what_; }
+    const TraceServer &details() const { return details_; }
     bool alive() const { return alive_; }
     bool hung() const { return hung_; }
     bool primary() const { return primary_; }
@@ -90,14 +90,14 @@
     void call(const ZoneName &from, ReplyCallback callback, std::function<ReplyKind()> work);
     void answer(const ZoneName &to, const ReplyCallback &callback, ReplyKind kind);
     decision::ServerReport report() const;
-    void startWaiting();
+    void startQueuedCalls();
     void finish(const std::shared_ptr<Call> &call);
     ReplyKind write(const ModelStatement &statement, Position &position);
-    void passOn();
+    void replicateToFollowers();
     void receive(ModelServer *source, Position end, Term term);
 
     Model &model_;
-    const TraceServer what_;
+    const TraceServer details_;
     bool alive_ = true;
     bool hung_ = false;
     int slowness_ = 1;
@@ -111,9 +111,9 @@
     // Counts kills, so that what a dead run left behind is told apart.
     int run_ = 0;
     int running_ = 0;
-    std::deque<std::shared_ptr<Call>> waiting_;
+    std::deque<std::shared_ptr<Call>> queuedCalls_;
     std::set<std::shared_ptr<Call>> inFlight_;
-    std::vector<std::function<void()>> whileHung_;
+    std::vector<std::function<void()>> deferredCalls_;
 };
 
 // Everything around the policy in one replay.
@@ -123,7 +123,7 @@
     explicit Model(const Trace &trace);
 
     // Delay of one way; nothing while the two are cut off from each other.
-    std::optional<Duration> way(const ZoneName &from, const ZoneName &to) const;
+    std::optional<Duration> networkDelay(const ZoneName &from, const ZoneName &to) const;
     // Runs the function at the other end, unless the message is lost.
     void send(const ZoneName &from, const ZoneName &to, std::function<void()> function);
 
@@ -132,17 +132,17 @@
     ModelServer *primaryOf(const GroupName &group);
     GroupLogs &logs(const GroupName &group) { return logs_[group]; }
 
-    void setCut(const ZoneName &zone, bool cut);
-    bool isCut(const ZoneName &zone) const { return cut_.count(zone) > 0; }
+    void setPartitioned(const ZoneName &zone, bool cut);
+    bool isPartitioned(const ZoneName &zone) const { return partitionedZones_.count(zone) > 0; }
     void setLeaving(const ServerName &name) { leaving_.emplace(name, timers.now()); }
     // A statement begins at the server.
-    void noteWork(const ServerName &name);
+    void onStatementStarted(const ServerName &name);
     bool isLeaving(const ServerName &name) const { return leaving_.count(name) > 0; }
 
     const Trace &trace;
     ManualTimerService timers;
     Checker checker;
-    bool storeUp = true;
+    bool storeAvailable = true;
     // What was asked of the table service, and when a process began to serve a group.
     int storeReads = 0;
     int storeWrites = 0;
@@ -153,7 +153,7 @@
 private:
     std::map<ServerName, std::unique_ptr<ModelServer>> servers_;
     std::map<GroupName, GroupLogs> logs_;
-    std::set<ZoneName> cut_;
+    std::set<ZoneName> partitionedZones_;
     std::map<ServerName, Instant> leaving_;
 };
 
--- a/src/bench/modelstore.cpp
+++ b/src/bench/modelstore.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Duration storeTime = 5ms;
+constexpr Duration storeLatency = 5ms;
 // An outage shows after the client's timeout.
 constexpr Duration storeTimeout = 200ms;
 
@@ -16,11 +16,11 @@
 void ModelStore::read(const ZoneName &from, const GroupName &group, ReadCallback callback)
 {
     ++model_.storeReads;
-    if (!model_.storeUp || model_.isCut(from)) {
+    if (!model_.storeAvailable || model_.isPartitioned(from)) {
         model_.timers.subscribeAfter(storeTimeout, [callback] { callback(false, std::nullopt); });
         return;
     }
-    model_.timers.subscribeAfter(storeTime, [this, group, callback] {
+    model_.timers.subscribeAfter(storeLatency, [this, group, callback] {
         const auto found = rows_.find(group);
         const bool exists = found != rows_.end();
         callback(true, exists ? std::make_optional(found->second) : std::nullopt);
@@ -31,12 +31,12 @@
                        WriteCallback callback)
 {
     ++model_.storeWrites;
-    if (!model_.storeUp || model_.isCut(from)) {
+    if (!model_.storeAvailable || model_.isPartitioned(from)) {
         model_.timers.subscribeAfter(storeTimeout,
                                      [callback] { callback(WriteOutcome::Unknown, {}); });
         return;
     }
-    model_.timers.subscribeAfter(storeTime, [this, group, write, callback] {
+    model_.timers.subscribeAfter(storeLatency, [this, group, write, callback] {
         const auto found = rows_.find(group);
         const bool holds = write.expectedEtag
             ? found != rows_.end() && found->second.etag == *write.expectedEtag
--- a/src/bench/overload.cpp
+++ b/src/bench/overload.cpp
@@ -29,7 +29,7 @@
 const std::vector<ZoneName> zones = {"portlouis-a", "portlouis-b", "ebene", "grandbaie"};
 
 // What one team sends.
-struct Stream
+struct TeamLoad
 {
     TeamName team;
     int rate = 0;
@@ -37,7 +37,7 @@
     Duration readCost = bench::readCost;
 };
 
-Trace makeTrace(const std::vector<Stream> &streams)
+Trace makeTrace(const std::vector<TeamLoad> &streams)
 {
     Trace trace;
     trace.name = "overload";
@@ -55,7 +55,7 @@
         return static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(bound));
     };
     RequestId id = 0;
-    for (const Stream &stream : streams) {
+    for (const TeamLoad &stream : streams) {
         for (Duration at = 0s; at < runTime; at += 1us * below(2000000 / stream.rate)) {
             TraceRequest request;
             request.id = ++id;
@@ -111,8 +111,8 @@
     return figures.inTime;
 }
 
-int runOne(const std::string &label, const std::string &policy, const Trace &trace,
-           const ReplayOptions &options = {})
+int replayAndPrint(const std::string &label, const std::string &policy, const Trace &trace,
+                   const ReplayOptions &options = {})
 {
     return printRow(label, policy, *replay(trace, policy, options));
 }
@@ -123,30 +123,30 @@
     printHeader("load, as percent of what the slots can do (deadlines: reads 250 ms, writes 1 s)");
     for (const std::string policy : {"kelptally", "round-robin"}) {
         int peak = 0;
-        int atTwice = 0;
+        int inTimeAtTwice = 0;
         for (const int percent : {50, 80, 100, 120, 150, 200, 300}) {
             const Trace trace = makeTrace({{"web", nominalRate * percent / 100, 10, readCost}});
-            const int inTime = runOne(absl::StrFormat("%d%%", percent), policy, trace);
+            const int inTime = replayAndPrint(absl::StrFormat("%d%%", percent), policy, trace);
             peak = std::max(peak, inTime);
-            atTwice = percent == 200 ? inTime : atTwice;
+            inTimeAtTwice = percent == 200 ? inTime : inTimeAtTwice;
         }
         absl::PrintF("%s: goodput at 200%% is %.1f%% of the peak\n", policy,
-                     100.0 * atTwice / peak);
+                     100.0 * inTimeAtTwice / peak);
     }
 }
 
 // Callers that send every refused request again.
-void measureStorm()
+void measureRetryStorm()
 {
     printHeader("retry storm at 150%: callers send refused requests again, up to 5 times");
     const Trace trace = makeTrace({{"web", nominalRate * 3 / 2, 10, readCost}});
     ReplayOptions options;
-    runOne("no repeats", "kelptally", trace, options);
+    replayAndPrint("no repeats", "kelptally", trace, options);
     options.callerRepeats = 5;
-    runOne("when told (Retry-After)", "kelptally", trace, options);
+    replayAndPrint("when told (Retry-After)", "kelptally", trace, options);
     options.repeatAfter = 20ms;
-    runOne("after 20 ms", "kelptally", trace, options);
-    runOne("after 20 ms", "round-robin", trace, options);
+    replayAndPrint("after 20 ms", "kelptally", trace, options);
+    replayAndPrint("after 20 ms", "round-robin", trace, options);
 }
 
 // One team asks for five times what there is.
@@ -171,14 +171,14 @@
 {
     printHeader("one slow replica (20 times) at 40%");
     Trace trace = makeTrace({{"web", nominalRate * 4 / 10, 10, readCost}});
-    runOne("none slow", "kelptally", trace);
+    replayAndPrint("none slow", "kelptally", trace);
     addFault(trace, FaultKind::SlowServer, "b", 20);
-    runOne("one slow", "kelptally", trace);
-    runOne("one slow", "round-robin", trace);
+    replayAndPrint("one slow", "kelptally", trace);
+    replayAndPrint("one slow", "round-robin", trace);
 }
 
 // Long browsing statements that go to the primary too, since one replica is dead.
-void measureBorrowedSlots()
+void measurePrimaryBrowseSlots()
 {
     printHeader(
         "browsing (100 ms each) and writes, a replica dead: slots of the primary for browsing");
@@ -187,8 +187,8 @@
     for (const int slots : {0, 2, 1}) {
         ReplayOptions options;
         options.primaryBrowseSlots = slots;
-        runOne(slots == 0 ? std::string("all") : std::to_string(slots), "kelptally", trace,
-               options);
+        replayAndPrint(slots == 0 ? std::string("all") : std::to_string(slots), "kelptally", trace,
+                       options);
     }
 }
 
@@ -200,10 +200,10 @@
                         "there is, in the replay's model of one database group.");
     line.parse(argc, argv);
     measureLoad();
-    measureStorm();
+    measureRetryStorm();
     measureGreedyTeam();
     measureSlowServer();
-    measureBorrowedSlots();
+    measurePrimaryBrowseSlots();
     return 0;
 }
 
--- a/src/bench/policy.h
+++ b/src/bench/policy.h
@@ -22,12 +22,12 @@
     virtual void submit(const TraceRequest &request, const HostName &entry,
                         AnswerCallback callback) = 0;
     // Whether the balancer sends callers to this host.
-    virtual bool takesCallers(const HostName &host) const = 0;
+    virtual bool acceptsCallers(const HostName &host) const = 0;
     virtual void stopHost(const HostName &host) = 0;
     virtual void crashHost(const HostName &host) = 0;
     virtual void startHost(const HostName &host) = 0;
     // A server was marked as leaving and the configuration has reached the proxies.
-    virtual void onLeaving(const ServerName &server) = 0;
+    virtual void onServerLeaving(const ServerName &server) = 0;
 };
 
 std::unique_ptr<Policy> makeKelptally(Model &model);
--- a/src/bench/pressure.cpp
+++ b/src/bench/pressure.cpp
@@ -15,13 +15,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration step = 1ms;
+constexpr Duration stepTime = 1ms;
 // Whatever runs when the plan is over is answered within this time.
 constexpr Duration drainTime = 5s;
 // A write without an answer gives its slot back once its server is known not to run it.
-constexpr Duration hangingSlot = 220ms;
+constexpr Duration hungWriteSlotTime = 220ms;
 // A refusal after more than this part of the objective comes late.
-constexpr int heldPart = 4;
+constexpr int heldObjectiveDivisor = 4;
 const Instant start = Instant(1h);
 
 // One request with its repeats.
@@ -30,7 +30,7 @@
     const PressureKind *kind = nullptr;
     bool write = false;
     Duration work {0};
-    Instant asked;
+    Instant offered;
     int attempts = 0;
     Instant nextAttempt;
     // It waited for long in an attempt that was refused.
@@ -43,37 +43,37 @@
     bool primary = false;
     // When each slot is free again.
     std::vector<Instant> slots;
-    decision::ReadCandidate known;
+    decision::ReadCandidate candidate;
     // Position that it holds.
     std::uint64_t holds = 0;
 };
 
-class Player
+class PressureSimulation
 {
 public:
-    Player(const PressurePlan &plan, std::uint64_t seed, PressureOrder order)
+    PressureSimulation(const PressurePlan &plan, std::uint64_t seed, PressureOrder order)
         : plan_(plan), order_(order), random_(seed)
     {
         servers_.resize(static_cast<std::size_t>(plan.replicas) + 1);
         for (Server &server : servers_) {
             server.primary = &server == &servers_.front();
             server.slots.resize(static_cast<std::size_t>(plan.slots), start);
-            server.known.primary = server.primary;
-            server.known.reachable = true;
-            server.known.slots = plan.slots;
+            server.candidate.primary = server.primary;
+            server.candidate.reachable = true;
+            server.candidate.slots = plan.slots;
         }
     }
 
-    PressureResult play()
+    PressureResult simulate()
     {
-        for (Duration at {0}; at < plan_.length + drainTime; at += step) {
+        for (Duration at {0}; at < plan_.length + drainTime; at += stepTime) {
             const Instant now = start + at;
             if (at < plan_.length)
-                arrive(at, now);
-            advance(at, now);
-            repeat(now);
-            giveUp(at, now);
-            serve(at, now);
+                generateRequests(at, now);
+            advancePositions(at, now);
+            requeueRepeats(now);
+            refuseExpired(at, now);
+            startRequests(at, now);
         }
         return std::move(result_);
     }
@@ -86,11 +86,11 @@
     void count(const Request &request, Function function)
     {
         function(result_.kinds[request.kind->name]);
-        function(result_.seconds[static_cast<int>((request.asked - start) / 1s)]);
+        function(result_.seconds[static_cast<int>((request.offered - start) / 1s)]);
         function(result_.all);
     }
 
-    void arrive(Duration at, Instant now)
+    void generateRequests(Duration at, Instant now)
     {
         constexpr int perMillion = 1'000'000;
         const int load = plan_.burst.holds(at) ? plan_.burstPercent : 100;
@@ -99,20 +99,20 @@
             int chance = kind.rate * load * 10;
             for (; chance > 0; chance -= perMillion)
                 if (below(perMillion) < chance)
-                    ask(kind, now);
+                    addRequest(kind, now);
         }
     }
 
-    void ask(const PressureKind &kind, Instant now)
+    void addRequest(const PressureKind &kind, Instant now)
     {
         Request request;
         request.kind = &kind;
         request.write = below(100) < kind.writePercent;
         request.work = kind.work / 2 + kind.work * below(1000) / 1000;
-        request.asked = now;
+        request.offered = now;
         count(request, [&](PressureCount &counted) {
-            ++counted.asked;
-            counted.worthAsked += kind.worth;
+            ++counted.offered;
+            counted.offeredWorth += kind.worth;
         });
         enqueue(request, now);
     }
@@ -120,7 +120,7 @@
     void enqueue(Request request, Instant now)
     {
         ++request.attempts;
-        const Duration left = request.asked + request.kind->deadline - now;
+        const Duration left = request.offered + request.kind->deadline - now;
         request.waiting = decision::makeWaitingStatement(now, request.kind->objective, left,
                                                          request.kind->priority, false);
         request.waiting.service = times_.typical(request.kind->objective, request.kind->priority);
@@ -132,49 +132,48 @@
         return request.write || request.kind->maxAge == Duration(0);
     }
 
-    void repeat(Instant now)
+    void requeueRepeats(Instant now)
     {
-        for (auto each = repeating_.begin(); each != repeating_.end();) {
-            if (each->nextAttempt > now) {
-                ++each;
+        for (auto it = pendingRepeats_.begin(); it != pendingRepeats_.end();) {
+            if (it->nextAttempt > now) {
+                ++it;
                 continue;
             }
-            enqueue(*each, now);
-            each = repeating_.erase(each);
+            enqueue(*it, now);
+            it = pendingRepeats_.erase(it);
         }
     }
 
     // Positions: the primary's log grows with its commits, and replicas follow.
-    void advance(Duration at, Instant now)
+    void advancePositions(Duration at, Instant now)
     {
         positions_.add(now, {1, head_});
-        heads_.push_back(head_);
-        const auto lag = static_cast<std::size_t>(plan_.replicaLag / step);
-        int deaf = plan_.deaf.holds(at) ? plan_.deafReplicas : 0;
+        headHistory_.push_back(head_);
+        const auto lag = static_cast<std::size_t>(plan_.replicaLag / stepTime);
+        int replicationStopped = plan_.replicationStopped.holds(at) ? plan_.stoppedReplicas : 0;
         for (Server &server : servers_) {
-            const bool hears = server.primary || deaf-- <= 0;
+            const bool receives = server.primary || replicationStopped-- <= 0;
             if (server.primary)
                 server.holds = head_;
-            else if (hears && heads_.size() > lag)
-                server.holds = heads_[heads_.size() - 1 - lag];
+            else if (receives && headHistory_.size() > lag)
+                server.holds = headHistory_[headHistory_.size() - 1 - lag];
         }
     }
 
-    void giveUp(Duration at, Instant now)
+    void refuseExpired(Duration at, Instant now)
     {
         decision::WaitState state;
         state.ownsGroup = true;
-        state.hasPrimary = !plan_.leaderless.holds(at);
-        state.primarySince =
-            now < start + plan_.leaderless.to ? start : start + plan_.leaderless.to;
-        for (auto each = queue_.begin(); each != queue_.end();) {
-            state.needsPrimary = needsPrimary(*each);
-            if (decision::giveUpAt(each->waiting, state, now) > now) {
-                ++each;
+        state.hasPrimary = !plan_.noPrimary.holds(at);
+        state.primarySince = now < start + plan_.noPrimary.to ? start : start + plan_.noPrimary.to;
+        for (auto it = queue_.begin(); it != queue_.end();) {
+            state.needsPrimary = needsPrimary(*it);
+            if (decision::giveUpAt(it->waiting, state, now) > now) {
+                ++it;
                 continue;
             }
-            refuse(*each, now);
-            each = queue_.erase(each);
+            refuse(*it, now);
+            it = queue_.erase(it);
         }
     }
 
@@ -182,49 +181,49 @@
     {
         request.nextAttempt = now + plan_.repeatPause;
         const Duration waited = now - request.waiting.arrived;
-        request.held = request.held || waited > request.kind->objective / heldPart;
+        request.held = request.held || waited > request.kind->objective / heldObjectiveDivisor;
         const bool again = request.attempts <= plan_.repeats
-            && request.nextAttempt < request.asked + request.kind->deadline;
+            && request.nextAttempt < request.offered + request.kind->deadline;
         count(request, [&](PressureCount &counted) {
             ++(again ? counted.repeats : counted.refused);
             counted.held += !again && request.held ? 1 : 0;
         });
         if (again)
-            repeating_.push_back(request);
+            pendingRepeats_.push_back(request);
     }
 
-    void serve(Duration at, Instant now)
+    void startRequests(Duration at, Instant now)
     {
         if (order_ == PressureOrder::Ranked)
             queue_.sort([now](const Request &a, const Request &b) {
                 return decision::precedes(a.waiting, b.waiting, now);
             });
-        for (auto each = queue_.begin(); each != queue_.end();) {
-            Server *server = choose(*each, at, now);
+        for (auto it = queue_.begin(); it != queue_.end();) {
+            Server *server = chooseServer(*it, at, now);
             if (server == nullptr) {
-                ++each;
+                ++it;
                 continue;
             }
-            run(*each, *server, at, now);
-            each = queue_.erase(each);
+            execute(*it, *server, at, now);
+            it = queue_.erase(it);
         }
     }
 
-    Server *choose(const Request &request, Duration at, Instant now)
+    Server *chooseServer(const Request &request, Duration at, Instant now)
     {
         std::vector<decision::ReadCandidate> states;
         for (Server &server : servers_) {
-            server.known.inFlight = static_cast<int>(std::count_if(
+            server.candidate.inFlight = static_cast<int>(std::count_if(
                 server.slots.begin(), server.slots.end(), [now](Instant s) { return s > now; }));
-            server.known.available = server.known.inFlight < plan_.slots
-                && !(server.primary && plan_.leaderless.holds(at));
-            states.push_back(server.known);
+            server.candidate.available = server.candidate.inFlight < plan_.slots
+                && !(server.primary && plan_.noPrimary.holds(at));
+            states.push_back(server.candidate);
         }
         Server &primary = servers_.front();
         if (request.write && !commits_.maySend(now))
             return nullptr;
         if (request.write || request.kind->maxAge == Duration(0))
-            return primary.known.available ? &primary : nullptr;
+            return primary.candidate.available ? &primary : nullptr;
         decision::FreshnessRequirement bound;
         bound.maxAge = request.kind->maxAge;
         const auto needed =
@@ -234,19 +233,19 @@
             return nullptr;
         // What the replica's answer would show; a refusal costs no slot.
         Server &server = servers_[*chosen];
-        server.known.shown = Position {1, server.holds};
-        server.known.shownAt = now;
+        server.candidate.shown = Position {1, server.holds};
+        server.candidate.shownAt = now;
         const bool lags = needed && Position {1, server.holds} < *needed;
         if (lags)
-            server.known.behindUntil = now + 10ms;
+            server.candidate.behindUntil = now + 10ms;
         return lags ? nullptr : &server;
     }
 
-    void run(const Request &request, Server &server, Duration at, Instant now)
+    void execute(const Request &request, Server &server, Duration at, Instant now)
     {
-        const bool hangs = request.write && plan_.unconfirmed.holds(at);
-        const Duration took = hangs ? std::max(hangingSlot, request.work) : request.work;
-        *std::min_element(server.slots.begin(), server.slots.end()) = now + took;
+        const bool hangs = request.write && plan_.unconfirmedCommits.holds(at);
+        const Duration slotTime = hangs ? std::max(hungWriteSlotTime, request.work) : request.work;
+        *std::min_element(server.slots.begin(), server.slots.end()) = now + slotTime;
         const Duration waited = now - request.waiting.arrived;
         if (request.write)
             commits_.sent(now);
@@ -258,8 +257,8 @@
             commits_.answered(now);
             ++head_;
         }
-        times_.add(request.kind->objective, request.kind->priority, took);
-        const bool inTime = now + took - request.asked <= request.kind->objective;
+        times_.add(request.kind->objective, request.kind->priority, slotTime);
+        const bool inTime = now + slotTime - request.offered <= request.kind->objective;
         count(request, [&](PressureCount &counted) {
             ++(inTime ? counted.inTime : counted.late);
             counted.worth += inTime ? request.kind->worth : request.kind->lateWorth;
@@ -272,20 +271,20 @@
     std::mt19937_64 random_;
     std::vector<Server> servers_;
     std::list<Request> queue_;
-    std::list<Request> repeating_;
+    std::list<Request> pendingRepeats_;
     decision::PositionLog positions_;
     decision::CommitWatch commits_;
     decision::ServiceTimes times_;
     std::uint64_t head_ = 1;
-    std::vector<std::uint64_t> heads_;
+    std::vector<std::uint64_t> headHistory_;
     PressureResult result_;
 };
 
 } // namespace
 
-PressureResult playPressure(const PressurePlan &plan, std::uint64_t seed, PressureOrder order)
+PressureResult simulatePressure(const PressurePlan &plan, std::uint64_t seed, PressureOrder order)
 {
-    return Player(plan, seed, order).play();
+    return PressureSimulation(plan, seed, order).simulate();
 }
 
 } // namespace kelptally::bench
--- a/src/bench/pressure.h
+++ b/src/bench/pressure.h
@@ -17,7 +17,7 @@
 
 struct PressureCount
 {
-    int asked = 0;
+    int offered = 0;
     int inTime = 0;
     int late = 0;
     // Refused for good, after all repeats.
@@ -28,7 +28,7 @@
     int unanswered = 0;
     int repeats = 0;
     double worth = 0;
-    double worthAsked = 0;
+    double offeredWorth = 0;
     std::vector<Duration> waits;
 };
 
@@ -39,11 +39,11 @@
     std::map<int, PressureCount> seconds;
     PressureCount all;
 
-    double worthShare() const { return all.worthAsked > 0 ? all.worth / all.worthAsked : 0; }
+    double worthShare() const { return all.offeredWorth > 0 ? all.worth / all.offeredWorth : 0; }
 };
 
 // Plays the plan in virtual time with the decisions of a group's owner: slotadmission,
 // positionrouting and commitwatch. The same seed and plan give the same result.
-PressureResult playPressure(const PressurePlan &plan, std::uint64_t seed, PressureOrder order);
+PressureResult simulatePressure(const PressurePlan &plan, std::uint64_t seed, PressureOrder order);
 
 } // namespace kelptally::bench
--- a/src/bench/pressurecommand.cpp
+++ b/src/bench/pressurecommand.cpp
@@ -30,7 +30,7 @@
 void printRow(const std::string &name, const PressureCount &counted)
 {
     std::cout << absl::StrFormat(
-        "%-16s %7d %7d %7d %7d %7d %9d %7d %8.1f %8.1f\n", name, counted.asked, counted.inTime,
+        "%-16s %7d %7d %7d %7d %7d %9d %7d %8.1f %8.1f\n", name, counted.offered, counted.inTime,
         counted.late, counted.refused, counted.held, counted.unanswered, counted.repeats,
         milliseconds(quantile(counted.waits, 50)), milliseconds(quantile(counted.waits, 99)));
 }
@@ -41,17 +41,17 @@
     std::vector<double> worths;
     PressureResult first;
     for (int seed = 1; seed <= seeds; ++seed) {
-        PressureResult result = playPressure(plan, static_cast<std::uint64_t>(seed), order);
+        PressureResult result = simulatePressure(plan, static_cast<std::uint64_t>(seed), order);
         worths.push_back(result.worthShare());
         if (seed == 1)
             first = std::move(result);
     }
-    const auto [least, most] = std::minmax_element(worths.begin(), worths.end());
+    const auto [lowest, highest] = std::minmax_element(worths.begin(), worths.end());
     double sum = 0;
     for (const double worth : worths)
         sum += worth;
     std::cout << absl::StrFormat("\n%s: worth %.4f (%.4f to %.4f, %d seeds)\n", name,
-                                 sum / static_cast<double>(seeds), *least, *most, seeds);
+                                 sum / static_cast<double>(seeds), *lowest, *highest, seeds);
     printHeader("kind, seed 1");
     for (const auto &[kind, counted] : first.kinds)
         printRow(kind, counted);
--- a/src/bench/pressureplan.cpp
+++ b/src/bench/pressureplan.cpp
@@ -13,11 +13,11 @@
 using settings::SectionReader;
 
 constexpr DurationRange timeRange {0s, 1h};
-constexpr DurationRange workRange {100us, 10s};
+constexpr DurationRange requestTimeRange {100us, 10s};
 constexpr NumberRange rateRange {1, 100'000};
 constexpr NumberRange percentRange {0, 100};
 constexpr NumberRange loadRange {1, 10'000};
-constexpr NumberRange fewRange {0, 16};
+constexpr NumberRange countRange {0, 16};
 constexpr NumberRange slotRange {1, 64};
 constexpr NumberRange worthRange {0, 10'000};
 
@@ -33,9 +33,9 @@
 {
     plan.length = reader.duration("length", timeRange, plan.length);
     plan.slots = reader.number("slots", slotRange, plan.slots);
-    plan.replicas = reader.number("replicas", fewRange, plan.replicas);
+    plan.replicas = reader.number("replicas", countRange, plan.replicas);
     plan.replicaLag = reader.duration("replica-lag", timeRange, plan.replicaLag);
-    plan.repeats = reader.number("repeats", fewRange, plan.repeats);
+    plan.repeats = reader.number("repeats", countRange, plan.repeats);
     plan.repeatPause = reader.duration("repeat-pause", timeRange, plan.repeatPause);
 }
 
@@ -45,10 +45,10 @@
     kind.name = name;
     kind.rate = reader.number("rate", rateRange);
     kind.writePercent = reader.number("write-percent", percentRange, 0);
-    kind.work = reader.duration("work", workRange);
-    kind.objective = reader.duration("objective", workRange);
-    kind.deadline = reader.duration("deadline", workRange);
-    kind.priority = reader.number("priority", fewRange, kind.priority);
+    kind.work = reader.duration("work", requestTimeRange);
+    kind.objective = reader.duration("objective", requestTimeRange);
+    kind.deadline = reader.duration("deadline", requestTimeRange);
+    kind.priority = reader.number("priority", countRange, kind.priority);
     kind.maxAge = reader.duration("max-age", timeRange, kind.maxAge);
     kind.worth = reader.number("worth", worthRange, kind.worth);
     kind.lateWorth = reader.number("late-worth", worthRange, kind.lateWorth);
@@ -69,12 +69,12 @@
             plan.burst = readSpan(reader);
             plan.burstPercent = reader.number("percent", loadRange);
         } else if (section.type == "deaf") {
-            plan.deaf = readSpan(reader);
-            plan.deafReplicas = reader.number("replicas", fewRange);
+            plan.replicationStopped = readSpan(reader);
+            plan.stoppedReplicas = reader.number("replicas", countRange);
         } else if (section.type == "unconfirmed") {
-            plan.unconfirmed = readSpan(reader);
+            plan.unconfirmedCommits = readSpan(reader);
         } else if (section.type == "leaderless") {
-            plan.leaderless = readSpan(reader);
+            plan.noPrimary = readSpan(reader);
         } else if (section.type == "kind") {
             plan.kinds.push_back(readKind(reader, section.name));
         } else {
--- a/src/bench/pressureplan.h
+++ b/src/bench/pressureplan.h
@@ -48,12 +48,12 @@
     PressureSpan burst;
     int burstPercent = 100;
     // So many replicas receive nothing.
-    PressureSpan deaf;
-    int deafReplicas = 0;
+    PressureSpan replicationStopped;
+    int stoppedReplicas = 0;
     // The primary's commits are not acknowledged.
-    PressureSpan unconfirmed;
+    PressureSpan unconfirmedCommits;
     // There is no primary.
-    PressureSpan leaderless;
+    PressureSpan noPrimary;
     // How often a caller repeats a refused request, and after which pause.
     int repeats = 2;
     Duration repeatPause {std::chrono::milliseconds(100)};
--- a/src/bench/replay.cpp
+++ b/src/bench/replay.cpp
@@ -80,7 +80,7 @@
         if (answer.executed == Executed::No && repeatsLeft > 0) {
             const Duration pause = options_.repeatAfter.value_or(answer.retryAfter);
             model_.timers.subscribeAfter(pause, [this, &request, repeatsLeft] {
-                model_.checker.onRepeated(request, model_.timers.now());
+                model_.checker.onRetried(request, model_.timers.now());
                 submit(request, repeatsLeft - 1);
             });
             return;
@@ -98,7 +98,7 @@
         const std::size_t first = static_cast<std::size_t>(wanted - hosts.begin());
         for (std::size_t i = 0; i < hosts.size(); ++i) {
             const HostName &name = hosts[(first + i) % hosts.size()].name;
-            if (policy_->takesCallers(name))
+            if (policy_->acceptsCallers(name))
                 return name;
         }
         return std::nullopt;
@@ -111,7 +111,7 @@
         const Instant now = model_.timers.now();
         for (const ModelServer *server : model_.serversOf(request.group)) {
             if (isWithinReach(*server, request) && couldServe(*server, request, now))
-                return model_.checker.onCouldReplica();
+                return model_.checker.onReplicaEligibleRead();
         }
         if (now < until)
             model_.timers.subscribeAfter(
@@ -123,7 +123,7 @@
         const auto entry = entryFor(request);
         for (const TraceHost &host : model_.trace.hosts) {
             if (entry == host.name)
-                return model_.way(host.zone, server.what().zone).has_value();
+                return model_.networkDelay(host.zone, server.details().zone).has_value();
         }
         return false;
     }
@@ -132,12 +132,12 @@
     {
         if (server.primary() || !server.alive() || server.hung())
             return false;
-        if (model_.isLeaving(server.what().name))
+        if (model_.isLeaving(server.details().name))
             return false;
         // The way there and back and the statement's own time age the data.
-        const Duration way = 2 * model_.trace.zoneDelay + 2 * model_.trace.clientDelay;
-        const Instant committedBy = now + way + request.cost - *request.statedAge;
-        return !model_.checker.missesOwn(request, server.applied())
+        const Duration networkDelay = 2 * model_.trace.zoneDelay + 2 * model_.trace.clientDelay;
+        const Instant committedBy = now + networkDelay + request.cost - *request.statedAge;
+        return !model_.checker.missesOwnWrite(request, server.applied())
             && !model_.checker.isStale(request.group, server.applied(), committedBy, now);
     }
 
@@ -161,17 +161,17 @@
             return model_.server(fault.subject).setLag(fault.time);
         case FaultKind::LeaveServer:
             model_.setLeaving(fault.subject);
-            model_.timers.subscribeAfter(configurationTime,
-                                         [this, &fault] { policy_->onLeaving(fault.subject); });
+            model_.timers.subscribeAfter(
+                configurationTime, [this, &fault] { policy_->onServerLeaving(fault.subject); });
             return;
         case FaultKind::CutZone:
             noteCut(fault.subject);
-            return model_.setCut(fault.subject, true);
+            return model_.setPartitioned(fault.subject, true);
         case FaultKind::HealZone:
-            return model_.setCut(fault.subject, false);
+            return model_.setPartitioned(fault.subject, false);
         case FaultKind::StopStore:
         case FaultKind::StartStore:
-            model_.storeUp = fault.kind == FaultKind::StartStore;
+            model_.storeAvailable = fault.kind == FaultKind::StartStore;
             return;
         case FaultKind::StopHost:
             return policy_->stopHost(fault.subject);
@@ -187,14 +187,14 @@
     {
         const ModelServer &server = model_.server(name);
         if (server.primary())
-            model_.checker.onWritesStop({server.what().group}, model_.timers.now());
+            model_.checker.onWritesStop({server.details().group}, model_.timers.now());
     }
 
     void noteCut(const ZoneName &zone)
     {
         for (const GroupName &group : model_.trace.groups()) {
             const ModelServer *primary = model_.primaryOf(group);
-            if (primary != nullptr && primary->what().zone == zone)
+            if (primary != nullptr && primary->details().zone == zone)
                 model_.checker.onWritesStop({group}, model_.timers.now());
         }
     }
@@ -214,7 +214,7 @@
         for (const GroupName &group : model_.trace.groups()) {
             const ModelServer *primary = model_.primaryOf(group);
             if (primary != nullptr)
-                model_.checker.atEnd(group, primary->term());
+                model_.checker.checkFinalLog(group, primary->term());
         }
     }
 
--- a/src/bench/replaycommand.cpp
+++ b/src/bench/replaycommand.cpp
@@ -37,7 +37,7 @@
         "%-24s %-12s %6d %6d %6d %5d %7d %8.2f %8.2f %6d %6.0f %7.0f %7.1f %7.1f\n", trace.name,
         policy, figures.requests, figures.violations.all(), figures.missedOutcomes, figures.refused,
         figures.unknown, percentOf(figures.byReplica, figures.agedReads),
-        percentOf(figures.byReplica, figures.couldReplica), figures.gaps.size(),
+        percentOf(figures.byReplica, figures.replicaEligibleReads), figures.gaps.size(),
         toMilliseconds(quantile(figures.gaps, 50)), toMilliseconds(quantile(figures.gaps, 100)),
         toMilliseconds(quantile(figures.writeLatency, 99)),
         toMilliseconds(quantile(figures.readLatency, 99)));
@@ -49,7 +49,8 @@
     absl::PrintF("  violations: read-your-writes %d, stated age %d, lost %d, doubled %d, "
                  "false not-run %d, mixed %d, leaving %d, cut off %d\n",
                  broken.readYourWrites, broken.statedAge, broken.lostWrites, broken.doubledWrites,
-                 broken.falseNotRun, broken.mixedAnswers, broken.workOnLeaving, broken.cutOff);
+                 broken.falseNotRun, broken.misdirectedAnswers, broken.statementsOnLeavingServer,
+                 broken.abortedRequests);
     for (const auto &[reason, count] : figures.refusals) {
         const std::string name(reasonInfo(reason).name);
         absl::PrintF("  not done: %s %d\n", name, count);
@@ -60,7 +61,7 @@
 struct SiteReads
 {
     int byReplica = 0;
-    int couldReplica = 0;
+    int replicaEligibleReads = 0;
 };
 
 SiteReads &siteOf(std::map<std::string, SiteReads> &sites, const Trace &trace)
@@ -73,8 +74,8 @@
     bool enough = true;
     for (const auto &[site, reads] : sites) {
         absl::PrintF("%s: replicas answered %.2f%% of the reads that could go there\n", site,
-                     percentOf(reads.byReplica, reads.couldReplica));
-        enough = enough && reads.byReplica * 100 >= reads.couldReplica * 98;
+                     percentOf(reads.byReplica, reads.replicaEligibleReads));
+        enough = enough && reads.byReplica * 100 >= reads.replicaEligibleReads * 98;
     }
     return enough;
 }
@@ -95,7 +96,7 @@
                 continue;
             good = good && figures->violations.all() == 0 && figures->missedOutcomes == 0;
             siteOf(sites, trace).byReplica += figures->byReplica;
-            siteOf(sites, trace).couldReplica += figures->couldReplica;
+            siteOf(sites, trace).replicaEligibleReads += figures->replicaEligibleReads;
         }
     }
     return enoughReads(sites) && good;
--- a/src/bench/scripts.cpp
+++ b/src/bench/scripts.cpp
@@ -33,17 +33,17 @@
 
     std::uint64_t below(std::uint64_t bound) { return engine_() % bound; }
     bool oneIn(std::uint64_t n) { return below(n) == 0; }
-    Duration upTo(Duration longest)
+    Duration upTo(Duration max)
     {
         return Duration(
-            static_cast<Duration::rep>(below(static_cast<std::uint64_t>(longest.count()) + 1)));
+            static_cast<Duration::rep>(below(static_cast<std::uint64_t>(max.count()) + 1)));
     }
 
 private:
     std::mt19937_64 engine_;
 };
 
-void signTokens(Signature &signature)
+void runTokenScript(Signature &signature)
 {
     Random random(1);
     SessionToken token;
@@ -57,7 +57,7 @@
     }
 }
 
-void signFreshness(Signature &signature)
+void runFreshnessScript(Signature &signature)
 {
     Random random(2);
     Freshness freshness;
@@ -84,7 +84,7 @@
     }
 }
 
-ServerView drawServer(Random &random, const ServerName &name, bool primary)
+ServerView randomServer(Random &random, const ServerName &name, bool primary)
 {
     ServerView view;
     view.name = name;
@@ -103,7 +103,7 @@
     return view;
 }
 
-void signRouting(Signature &signature)
+void runRoutingScript(Signature &signature)
 {
     Random random(3);
     Routing routing(50);
@@ -112,15 +112,15 @@
         now += random.upTo(2ms);
         std::vector<ServerView> servers;
         for (const ServerName name : {"a", "b", "c"})
-            servers.push_back(drawServer(random, name, name == "a"));
-        ReadRequirements needs;
+            servers.push_back(randomServer(random, name, name == "a"));
+        ReadRequirements requirements;
         if (!random.oneIn(8))
-            needs.statedAge = 10ms + random.upTo(1s);
+            requirements.statedAge = 10ms + random.upTo(1s);
         if (random.oneIn(3))
-            needs.sessionPosition = Position {1, 900 + random.below(100)};
-        needs.deadlineIn = 5ms + random.upTo(300ms);
-        needs.waited = random.upTo(40ms);
-        const Route route = routing.routeRead(needs, servers, now);
+            requirements.sessionPosition = Position {1, 900 + random.below(100)};
+        requirements.deadlineIn = 5ms + random.upTo(300ms);
+        requirements.waited = random.upTo(40ms);
+        const Route route = routing.routeRead(requirements, servers, now);
         signature.add(static_cast<int>(route.kind));
         signature.add(route.server);
         signature.add(static_cast<int>(route.cause));
@@ -129,7 +129,7 @@
     }
 }
 
-void signAdmission(Signature &signature)
+void runAdmissionScript(Signature &signature)
 {
     Random random(4);
     Admission admission(3, 64);
@@ -169,7 +169,7 @@
     }
 }
 
-void signRetries(Signature &signature)
+void runRetryScript(Signature &signature)
 {
     Random random(5);
     RetryPolicy policy(10, 42);
@@ -190,7 +190,7 @@
     }
 }
 
-void signTransactions(Signature &signature)
+void runTransactionScript(Signature &signature)
 {
     Random random(6);
     Transactions transactions("offers", "127.0.0.1:4100", 3, 9, 10s, 16);
@@ -221,7 +221,7 @@
     }
 }
 
-void signConfiguration(Signature &signature)
+void runConfigurationScript(Signature &signature)
 {
     const std::string good = "[zone lulea-a]\nregion = se-north\n";
     const std::string bad = "[zone]\n[server x]\nslots = many\n[kind k]\naccess = maybe\n";
@@ -234,7 +234,7 @@
 }
 
 // Ownership, failover, confirmation and all the rest at work together.
-void signReplays(Signature &signature)
+void runReplayScript(Signature &signature)
 {
     for (const Trace &trace : shippedTraces())
         signature.add(replay(trace, "kelptally")->answers.value());
@@ -245,14 +245,14 @@
 const std::vector<Script> &scripts()
 {
     static const std::vector<Script> all = {
-        {"tokens", signTokens},
-        {"freshness", signFreshness},
-        {"routing", signRouting},
-        {"admission", signAdmission},
-        {"retries", signRetries},
-        {"transactions", signTransactions},
-        {"configuration", signConfiguration},
-        {"replays", signReplays},
+        {"tokens", runTokenScript},
+        {"freshness", runFreshnessScript},
+        {"routing", runRoutingScript},
+        {"admission", runAdmissionScript},
+        {"retries", runRetryScript},
+        {"transactions", runTransactionScript},
+        {"configuration", runConfigurationScript},
+        {"replays", runReplayScript},
     };
     return all;
 }
--- a/src/bench/slopes.cpp
+++ b/src/bench/slopes.cpp
@@ -31,7 +31,7 @@
     return std::chrono::duration<double, std::micro>(duration).count();
 }
 
-void title(const char *text)
+void printTitle(const char *text)
 {
     absl::PrintF("\n%s\n", text);
 }
@@ -80,7 +80,7 @@
 
 void measureMessages()
 {
-    title("messages between processes (CBOR alone; frame and transport come on top)");
+    printTitle("messages between processes (CBOR alone; frame and transport come on top)");
     for (const int groups : {1, 2, 4, 16}) {
         measureMessage(absl::StrCat("heartbeat, groups ", groups), heartbeatOf(groups));
         measureMessage(absl::StrCat("heartbeat answer, groups ", groups),
@@ -159,7 +159,7 @@
 }
 
 // Processor time of the group's ticks in one second, with all answers there at once.
-Duration secondOfOwner(Ownership &owner, Instant &now)
+Duration timeOwnershipTicks(Ownership &owner, Instant &now)
 {
     const Duration before = processorTime();
     for (Duration at = 0s; at < 1s; at += Ownership::tickPeriod) {
@@ -169,7 +169,7 @@
     return processorTime() - before;
 }
 
-Duration secondOfFailover(Failover &failover, Instant &now, int &probes)
+Duration timeFailoverTicks(Failover &failover, Instant &now, int &probes)
 {
     const Duration before = processorTime();
     for (Duration at = 0s; at < 1s; at += Failover::tickPeriod) {
@@ -183,7 +183,7 @@
 
 void measureGroups()
 {
-    title("one group in steady state, for one second");
+    printTitle("one group in steady state, for one second");
     constexpr int groups = 1000;
     std::vector<std::unique_ptr<Ownership>> owners;
     std::size_t before = allocatedBytes();
@@ -193,7 +193,7 @@
     Duration ownerTime {0};
     for (const auto &owner : owners) {
         Instant now = start;
-        ownerTime += secondOfOwner(*owner, now);
+        ownerTime += timeOwnershipTicks(*owner, now);
     }
     absl::PrintF("  ownership, owner: %d bytes, %.1f us\n", ownerBytes,
                  microseconds(ownerTime / groups));
@@ -209,7 +209,7 @@
     int probes = 0;
     for (const auto &failover : failovers) {
         Instant now = start;
-        failoverTime += secondOfFailover(*failover, now, probes);
+        failoverTime += timeFailoverTicks(*failover, now, probes);
     }
     absl::PrintF("  failover: %d bytes, %.1f us, %.1f probes (primary %s)\n", failoverBytes,
                  microseconds(failoverTime / groups), static_cast<double>(probes) / groups,
@@ -231,7 +231,7 @@
 
 void measureMembership()
 {
-    title("membership");
+    printTitle("membership");
     for (const int nodes : {8, 130, 1300}) {
         const std::size_t before = allocatedBytes();
         Membership membership;
@@ -240,13 +240,13 @@
             membership.onPeerUp(start, processOf(i));
         const std::size_t bytes = allocatedBytes() - before;
         int group = 0;
-        const Duration wanted =
+        const Duration preferredOwnerTime =
             timeOfCall(200, [&] { (void)membership.preferredOwner(groupOf(++group), "zone-1"); });
-        const Duration choice = timeOfCall(
+        const Duration successorsTime = timeOfCall(
             200, [&] { (void)membership.successorCandidates(groupOf(++group), processOf(0)); });
         absl::PrintF("  %5d nodes: %7d bytes, wanted owner of a group %7.1f us, "
                      "its successors %7.1f us\n",
-                     nodes, bytes, microseconds(wanted), microseconds(choice));
+                     nodes, bytes, microseconds(preferredOwnerTime), microseconds(successorsTime));
     }
 }
 
@@ -276,7 +276,7 @@
 
 void measureConfiguration()
 {
-    title("configuration: one document, parsed and kept");
+    printTitle("configuration: one document, parsed and kept");
     for (const auto &[hosts, groups] :
          {std::pair(8, 3), std::pair(130, 210), std::pair(1300, 2100)}) {
         const std::string document = documentOf(hosts, groups);
@@ -300,7 +300,7 @@
 
 void measureTokens()
 {
-    title("session tokens");
+    printTitle("session tokens");
     const std::string key = "a key of thirty-two bytes length";
     for (const int groups : {1, 3, 16, 64}) {
         SessionToken token;
@@ -325,14 +325,14 @@
         servers[i].age = 20ms;
         servers[i].applied = Position {1, 100};
     }
-    ReadRequirements needs;
-    needs.statedAge = 1s;
-    needs.deadlineIn = 1s;
+    ReadRequirements requirements;
+    requirements.statedAge = 1s;
+    requirements.deadlineIn = 1s;
     Routing routing(50);
     Instant now = start;
     const Duration route = timeOfCall(100000, [&] {
         now += 10us;
-        (void)routing.routeRead(needs, servers, now);
+        (void)routing.routeRead(requirements, servers, now);
     });
     absl::PrintF("  route a read: %.2f us\n", microseconds(route));
 }
@@ -383,7 +383,7 @@
     measureMembership();
     measureConfiguration();
     measureTokens();
-    title("decisions on one request");
+    printTitle("decisions on one request");
     measureRouting();
     measureAdmission(0);
     measureAdmission(250);
--- a/tests/bench/pressure_test.cpp
+++ b/tests/bench/pressure_test.cpp
@@ -24,7 +24,7 @@
 {
     double sum = 0;
     for (std::uint64_t seed = 1; seed <= 3; ++seed)
-        sum += playPressure(plan, seed, order).worthShare();
+        sum += simulatePressure(plan, seed, order).worthShare();
     return sum / 3;
 }
 
@@ -33,9 +33,9 @@
 TEST_CASE("The same seed plays the same")
 {
     const PressurePlan plan = shipped("burst");
-    const PressureResult first = playPressure(plan, 7, PressureOrder::Ranked);
-    const PressureResult again = playPressure(plan, 7, PressureOrder::Ranked);
-    CHECK(first.all.asked > 1000);
+    const PressureResult first = simulatePressure(plan, 7, PressureOrder::Ranked);
+    const PressureResult again = simulatePressure(plan, 7, PressureOrder::Ranked);
+    CHECK(first.all.offered > 1000);
     CHECK(first.all.inTime == again.all.inTime);
     CHECK(first.worthShare() == again.worthShare());
 }
@@ -43,9 +43,9 @@
 TEST_CASE("Every request ends once")
 {
     for (const char *name : {"burst", "hanging", "lag", "overload"}) {
-        const PressureResult result = playPressure(shipped(name), 1, PressureOrder::Ranked);
+        const PressureResult result = simulatePressure(shipped(name), 1, PressureOrder::Ranked);
         const PressureCount &all = result.all;
-        CHECK(all.inTime + all.late + all.refused + all.unanswered == all.asked);
+        CHECK(all.inTime + all.late + all.refused + all.unanswered == all.offered);
     }
 }
 
@@ -54,23 +54,23 @@
 {
     const PressurePlan plan = shipped("burst");
     CHECK(worth(plan, PressureOrder::Ranked) > worth(plan, PressureOrder::Arrival) + 0.2);
-    const PressureResult result = playPressure(plan, 1, PressureOrder::Ranked);
+    const PressureResult result = simulatePressure(plan, 1, PressureOrder::Ranked);
     const PressureCount &confirm = result.kinds.at("confirm");
-    CHECK(confirm.inTime > confirm.asked * 98 / 100);
+    CHECK(confirm.inTime > confirm.offered * 98 / 100);
 }
 
 // Some sixty commits want to be sent in the three seconds.
 TEST_CASE("While commits hang few are sent, and reads go on")
 {
-    const PressureResult result = playPressure(shipped("hanging"), 1, PressureOrder::Ranked);
+    const PressureResult result = simulatePressure(shipped("hanging"), 1, PressureOrder::Ranked);
     CHECK(result.all.unanswered <= 15);
     const PressureCount &view = result.kinds.at("view");
-    CHECK(view.inTime == view.asked);
+    CHECK(view.inTime == view.offered);
 }
 
 TEST_CASE("Replicas that receive nothing leave the primary's slots to those that need them")
 {
-    const PressureResult result = playPressure(shipped("lag"), 1, PressureOrder::Ranked);
+    const PressureResult result = simulatePressure(shipped("lag"), 1, PressureOrder::Ranked);
     CHECK(result.worthShare() > 0.99);
 }
 
--- a/tests/bench/replay_test.cpp
+++ b/tests/bench/replay_test.cpp
@@ -55,7 +55,7 @@
         CHECK(figures.missedOutcomes == 0);
         CHECK(figures.requests > 10000);
         CHECK(figures.done == figures.requests);
-        CHECK(figures.byReplica * 100 >= figures.couldReplica * 98);
+        CHECK(figures.byReplica * 100 >= figures.replicaEligibleReads * 98);
     }
 }
 
@@ -111,7 +111,7 @@
     checker.onSent(read, start + 10ms);
     checker.onAnswer(read, doneAt(21, begin), start + 20ms);
     CHECK(checker.figures().violations.readYourWrites == 1);
-    CHECK(checker.figures().violations.mixedAnswers == 1);
+    CHECK(checker.figures().violations.misdirectedAnswers == 1);
     CHECK(checker.figures().violations.statedAge == 0);
 
     // The same by another session, once the writes are older than the stated age.
@@ -122,18 +122,18 @@
     CHECK(checker.figures().violations.statedAge == 1);
     CHECK(checker.figures().violations.readYourWrites == 1);
 
-    checker.onWorkOnLeaving(1s);
-    checker.onWorkOnLeaving(3s);
-    CHECK(checker.figures().violations.workOnLeaving == 1);
-    checker.onCutOff(2);
-    CHECK(checker.figures().violations.cutOff == 2);
+    checker.onStatementOnLeavingServer(1s);
+    checker.onStatementOnLeavingServer(3s);
+    CHECK(checker.figures().violations.statementsOnLeavingServer == 1);
+    checker.onRequestsAborted(2);
+    CHECK(checker.figures().violations.abortedRequests == 2);
 
     // A new primary whose log ends after the first write: the second is lost.
     logs.beginTerm(2, one, start + 3s);
-    checker.atEnd("g", 2);
+    checker.checkFinalLog("g", 2);
     CHECK(checker.figures().violations.lostWrites == 1);
     CHECK(checker.figures().violations.falseNotRun == 0);
-    checker.atEnd("g", 1);
+    checker.checkFinalLog("g", 1);
     CHECK(checker.figures().violations.doubledWrites == 1);
     CHECK(checker.figures().violations.falseNotRun == 1);
 }
