--- a/src/bench/baseline.cpp
+++ b/src/bench/baseline.cpp
@@ -12,7 +12,7 @@
 constexpr Duration checkInterval = 1s;
 constexpr int maxMissedChecks = 3;
 
-// The proxy of one host, on its own.
+// The proxy of one host. Proxies do not communicate with each other.
 struct Proxy
 {
     TraceHost host;
@@ -20,8 +20,10 @@
     bool alive = true;
     bool stopping = false;
     int unanswered = 0;
+    // Number of restarts; answers from before a restart are ignored.
     int run = 0;
-    // By group: the primary as this proxy believes, and checks that it missed in a row.
+    // By group: the primary that this proxy assumes, its consecutive failed checks, and the
+    // round-robin index of reads.
     std::map<GroupName, ServerName> primary;
     std::map<GroupName, int> missed;
     std::map<GroupName, std::size_t> nextReader;
@@ -100,8 +102,7 @@
         promoteNext(proxy, group);
 }
 
-// Asks the servers in order: one that another proxy has promoted is taken, else the first that
-// answers is promoted.
+// Adopts a primary that another proxy has promoted, or promotes the first server that answers.
 void Baseline::promoteNext(Proxy &proxy, const GroupName &group)
 {
     const auto answers = std::make_shared<std::vector<ModelServer *>>();
@@ -152,7 +153,7 @@
     std::size_t &nextReader = proxy.nextReader[group];
     for (std::size_t i = 0; i < servers.size(); ++i) {
         ModelServer &server = *servers[nextReader++ % servers.size()];
-        // A server whose connections are refused is passed over.
+        // Skips servers that refuse connections.
         if (server.alive() && !model_.isLeaving(server.details().name)
             && server.details().name != proxy.primary[group])
             return server;
--- a/src/bench/benchcommand.cpp
+++ b/src/bench/benchcommand.cpp
@@ -29,7 +29,7 @@
     std::ifstream in(file);
     std::uint64_t expected = 0;
     if (!(in >> expected)) {
-        std::cerr << "kelptally-bench: " << file << " holds no number\n";
+        std::cerr << "kelptally-bench: " << file << " holds no signature\n";
         return 2;
     }
     if (expected == computed)
@@ -43,11 +43,11 @@
 
 int runBench(int argc, char **argv)
 {
-    TCLAP::CmdLine line("Runs every decision through fixed scripts and prints one number that "
-                        "stands for all that was decided.");
-    TCLAP::ValueArg<std::string> check("", "check", "compare with the number in this file", false,
-                                       "", "FILE", line);
-    TCLAP::SwitchArg verbose("v", "verbose", "print the number of each script too", line);
+    TCLAP::CmdLine line("Runs the decision code through fixed scripts and prints a signature "
+                        "of all its results.");
+    TCLAP::ValueArg<std::string> check("", "check", "compare with the signature in this file",
+                                       false, "", "FILE", line);
+    TCLAP::SwitchArg verbose("v", "verbose", "print the signature of each script too", line);
     line.parse(argc, argv);
 
     const std::uint64_t signature = computeSignature(verbose.getValue());
--- a/src/bench/checker.cpp
+++ b/src/bench/checker.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// "No new work after a few seconds": what the project promises itself.
+// A server must get no new statements this long after it was marked as leaving.
 constexpr Duration leavingGracePeriod = 2s;
 
 } // namespace
@@ -55,7 +55,7 @@
     if (writes == acknowledged_.end())
         return false;
     const GroupLogs &logs = findLogs_(group);
-    // From the newest that counts backwards; a whole prefix holds all before, so a few tell.
+    // A prefix that holds a write holds all earlier ones, so only the newest few are checked.
     constexpr int maxWritesChecked = 8;
     int remaining = maxWritesChecked;
     auto it = writes->second.upper_bound(committedBy);
@@ -75,7 +75,7 @@
     if (missesOwnWrite(request, answer.position))
         ++figures_.violations.readYourWrites;
     const Instant sent = sent_[request.id].at;
-    // The newest data holds at least what was acknowledged before the request was sent.
+    // A read without a maximum age must see all writes acknowledged before it was sent.
     const Instant committedBy = request.statedAge ? now - *request.statedAge : sent;
     const Instant acknowledgedBy = request.statedAge ? now : sent;
     if (isStale(request.group, answer.position, committedBy, acknowledgedBy))
--- a/src/bench/checker.h
+++ b/src/bench/checker.h
@@ -12,22 +12,22 @@
 
 namespace kelptally::bench {
 
-// The final answer to a caller.
+// The final answer that a caller receives.
 struct Answer
 {
-    // The request that the answer says it belongs to.
+    // Request identifier stated in the answer.
     RequestId request = 0;
     Executed executed = Executed::No;
     Reason reason = Reason::None;
-    // What a read saw, or where a write is.
+    // Position that a read saw, or position of a write in the log.
     Position position;
     ServerName server;
     bool fromReplica = false;
-    // When a refused caller is asked to come back.
+    // How long a refused caller is asked to wait before it sends the request again.
     Duration retryAfter {0};
 };
 
-// Broken promises of the brief, counted.
+// Numbers of broken consistency and availability guarantees.
 struct Violations
 {
     int readYourWrites = 0;
@@ -56,32 +56,32 @@
 struct Figures
 {
     Violations violations;
-    // Requests whose final answer is not one that the trace states.
+    // Requests whose final answer differs from those that the trace allows.
     int missedOutcomes = 0;
     int requests = 0;
     int done = 0;
-    // Done within the caller's deadline.
+    // Requests done within the caller's deadline.
     int inTime = 0;
     int refused = 0;
     int unknown = 0;
-    // Reads that state an age: all, those that a perfectly informed router could send to a replica,
-    // and those that a replica answered.
+    // Reads with a maximum age: all, those that a replica was fresh enough to answer, and those
+    // that a replica answered.
     int agedReads = 0;
     int replicaEligibleReads = 0;
     int byReplica = 0;
-    // From each fault that stops writes to the first write committed after it and acknowledged.
+    // Time from each fault that stops writes to the acknowledgement of the first write committed
+    // after it.
     std::vector<Duration> gaps;
-    // Time from sending to the answer, of those done.
+    // Time from sending to the answer, of requests done.
     std::vector<Duration> writeLatency;
     std::vector<Duration> readLatency;
     std::map<Reason, int> refusals;
-    // The same for each team: requests, those done within their deadline, and their latencies.
     std::map<TeamName, TeamFigures> teams;
-    // Digest of every answer: when it came, from where, and what it said.
+    // Digest of every answer with its time and server.
     Signature answers;
 };
 
-// Judges every answer against what really happened in the model.
+// Checks every answer against the logs of the model.
 class Checker
 {
 public:
@@ -90,27 +90,28 @@
     explicit Checker(LogLookup findLogs) : findLogs_(std::move(findLogs)) { }
 
     void onSent(const TraceRequest &request, Instant now);
-    // The caller sends a refused request again; its latency counts from here.
+    // The caller sends a refused request again; latency is measured from this attempt.
     void onRetried(const TraceRequest &request, Instant now) { sent_[request.id].at = now; }
     void onAnswer(const TraceRequest &request, const Answer &answer, Instant now);
-    // A read that states an age was or was not such that a replica could have served it.
+    // A replica was fresh enough to answer a read with a maximum age.
     void onReplicaEligibleRead() { ++figures_.replicaEligibleReads; }
-    // A statement begins on a server that has been leaving for this long.
+    // A statement starts on a server that was marked as leaving this long ago.
     void onStatementOnLeavingServer(Duration since);
-    // A planned stop of a proxy ended with requests unanswered.
+    // A planned stop of a proxy ended with this many requests unanswered.
     void onRequestsAborted(int requests) { figures_.violations.abortedRequests += requests; }
-    // Writes of these groups stop now.
+    // A fault stops the writes of these groups.
     void onWritesStop(const std::vector<GroupName> &groups, Instant now);
-    // The last primary's log of a group, once the trace is over.
+    // Checks the acknowledged and refused writes of a group against the log of its last term.
+    // Called once, after the trace.
     void checkFinalLog(const GroupName &group, Term term);
 
     const Figures &figures() const { return figures_; }
-    // Newest position that a session has been told, for its token.
+    // Newest position of the session's acknowledged writes, for its session token.
     std::optional<Position> sessionPosition(SessionId session, const GroupName &group) const;
-    // Whether a read of this prefix would miss a write that was committed and acknowledged by these
-    // instants, or one of the session's own.
+    // Whether a read of this prefix misses a write committed and acknowledged by these instants.
     bool isStale(const GroupName &group, Position prefix, Instant committedBy,
                  Instant acknowledgedBy) const;
+    // Whether a read of this prefix misses a write that its session knew when it sent the read.
     bool missesOwnWrite(const TraceRequest &request, Position prefix) const;
 
 private:
@@ -124,7 +125,7 @@
     struct Sent
     {
         Instant at;
-        // Writes that the session knew to be done when it sent this.
+        // Number of writes of the session that were acknowledged when the request was sent.
         std::size_t knownWrites = 0;
     };
     using SessionGroup = std::pair<SessionId, GroupName>;
@@ -139,10 +140,10 @@
     Figures figures_;
     std::map<RequestId, Sent> sent_;
     std::map<SessionGroup, std::vector<Acknowledged>> ownWrites_;
-    // In the order of commit.
+    // By time of commit.
     std::map<GroupName, std::map<Instant, std::vector<Acknowledged>>> acknowledged_;
     std::map<GroupName, std::set<RequestId>> refusedWrites_;
-    // Writes that must not run twice.
+    // Writes that must not be executed twice.
     std::set<RequestId> nonRepeatableWrites_;
     std::map<GroupName, Instant> writesStopped_;
 };
--- a/src/bench/commands.h
+++ b/src/bench/commands.h
@@ -3,19 +3,19 @@
 // The subcommands of kelptally-bench. Each parses its own options and returns the exit code.
 namespace kelptally::bench {
 
-// Prints the signature of all decisions, or compares it with a committed one.
+// Prints the signature of all scripts, or compares it with the one in a file.
 int runBench(int argc, char **argv);
-// Replays traces under one policy or all, and checks the outcomes.
+// Replays traces under one policy or all of them and checks the outcomes.
 int runReplay(int argc, char **argv);
-// Measures the behaviour under overload in the replay's model.
+// Measures goodput, refusals and latency under overload in the replay model.
 int runOverload(int argc, char **argv);
-// Plays a load against the decisions of a group's owner.
+// Simulates a load on one group's admission control and routing.
 int runPressure(int argc, char **argv);
-// Plays hosts that follow the tables of one store.
+// Simulates hosts that follow the tables of one store.
 int runRelays(int argc, char **argv);
-// Measures the slopes of docs/CAPACITY.md in this process.
+// Measures the memory and processor costs on which docs/CAPACITY.md is based.
 int runSlopes(int argc, char **argv);
-// Measures what losses of hosts ask of the table service.
+// Measures the load on the table service when hosts are lost.
 int runLosses(int argc, char **argv);
 // Writes the shipped traces to files.
 int runTraces(int argc, char **argv);
--- a/src/bench/grouplogs.h
+++ b/src/bench/grouplogs.h
@@ -11,24 +11,24 @@
 struct LogRecord
 {
     Term term = 0;
-    // 0: the record with which a primary begins its term.
+    // 0 for the record with which a primary begins its term.
     RequestId request = 0;
     Instant committedAt;
 };
 
-// The logs of all terms of one database group. A position names a prefix of its term's log, so a
-// server of the model needs no log of its own.
+// The logs of all terms of one database group. A position denotes a prefix of its term's log; model
+// servers store positions only.
 class GroupLogs
 {
 public:
-    // A primary begins a term on top of what it holds.
+    // Starts a term whose log begins with the given prefix.
     Position beginTerm(Term term, Position from, Instant now);
     Position append(Term term, RequestId request, Instant now);
 
-    // Newest position that the two logs have in common.
+    // Returns the end of the longest prefix that is shared with the term's log.
     Position commonPrefix(Position position, Term term) const;
     bool contains(Position prefix, RequestId request) const;
-    // Where a prefix holds the request's record.
+    // Returns the position of the request's record, or nothing if the prefix doesn't hold it.
     std::optional<Position> find(Position prefix, RequestId request) const;
     Position end(Term term) const;
     const std::vector<decision::TermStart> &history(Term term) const;
--- a/src/bench/groupowner.cpp
+++ b/src/bench/groupowner.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-// A server is not chosen for reads when nothing was heard of it for this long.
+// A server without a reply for this long is treated as unreachable.
 constexpr Duration reachabilityTimeout = 300ms;
-// Pause between two probes of a replica while writes wait for confirmation.
+// Interval between probes of a replica while writes wait for confirmation.
 constexpr Duration confirmationProbeInterval = 1ms;
 constexpr int maxQueueLength = 256;
 constexpr int primaryReadPercent = 50;
@@ -81,7 +81,7 @@
     expireAwaitingPrimary();
 }
 
-// ---- What is known of the servers ----
+// ---- Server states ----
 
 void GroupOwner::sample(Backend &backend)
 {
@@ -102,7 +102,7 @@
                                                                     self->sample(backend);
                                                             });
                            }));
-    // A probe whose answer is lost is given up.
+    // Allows a new probe when the reply to this one is lost.
     model_.timers.subscribeAfter(reachabilityTimeout, [weak = weak_from_this(), &backend, sent] {
         const auto self = weak.lock();
         if (self && backend.lastReplyAt.value_or(Instant()) < sent)
@@ -270,7 +270,7 @@
     const bool eligible = primary
         || (!task->request->write && qualifies(viewOf(backend, *task), requirementsOf(*task)));
     if (!holdsLease_() || !eligible) {
-        // What was true when it was queued is not any more; no slot was used.
+        // The lease or the server state has changed since the request was queued.
         backend.admission->abandoned(work);
         if (!holdsLease_())
             return finish(task, Reason::LeaseLost,
@@ -359,7 +359,7 @@
     }
 }
 
-// A write whose attempt failed waits for a primary; its key keeps it from running twice.
+// Sends a write again, at once or when there is a primary. Its key prevents a second execution.
 void GroupOwner::retryLater(const TaskPtr &task)
 {
     if (task->answered)
@@ -383,7 +383,7 @@
     }
 }
 
-// The server does not answer: what runs there is sent elsewhere, and its slots are free again.
+// Releases the slots of an unresponsive server and sends its requests elsewhere.
 void GroupOwner::abandonServer(Backend &backend)
 {
     const auto running = std::exchange(backend.running, {});
--- a/src/bench/groupowner.h
+++ b/src/bench/groupowner.h
@@ -14,7 +14,7 @@
 
 namespace kelptally::bench {
 
-// What an owner answers to an entry.
+// The answer of a group owner to an entry.
 struct OwnerAnswer
 {
     Reason reason = Reason::None;
@@ -24,8 +24,7 @@
 };
 using OwnerCallback = std::function<void(const OwnerAnswer &)>;
 
-// The owner of one group in the replay: all decisions on the group's requests are those of the
-// product; only the servers around them are modelled.
+// The owner of one group in the replay. It uses the production decision code with model servers.
 class GroupOwner : public std::enable_shared_from_this<GroupOwner>
 {
 public:
@@ -33,9 +32,9 @@
                std::function<bool()> holdsLease);
 
     void start(Term termHint, const ServerName &primaryHint);
-    // The process is gone or owns the group no more: nothing is answered after this.
+    // The process has crashed or lost the group: no request is answered after this call.
     void stop();
-    // Planned hand-over: takes nothing new and calls back once nothing runs.
+    // Planned hand-over: refuses new requests and calls back when no request is open.
     void drain(std::function<void()> drained);
 
     void submit(const TraceRequest &request, Instant deadline, std::optional<Position> session,
@@ -54,12 +53,12 @@
         OwnerCallback callback;
         decision::WorkId id = 0;
         ServerName server;
-        // When it left for its server, and since when the data there is known to be complete.
+        // When the request was sent to its server, and the time up to which that data is complete.
         Instant sentAt;
         std::optional<Instant> dataAsOf;
         bool maybeExecuted = false;
         bool answered = false;
-        // Counts the times it was sent, so that a late answer of an earlier one is told apart.
+        // Number of the current attempt; replies to earlier attempts are ignored.
         int attempt = 0;
     };
     using TaskPtr = std::shared_ptr<Task>;
@@ -129,8 +128,8 @@
     std::deque<TaskPtr> awaitingPrimary_;
     std::map<decision::WriteId, TaskPtr> unconfirmed_;
     std::map<decision::WriteId, Position> written_;
-    // Every acknowledged write lies at or before this position; nothing until the first sample of
-    // the primary, since an earlier owner may have acknowledged writes.
+    // Upper bound of the acknowledged positions. Unknown until the first sample of the primary,
+    // since an earlier owner may have acknowledged writes.
     std::optional<Position> acknowledged_;
     Instant primarySince_;
     decision::WorkId lastId_ = 0;
@@ -140,7 +139,7 @@
     std::function<void()> onDrained_;
 };
 
-// Callbacks that come after the owner has stopped do nothing.
+// Wraps a callback so that it does nothing once the owner has stopped.
 template <typename Function>
 std::function<void(const Reply &)> GroupOwner::guarded(Function function)
 {
--- a/src/bench/groupownerfailover.cpp
+++ b/src/bench/groupownerfailover.cpp
@@ -1,6 +1,6 @@
 #include "bench/groupowner.h"
 
-// The part of the replay's owner that carries out what the failover decides.
+// Performs the actions of the failover decision for the replay's owner.
 namespace kelptally::bench {
 
 using namespace decision;
--- a/src/bench/kelptally.cpp
+++ b/src/bench/kelptally.cpp
@@ -15,14 +15,14 @@
 namespace {
 
 constexpr int retryBudgetPercent = 10;
-// Peers see the end of a link after this.
+// Time until the peers detect the end of a link.
 constexpr Duration linkEndDetectionTime = 5ms;
-// A planned stop ends at the latest after this.
+// Maximum duration of a planned stop.
 constexpr Duration stopTimeout = 3s;
 
 class Kelptally;
 
-// The entry and owner process of one host.
+// Models the entry and owner process of one host.
 struct Process
 {
     Process(Kelptally &cluster, const TraceHost &host);
@@ -38,11 +38,11 @@
     RetryPolicy retries;
     std::map<GroupName, std::unique_ptr<Ownership>> ownerships;
     std::map<GroupName, std::shared_ptr<GroupOwner>> owners;
-    // Requests of callers that this entry has not answered.
+    // Callers' requests that this entry has not answered.
     int unanswered = 0;
 };
 
-// One request at its entry.
+// One request at the entry that received it.
 struct EntryRequest
 {
     const TraceRequest *request = nullptr;
@@ -172,7 +172,7 @@
     });
 }
 
-// Links between processes come and go; each tells its ends.
+// Updates the membership of each process from the state of its links.
 void Kelptally::updateMembership()
 {
     const Instant now = model_.timers.now();
@@ -193,7 +193,7 @@
     }
 }
 
-// Who should own and succeed each group, as far as this process can see.
+// Sets the preferred owner and the successor candidates of each group as this process sees them.
 void Kelptally::chooseOwners(Process &process)
 {
     for (auto &[group, ownership] : process.ownerships) {
@@ -256,8 +256,8 @@
     finishStop(stopping);
 }
 
-// Once nothing is owned and nobody waits for an answer; a moment later, so that what was sent last
-// is out.
+// Ends a stopping process that owns no group and has answered all requests, after a delay in which
+// its last messages are delivered.
 void Kelptally::finishStop(Process &process)
 {
     const auto isDone = [&process, id = process.id()] {
@@ -280,7 +280,7 @@
     }
 }
 
-// ---- Ownership's actions ----
+// ---- Ownership actions ----
 
 void Kelptally::performAll(Process &process, const GroupName &group,
                            const OwnershipActions &actions)
@@ -396,7 +396,7 @@
     attempt(waiting);
 }
 
-// Entries find the owner by asking around; the newest epoch that serves wins.
+// Returns the serving process with the highest epoch.
 Process *Kelptally::ownerOf(const GroupName &group)
 {
     Process *newest = nullptr;
@@ -435,7 +435,7 @@
     const ZoneName ownerZone = owner.host.zone;
     const ZoneName entryZone = request->entry->host.zone;
 
-    // 1. The answer comes back to the entry.
+    // The answer returns to the entry.
     found->second->submit(
         *request->request, request->deadline, request->session,
         [this, request, attempt, ownerZone, entryZone](const OwnerAnswer &answered) {
@@ -450,7 +450,7 @@
             });
         });
 
-    // 2. Or the link ends with the owner, or the deadline passes.
+    // The attempt fails when the owner process ends or the deadline passes.
     const auto watch = std::make_shared<std::function<void()>>();
     *watch = [this, request, attempt, ownerId, group = request->request->group,
               weak = std::weak_ptr<std::function<void()>>(watch)] {
--- a/src/bench/losses.cpp
+++ b/src/bench/losses.cpp
@@ -8,7 +8,7 @@
 
 #include <algorithm>
 
-// What the loss of hosts asks of the table service, in the replay's model without callers.
+// Load on the table service when hosts are lost, in the replay model without callers.
 namespace kelptally::bench {
 
 using namespace std::chrono_literals;
@@ -17,7 +17,7 @@
 
 constexpr int zoneCount = 6;
 
-// Three regions of two zones; each group has its servers in three zones.
+// Creates three regions of two zones each. Each group has servers in three zones.
 Trace makeTopology(int hosts, int groups)
 {
     Trace topology;
@@ -109,8 +109,8 @@
 
 int runLosses(int argc, char **argv)
 {
-    TCLAP::CmdLine line("Measures what losses of hosts ask of the table service, in the replay's "
-                        "model without callers.");
+    TCLAP::CmdLine line("Measures the load on the table service when hosts are lost, in the "
+                        "replay model without callers.");
     TCLAP::ValueArg<int> hosts("", "hosts", "hosts in six zones", false, 65, "N", line);
     TCLAP::ValueArg<int> groups("", "groups", "database groups", false, 105, "N", line);
     line.parse(argc, argv);
--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -18,14 +18,15 @@
 };
 
 constexpr std::array<Command, 9> commands = {{
-    {"bench", "print the signature of all decisions", bench::runBench},
+    {"bench", "print the signature of the decision code", bench::runBench},
     {"replay", "replay traces and check the outcomes", bench::runReplay},
     {"load", "send a load to running processes and measure them", bench::runLoad},
     {"overload", "measure the behaviour under overload", bench::runOverload},
-    {"pressure", "play a load against the decisions of a group's owner", bench::runPressure},
-    {"news", "play hosts that follow the tables of one store", bench::runRelays},
-    {"slopes", "measure what docs/CAPACITY.md is worked out from", bench::runSlopes},
-    {"losses", "measure what losses of hosts ask of the table service", bench::runLosses},
+    {"pressure", "simulate a load on one group's admission control and routing",
+     bench::runPressure},
+    {"news", "simulate hosts that follow the tables of one store", bench::runRelays},
+    {"slopes", "measure the costs on which docs/CAPACITY.md is based", bench::runSlopes},
+    {"losses", "measure the load on the table service when hosts are lost", bench::runLosses},
     {"traces", "write the shipped traces to files", bench::runTraces},
 }};
 
--- a/src/bench/model.cpp
+++ b/src/bench/model.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// One way between two hosts of the same availability zone.
+// One-way delay between two hosts of the same availability zone.
 constexpr Duration sameZoneDelay = 100us;
 
 } // namespace
@@ -36,7 +36,7 @@
     model_.send(details_.zone, to, [callback, reply] { callback(reply); });
 }
 
-// A short call that needs no slot. A hung server answers once it is healed.
+// A call that needs no slot. A hung server replies once it recovers.
 void ModelServer::call(const ZoneName &from, ReplyCallback callback,
                        std::function<ReplyKind()> work)
 {
@@ -121,7 +121,7 @@
                 [this, source, end, term] { receive(source, end, term); });
 }
 
-// Records are held at once and seen by readers after the replication delay.
+// Records are received at once and visible to reads after the replication delay.
 void ModelServer::receive(ModelServer *source, Position end, Term term)
 {
     const auto follows = [this, source, term] {
--- a/src/bench/model.h
+++ b/src/bench/model.h
@@ -12,18 +12,19 @@
 #include <memory>
 #include <set>
 
-// A discrete model of what stands around the decisions: the network's delays and cuts, and servers
-// with slots, service times and replication. Time is manual.
+// Discrete-event model of the environment of the decision code: network delays and partitions, and
+// servers with slots, service times and replication. Runs in virtual time.
 namespace kelptally::bench {
 
-// How a call to a server of the model ended.
+// Result of a call to a model server.
 enum class ReplyKind {
     Done,
-    // The server refused: it is no primary, fenced, or has prepared a higher term.
+    // The server rejected the call: it is not the primary, is fenced, or has prepared a higher
+    // term.
     Failed,
-    // No connection: nothing was run.
+    // The connection was refused; nothing was executed.
     Refused,
-    // The connection was lost while the call ran.
+    // The connection was lost during the call.
     Lost,
 };
 
@@ -31,23 +32,24 @@
 {
     ReplyKind kind = ReplyKind::Lost;
     decision::ServerReport report;
-    // What a read saw, or where a write is.
+    // Position that a read saw, or position of a write in the log.
     Position position;
 };
 using ReplyCallback = std::function<void(const Reply &)>;
 
-// A statement as a proxy sends it.
+// A statement that a proxy sends to a server.
 struct ModelStatement
 {
     const TraceRequest *request = nullptr;
     OwnerEpoch epoch = 0;
-    // The server looks the request's key up first and records it with the work.
+    // The server checks whether the request's idempotency key is recorded, and records it with the
+    // write.
     bool keyed = false;
 };
 
 class Model;
 
-// One server of a group. Calls come from a zone; an answer that a cut swallows never comes.
+// One server of a group. A call from a zone gets no reply if a partition drops a message.
 class ModelServer
 {
 public:
@@ -65,7 +67,7 @@
     void setHung(bool hung);
     void setSlowness(int factor) { slowness_ = factor; }
     void setLag(Duration lag) { lag_ = lag; }
-    // Sends what the primary holds now to this server.
+    // Replicates the primary's current log to this server.
     void replicate();
     void startAsPrimary(Term term);
 
@@ -74,7 +76,7 @@
     bool hung() const { return hung_; }
     bool primary() const { return primary_; }
     Term term() const { return term_; }
-    // Newest record that it holds, and newest that its readers see.
+    // Newest record received, and newest record visible to reads.
     Position position() const { return position_; }
     Position applied() const { return applied_; }
     int running() const { return running_; }
@@ -108,7 +110,7 @@
     Position position_;
     Position applied_;
     OwnerEpoch fence_ = 0;
-    // Counts kills, so that what a dead run left behind is told apart.
+    // Number of kills; work started before the last one is ignored.
     int run_ = 0;
     int running_ = 0;
     std::deque<std::shared_ptr<Call>> queuedCalls_;
@@ -116,15 +118,15 @@
     std::vector<std::function<void()>> deferredCalls_;
 };
 
-// Everything around the policy in one replay.
+// The environment of the policy in one replay.
 class Model
 {
 public:
     explicit Model(const Trace &trace);
 
-    // Delay of one way; nothing while the two are cut off from each other.
+    // One-way network delay, or nothing while a partition separates the zones.
     std::optional<Duration> networkDelay(const ZoneName &from, const ZoneName &to) const;
-    // Runs the function at the other end, unless the message is lost.
+    // Calls the function after the network delay, unless a partition separates the zones.
     void send(const ZoneName &from, const ZoneName &to, std::function<void()> function);
 
     ModelServer &server(const ServerName &name);
@@ -135,7 +137,7 @@
     void setPartitioned(const ZoneName &zone, bool cut);
     bool isPartitioned(const ZoneName &zone) const { return partitionedZones_.count(zone) > 0; }
     void setLeaving(const ServerName &name) { leaving_.emplace(name, timers.now()); }
-    // A statement begins at the server.
+    // Reports to the checker if the server is leaving.
     void onStatementStarted(const ServerName &name);
     bool isLeaving(const ServerName &name) const { return leaving_.count(name) > 0; }
 
@@ -143,7 +145,7 @@
     ManualTimerService timers;
     Checker checker;
     bool storeAvailable = true;
-    // What was asked of the table service, and when a process began to serve a group.
+    // Operations of the table service, and the times at which a process began to own a group.
     int storeReads = 0;
     int storeWrites = 0;
     std::vector<Instant> ownerStarts;
--- a/src/bench/modelstore.cpp
+++ b/src/bench/modelstore.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration storeLatency = 5ms;
-// An outage shows after the client's timeout.
+// Calls fail after this time while the service is unreachable.
 constexpr Duration storeTimeout = 200ms;
 
 } // namespace
--- a/src/bench/modelstore.h
+++ b/src/bench/modelstore.h
@@ -8,8 +8,8 @@
 
 namespace kelptally::bench {
 
-// The table service of the replay: the rows of the groups, with conditional writes and outages. A
-// zone that is cut off does not reach it.
+// Model of the table service: ownership rows of the groups with conditional writes and outages. It
+// is unreachable from a partitioned zone.
 class ModelStore
 {
 public:
--- a/src/bench/overload.cpp
+++ b/src/bench/overload.cpp
@@ -9,7 +9,7 @@
 #include <algorithm>
 #include <random>
 
-// Runs of the replay's model that ask for more than there is. Each prints one table.
+// Overload runs in the replay model. Each prints one table.
 namespace kelptally::bench {
 
 using namespace std::chrono_literals;
@@ -20,15 +20,15 @@
 constexpr Duration runTime = 6s;
 constexpr Duration deadline = 250ms;
 constexpr Duration writeDeadline = 1s;
-// Mean times of a read and a write; with 3 slots a server the two replicas run 2400 reads a second
-// and the primary's budget adds 600.
+// Mean service times of a read and a write.
 constexpr Duration readCost = 2500us;
 constexpr Duration writeCost = 3ms;
+// Requests per second at 100 % load.
 constexpr int nominalRate = 3000;
 
 const std::vector<ZoneName> zones = {"portlouis-a", "portlouis-b", "ebene", "grandbaie"};
 
-// What one team sends.
+// Load of one team.
 struct TeamLoad
 {
     TeamName team;
@@ -117,10 +117,11 @@
     return printRow(label, policy, *replay(trace, policy, options));
 }
 
-// Goodput against the load that is asked for.
+// Measures goodput against the offered load.
 void measureLoad()
 {
-    printHeader("load, as percent of what the slots can do (deadlines: reads 250 ms, writes 1 s)");
+    printHeader(
+        "load, as percent of the capacity of the slots (deadlines: reads 250 ms, writes 1 s)");
     for (const std::string policy : {"kelptally", "round-robin"}) {
         int peak = 0;
         int inTimeAtTwice = 0;
@@ -135,7 +136,7 @@
     }
 }
 
-// Callers that send every refused request again.
+// Callers send every refused request again.
 void measureRetryStorm()
 {
     printHeader("retry storm at 150%: callers send refused requests again, up to 5 times");
@@ -149,10 +150,10 @@
     replayAndPrint("after 20 ms", "round-robin", trace, options);
 }
 
-// One team asks for five times what there is.
+// One team offers five times the capacity.
 void measureGreedyTeam()
 {
-    printHeader("greedy team: batch asks for 500%, web for 30%");
+    printHeader("greedy team: batch offers 500%, web 30% of the capacity");
     const Trace trace = makeTrace(
         {{"web", nominalRate * 3 / 10, 10, readCost}, {"batch", nominalRate * 5, 0, readCost}});
     for (const std::string policy : {"kelptally", "round-robin"}) {
@@ -166,7 +167,7 @@
     }
 }
 
-// One replica takes twenty times as long.
+// One replica is twenty times slower.
 void measureSlowServer()
 {
     printHeader("one slow replica (20 times) at 40%");
@@ -177,11 +178,11 @@
     replayAndPrint("one slow", "round-robin", trace);
 }
 
-// Long browsing statements that go to the primary too, since one replica is dead.
+// Long browsing statements also go to the primary while one replica is down.
 void measurePrimaryBrowseSlots()
 {
     printHeader(
-        "browsing (100 ms each) and writes, a replica dead: slots of the primary for browsing");
+        "browsing (100 ms each) and writes, one replica down: slots of the primary for browsing");
     Trace trace = makeTrace({{"web", 100, 50, 100ms}});
     addFault(trace, FaultKind::KillServer, "c", 1);
     for (const int slots : {0, 2, 1}) {
@@ -196,8 +197,8 @@
 
 int runOverload(int argc, char **argv)
 {
-    TCLAP::CmdLine line("Measures goodput, refusals and latencies when callers ask for more than "
-                        "there is, in the replay's model of one database group.");
+    TCLAP::CmdLine line("Measures goodput, refusals and latencies under overload, in the replay "
+                        "model of one database group.");
     line.parse(argc, argv);
     measureLoad();
     measureRetryStorm();
--- a/src/bench/pressure.cpp
+++ b/src/bench/pressure.cpp
@@ -16,24 +16,25 @@
 using namespace std::chrono_literals;
 
 constexpr Duration stepTime = 1ms;
-// Whatever runs when the plan is over is answered within this time.
+// Time after the plan in which open requests are completed.
 constexpr Duration drainTime = 5s;
-// A write without an answer gives its slot back once its server is known not to run it.
+// Time for which a write without an answer holds its slot.
 constexpr Duration hungWriteSlotTime = 220ms;
-// A refusal after more than this part of the objective comes late.
+// A refused attempt counts as held after more than 1/heldObjectiveDivisor of the objective.
 constexpr int heldObjectiveDivisor = 4;
 const Instant start = Instant(1h);
 
-// One request with its repeats.
+// One request and the state of its repeats.
 struct Request
 {
     const PressureKind *kind = nullptr;
     bool write = false;
     Duration work {0};
+    // Time of the first attempt.
     Instant offered;
     int attempts = 0;
     Instant nextAttempt;
-    // It waited for long in an attempt that was refused.
+    // A refused attempt has waited too long; see heldObjectiveDivisor.
     bool held = false;
     decision::WaitingStatement waiting;
 };
@@ -44,7 +45,7 @@
     // When each slot is free again.
     std::vector<Instant> slots;
     decision::ReadCandidate candidate;
-    // Position that it holds.
+    // Offset of the newest record received.
     std::uint64_t holds = 0;
 };
 
@@ -81,7 +82,7 @@
 private:
     int below(int bound) { return static_cast<int>(random_() % static_cast<unsigned>(bound)); }
 
-    // Calls the function for each count that the request belongs to.
+    // Calls the function for the counts of the request's kind, of its second and of all requests.
     template <typename Function>
     void count(const Request &request, Function function)
     {
@@ -95,7 +96,7 @@
         constexpr int perMillion = 1'000'000;
         const int load = plan_.burst.holds(at) ? plan_.burstPercent : 100;
         for (const PressureKind &kind : plan_.kinds) {
-            // In parts of a million for each step.
+            // Probability of an arrival per step, in millionths.
             int chance = kind.rate * load * 10;
             for (; chance > 0; chance -= perMillion)
                 if (below(perMillion) < chance)
@@ -144,7 +145,7 @@
         }
     }
 
-    // Positions: the primary's log grows with its commits, and replicas follow.
+    // Updates the log positions: replicas follow the primary with the configured lag.
     void advancePositions(Duration at, Instant now)
     {
         positions_.add(now, {1, head_});
@@ -231,7 +232,7 @@
         const auto chosen = decision::chooseReader(states, positions_, needed, false, now);
         if (!chosen)
             return nullptr;
-        // What the replica's answer would show; a refusal costs no slot.
+        // The replica's answer shows its position. A refusal for lag occupies no slot.
         Server &server = servers_[*chosen];
         server.candidate.shown = Position {1, server.holds};
         server.candidate.shownAt = now;
--- a/src/bench/pressure.h
+++ b/src/bench/pressure.h
@@ -7,11 +7,11 @@
 
 namespace kelptally::bench {
 
-// In which order what waits is served.
+// Order in which queued requests are served.
 enum class PressureOrder {
-    // As the product does.
+    // The order of the production code.
     Ranked,
-    // By arrival, to compare with.
+    // By arrival, as a baseline.
     Arrival,
 };
 
@@ -20,11 +20,11 @@
     int offered = 0;
     int inTime = 0;
     int late = 0;
-    // Refused for good, after all repeats.
+    // Refused after all repeats.
     int refused = 0;
-    // Of these, such as had waited for over a quarter of their objective in an attempt.
+    // Refused requests with an attempt that had waited for over a quarter of the objective.
     int held = 0;
-    // Sent, and given up without an answer.
+    // Sent to a server without an answer.
     int unanswered = 0;
     int repeats = 0;
     double worth = 0;
@@ -35,15 +35,15 @@
 struct PressureResult
 {
     std::map<std::string, PressureCount> kinds;
-    // All kinds, by the second in which they were asked.
+    // All kinds, by the second in which a request was first sent.
     std::map<int, PressureCount> seconds;
     PressureCount all;
 
     double worthShare() const { return all.offeredWorth > 0 ? all.worth / all.offeredWorth : 0; }
 };
 
-// Plays the plan in virtual time with the decisions of a group's owner: slotadmission,
-// positionrouting and commitwatch. The same seed and plan give the same result.
+// Simulates the plan in virtual time with the admission control, routing and commit supervision of
+// a group owner. The result is deterministic for a seed and plan.
 PressureResult simulatePressure(const PressurePlan &plan, std::uint64_t seed, PressureOrder order);
 
 } // namespace kelptally::bench
--- a/src/bench/pressurecommand.cpp
+++ b/src/bench/pressurecommand.cpp
@@ -35,7 +35,7 @@
         milliseconds(quantile(counted.waits, 50)), milliseconds(quantile(counted.waits, 99)));
 }
 
-// Worth over the seeds, and the tables of the first one.
+// Prints the mean and range of the worth over all seeds, and the tables of the first seed.
 void printOrder(const PressurePlan &plan, const char *name, PressureOrder order, int seeds)
 {
     std::vector<double> worths;
@@ -65,11 +65,11 @@
 int runPressure(int argc, char **argv)
 {
     TCLAP::CmdLine command(
-        "Plays a load against the decisions of a group's owner, in virtual time.");
+        "Simulates a load on one group's admission control and routing, in virtual time.");
     TCLAP::UnlabeledValueArg<std::string> file("plan", "Plan file (docs/LOAD.md)", true, "", "PLAN",
                                                command);
-    TCLAP::ValueArg<int> seeds("s", "seeds", "How many seeds to play", false, defaultSeeds, "N",
-                               command);
+    TCLAP::ValueArg<int> seeds("s", "seeds", "Number of seeds to simulate", false, defaultSeeds,
+                               "N", command);
     command.parse(argc, argv);
     if (seeds.getValue() < 1) {
         std::cerr << "--seeds: allowed is 1 or more\n";
--- a/src/bench/pressureplan.h
+++ b/src/bench/pressureplan.h
@@ -8,26 +8,26 @@
 
 namespace kelptally::bench {
 
-// One kind of request as a plan describes it.
+// One kind of request of a plan.
 struct PressureKind
 {
     std::string name;
-    // Requests a second at the usual load.
+    // Requests per second at 100 % load.
     int rate = 0;
     int writePercent = 0;
-    // Mean time of one at a server; from half of it to one and a half, evenly.
+    // Mean service time; the times are distributed uniformly from 50 % to 150 % of it.
     Duration work {0};
     Duration objective {0};
     Duration deadline {0};
     int priority = 1;
-    // Reads may be this old; zero: the newest data.
+    // Maximum age of the data for reads; zero requires the newest data.
     Duration maxAge {0};
-    // Of a request in time and of a late one, in hundredths.
+    // Worth of a request answered in time and of a late one, in hundredths.
     int worth = 100;
     int lateWorth = 30;
 };
 
-// A span of time in which something is wrong; none when it is empty.
+// A half-open interval of time in which a fault or a burst lasts; empty for none.
 struct PressureSpan
 {
     Duration from {0};
@@ -36,31 +36,32 @@
     bool holds(Duration at) const { return from <= at && at < to; }
 };
 
-// The load of one group and what goes wrong.
+// The load of one group and the faults during it.
 struct PressurePlan
 {
     Duration length {std::chrono::seconds(20)};
     int slots = 2;
     int replicas = 2;
-    // Usual time from a commit to its being readable at a replica.
+    // Time from a commit until replicas can read it.
     Duration replicaLag {std::chrono::milliseconds(10)};
-    // Requests that come at once: percent of the usual load.
+    // Load during the burst, in percent of the usual load.
     PressureSpan burst;
     int burstPercent = 100;
-    // So many replicas receive nothing.
+    // Interval in which some replicas receive no updates, and the number of these replicas.
     PressureSpan replicationStopped;
     int stoppedReplicas = 0;
-    // The primary's commits are not acknowledged.
+    // Interval in which the primary's commits are not acknowledged.
     PressureSpan unconfirmedCommits;
-    // There is no primary.
+    // Interval without a primary.
     PressureSpan noPrimary;
-    // How often a caller repeats a refused request, and after which pause.
+    // How often a caller repeats a refused request, and the delay before each repeat.
     int repeats = 2;
     Duration repeatPause {std::chrono::milliseconds(100)};
     std::vector<PressureKind> kinds;
 };
 
-// Reads a plan: [load], [burst], [deaf], [unconfirmed], [leaderless], and a [kind NAME] for each.
+// Parses a plan with the sections [load], [burst], [deaf], [unconfirmed], [leaderless] and any
+// number of [kind NAME]. Errors are added to the findings.
 PressurePlan parsePressurePlan(const std::string &file, const std::string &text,
                                settings::Findings &findings);
 
--- a/src/bench/scripts.cpp
+++ b/src/bench/scripts.cpp
@@ -25,7 +25,7 @@
 const std::vector<GroupName> groupNames = {"deposits", "listings", "offers"};
 const std::vector<TeamName> teamNames = {"brokers", "caseworkers", "web"};
 
-// The standard's generator with modulo; its distributions differ between libraries.
+// Uses modulo instead of the standard distributions, which differ between libraries.
 class Random
 {
 public:
@@ -233,7 +233,7 @@
     }
 }
 
-// Ownership, failover, confirmation and all the rest at work together.
+// Runs ownership, failover and confirmation together with the other decisions.
 void runReplayScript(Signature &signature)
 {
     for (const Trace &trace : shippedTraces())
--- a/src/bench/scripts.h
+++ b/src/bench/scripts.h
@@ -7,7 +7,7 @@
 
 namespace kelptally::bench {
 
-// A scripted run of one decision that adds everything decided to the signature.
+// A deterministic run of one decision module that adds its results to the signature.
 struct Script
 {
     std::string_view name;
--- a/src/bench/signature.h
+++ b/src/bench/signature.h
@@ -10,8 +10,8 @@
 
 namespace kelptally::bench {
 
-// A 64-bit digest of a sequence of decisions (FNV-1a), the same on every machine: it takes integers
-// and text only, never floating-point numbers, addresses or the order of a hash table.
+// A 64-bit FNV-1a digest of a sequence of decisions. To be reproducible on every machine, it takes
+// integers and text only; callers add no floating-point values, addresses or hash-table orders.
 class Signature
 {
 public:
--- a/src/bench/slopes.cpp
+++ b/src/bench/slopes.cpp
@@ -16,7 +16,7 @@
 
 #include <memory>
 
-// The slopes that docs/CAPACITY.md is worked out from, measured in this process.
+// Measures, in this process, the costs on which docs/CAPACITY.md is based.
 namespace kelptally::bench {
 
 using namespace decision;
@@ -80,7 +80,7 @@
 
 void measureMessages()
 {
-    printTitle("messages between processes (CBOR alone; frame and transport come on top)");
+    printTitle("messages between processes (CBOR only, without frame and transport)");
     for (const int groups : {1, 2, 4, 16}) {
         measureMessage(absl::StrCat("heartbeat, groups ", groups), heartbeatOf(groups));
         measureMessage(absl::StrCat("heartbeat answer, groups ", groups),
@@ -158,7 +158,7 @@
     }
 }
 
-// Processor time of the group's ticks in one second, with all answers there at once.
+// Processor time of one second of ticks with immediate answers.
 Duration timeOwnershipTicks(Ownership &owner, Instant &now)
 {
     const Duration before = processorTime();
@@ -244,7 +244,7 @@
             timeOfCall(200, [&] { (void)membership.preferredOwner(groupOf(++group), "zone-1"); });
         const Duration successorsTime = timeOfCall(
             200, [&] { (void)membership.successorCandidates(groupOf(++group), processOf(0)); });
-        absl::PrintF("  %5d nodes: %7d bytes, wanted owner of a group %7.1f us, "
+        absl::PrintF("  %5d nodes: %7d bytes, preferred owner of a group %7.1f us, "
                      "its successors %7.1f us\n",
                      nodes, bytes, microseconds(preferredOwnerTime), microseconds(successorsTime));
     }
@@ -276,7 +276,7 @@
 
 void measureConfiguration()
 {
-    printTitle("configuration: one document, parsed and kept");
+    printTitle("configuration: one document, parsed and stored");
     for (const auto &[hosts, groups] :
          {std::pair(8, 3), std::pair(130, 210), std::pair(1300, 2100)}) {
         const std::string document = documentOf(hosts, groups);
@@ -374,9 +374,9 @@
 
 int runSlopes(int argc, char **argv)
 {
-    TCLAP::CmdLine line("Measures, in this process, the slopes of docs/CAPACITY.md: bytes and "
-                        "processor time against groups, nodes, size of the configuration and "
-                        "requests.");
+    TCLAP::CmdLine line("Measures, in this process, the costs on which docs/CAPACITY.md is based: "
+                        "bytes and processor time by groups, nodes, size of the configuration "
+                        "and requests.");
     line.parse(argc, argv);
     measureMessages();
     measureGroups();
--- a/tests/bench/pressure_test.cpp
+++ b/tests/bench/pressure_test.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("The same seed plays the same")
+TEST_CASE("The same seed gives the same result")
 {
     const PressurePlan plan = shipped("burst");
     const PressureResult first = simulatePressure(plan, 7, PressureOrder::Ranked);
@@ -40,7 +40,7 @@
     CHECK(first.worthShare() == again.worthShare());
 }
 
-TEST_CASE("Every request ends once")
+TEST_CASE("Every request has exactly one outcome")
 {
     for (const char *name : {"burst", "hanging", "lag", "overload"}) {
         const PressureResult result = simulatePressure(shipped(name), 1, PressureOrder::Ranked);
@@ -49,8 +49,9 @@
     }
 }
 
-// 0.88 and 0.57 where it was measured, with five seeds.
-TEST_CASE("A burst is served in the order that keeps most in time, the urgent kind first")
+// Guards against serving a burst by arrival, in which urgent requests miss their objectives.
+TEST_CASE("Ranked order serves urgent requests first and has a higher worth than arrival order in "
+          "a burst")
 {
     const PressurePlan plan = shipped("burst");
     CHECK(worth(plan, PressureOrder::Ranked) > worth(plan, PressureOrder::Arrival) + 0.2);
@@ -59,8 +60,8 @@
     CHECK(confirm.inTime > confirm.offered * 98 / 100);
 }
 
-// Some sixty commits want to be sent in the three seconds.
-TEST_CASE("While commits hang few are sent, and reads go on")
+// Guards against hanging commits that occupy all slots of the primary.
+TEST_CASE("While commits hang, few are sent and reads continue")
 {
     const PressureResult result = simulatePressure(shipped("hanging"), 1, PressureOrder::Ranked);
     CHECK(result.all.unanswered <= 15);
@@ -68,13 +69,13 @@
     CHECK(view.inTime == view.offered);
 }
 
-TEST_CASE("Replicas that receive nothing leave the primary's slots to those that need them")
+TEST_CASE("Requests that need the primary get its slots while replicas receive no updates")
 {
     const PressureResult result = simulatePressure(shipped("lag"), 1, PressureOrder::Ranked);
     CHECK(result.worthShare() > 0.99);
 }
 
-TEST_CASE("Mistakes in a plan are told together, with their places")
+TEST_CASE("Parsing reports all errors of a plan")
 {
     settings::Findings findings;
     parsePressurePlan("p.ini", "[load]\nslots=0\n[odd]\n[kind a]\nrate=x\n", findings);
--- a/tests/bench/signature_test.cpp
+++ b/tests/bench/signature_test.cpp
@@ -6,7 +6,7 @@
 using namespace kelptally;
 using namespace kelptally::bench;
 
-TEST_CASE("a signature tells order, length and kind of what was added")
+TEST_CASE("a signature depends on the order, length and kind of the added values")
 {
     Signature ab;
     ab.add(std::string_view("a"));
@@ -25,9 +25,8 @@
     CHECK(nothing.value() != zero.value());
 }
 
-// The replays are left to replay_test.cpp, which runs one of them twice: all take too long here
-// under a sanitizer.
-TEST_CASE("each script decides the same twice, and something")
+// replay_test.cpp covers the replays, which take too long here under a sanitizer.
+TEST_CASE("each script is deterministic and adds to the signature")
 {
     for (const Script &script : scripts()) {
         if (script.name == "replays")
