--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -18,14 +18,15 @@
 };
 
 constexpr std::array<Command, 9> commands = {{
-    {"bench", "print the signature of all decisions", bench::runBench},
+    {"bench", "print the signature of the decision code", bench::runBench},
     {"replay", "replay traces and check the outcomes", bench::runReplay},
     {"load", "send a load to running processes and measure them", bench::runLoad},
     {"overload", "measure the behaviour under overload", bench::runOverload},
-    {"pressure", "play a load against the decisions of a group's owner", bench::runPressure},
-    {"news", "play hosts that follow the tables of one store", bench::runRelays},
-    {"slopes", "measure what docs/CAPACITY.md is worked out from", bench::runSlopes},
-    {"losses", "measure what losses of hosts ask of the table service", bench::runLosses},
+    {"pressure", "simulate a load on one group's admission control and routing",
+     bench::runPressure},
+    {"news", "simulate hosts that follow the tables of one store", bench::runRelays},
+    {"slopes", "measure the costs on which docs/CAPACITY.md is based", bench::runSlopes},
+    {"losses", "measure the load on the table service when hosts are lost", bench::runLosses},
     {"traces", "write the shipped traces to files", bench::runTraces},
 }};
 
@@ -44,17 +45,17 @@
 {
     if (argc < 2)
         return usage(std::cerr, 2);
-    const absl::string_view wanted = argv[1];
-    if (wanted == "--help" || wanted == "-h")
+    const absl::string_view requested = argv[1];
+    if (requested == "--help" || requested == "-h")
         return usage(std::cout, 0);
-    if (wanted == "--version") {
+    if (requested == "--version") {
         std::cout << "kelptally-bench " KELPTALLY_VERSION "\n";
         return 0;
     }
     for (const Command &command : commands) {
-        if (command.name == wanted)
+        if (command.name == requested)
             return command.run(argc - 1, argv + 1);
     }
-    std::cerr << "kelptally-bench: unknown command " << wanted << "\n";
+    std::cerr << "kelptally-bench: unknown command " << requested << "\n";
     return usage(std::cerr, 2);
 }
--- a/src/bench/overload.cpp
+++ b/src/bench/overload.cpp
@@ -9,7 +9,7 @@
 #include <algorithm>
 #include <random>
 
-// Runs of the replay's model that ask for more than there is. Each prints one table.
+// Overload runs in the replay model. Each prints one table.
 namespace kelptally::bench {
 
 using namespace std::chrono_literals;
@@ -20,16 +20,16 @@
 constexpr Duration runTime = 6s;
 constexpr Duration deadline = 250ms;
 constexpr Duration writeDeadline = 1s;
-// Mean times of a read and a write; with 3 slots a server the two replicas run 2400 reads a second
-// and the primary's budget adds 600.
+// Mean service times of a read and a write.
 constexpr Duration readCost = 2500us;
 constexpr Duration writeCost = 3ms;
+// Requests per second at 100 % load.
 constexpr int nominalRate = 3000;
 
 const std::vector<ZoneName> zones = {"portlouis-a", "portlouis-b", "ebene", "grandbaie"};
 
-// What one team sends.
-struct Stream
+// Load of one team.
+struct TeamLoad
 {
     TeamName team;
     int rate = 0;
@@ -37,7 +37,7 @@
     Duration readCost = bench::readCost;
 };
 
-Trace makeTrace(const std::vector<Stream> &streams)
+Trace makeTrace(const std::vector<TeamLoad> &streams)
 {
     Trace trace;
     trace.name = "overload";
@@ -55,7 +55,7 @@
         return static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(bound));
     };
     RequestId id = 0;
-    for (const Stream &stream : streams) {
+    for (const TeamLoad &stream : streams) {
         for (Duration at = 0s; at < runTime; at += 1us * below(2000000 / stream.rate)) {
             TraceRequest request;
             request.id = ++id;
@@ -111,48 +111,49 @@
     return figures.inTime;
 }
 
-int runOne(const std::string &label, const std::string &policy, const Trace &trace,
-           const ReplayOptions &options = {})
+int replayAndPrint(const std::string &label, const std::string &policy, const Trace &trace,
+                   const ReplayOptions &options = {})
 {
     return printRow(label, policy, *replay(trace, policy, options));
 }
 
-// Goodput against the load that is asked for.
+// Measures goodput against the offered load.
 void measureLoad()
 {
-    printHeader("load, as percent of what the slots can do (deadlines: reads 250 ms, writes 1 s)");
+    printHeader(
+        "load, as percent of the capacity of the slots (deadlines: reads 250 ms, writes 1 s)");
     for (const std::string policy : {"kelptally", "round-robin"}) {
         int peak = 0;
-        int atTwice = 0;
+        int inTimeAtTwice = 0;
         for (const int percent : {50, 80, 100, 120, 150, 200, 300}) {
             const Trace trace = makeTrace({{"web", nominalRate * percent / 100, 10, readCost}});
-            const int inTime = runOne(absl::StrFormat("%d%%", percent), policy, trace);
+            const int inTime = replayAndPrint(absl::StrFormat("%d%%", percent), policy, trace);
             peak = std::max(peak, inTime);
-            atTwice = percent == 200 ? inTime : atTwice;
+            inTimeAtTwice = percent == 200 ? inTime : inTimeAtTwice;
         }
         absl::PrintF("%s: goodput at 200%% is %.1f%% of the peak\n", policy,
-                     100.0 * atTwice / peak);
+                     100.0 * inTimeAtTwice / peak);
     }
 }
 
-// Callers that send every refused request again.
-void measureStorm()
+// Callers send every refused request again.
+void measureRetryStorm()
 {
     printHeader("retry storm at 150%: callers send refused requests again, up to 5 times");
     const Trace trace = makeTrace({{"web", nominalRate * 3 / 2, 10, readCost}});
     ReplayOptions options;
-    runOne("no repeats", "kelptally", trace, options);
+    replayAndPrint("no repeats", "kelptally", trace, options);
     options.callerRetries = 5;
-    runOne("when told (Retry-After)", "kelptally", trace, options);
+    replayAndPrint("when told (Retry-After)", "kelptally", trace, options);
     options.callerRetryDelay = 20ms;
-    runOne("after 20 ms", "kelptally", trace, options);
-    runOne("after 20 ms", "round-robin", trace, options);
+    replayAndPrint("after 20 ms", "kelptally", trace, options);
+    replayAndPrint("after 20 ms", "round-robin", trace, options);
 }
 
-// One team asks for five times what there is.
+// One team offers five times the capacity.
 void measureGreedyTeam()
 {
-    printHeader("greedy team: batch asks for 500%, web for 30%");
+    printHeader("greedy team: batch offers 500%, web 30% of the capacity");
     const Trace trace = makeTrace(
         {{"web", nominalRate * 3 / 10, 10, readCost}, {"batch", nominalRate * 5, 0, readCost}});
     for (const std::string policy : {"kelptally", "round-robin"}) {
@@ -166,29 +167,29 @@
     }
 }
 
-// One replica takes twenty times as long.
+// One replica is twenty times slower.
 void measureSlowServer()
 {
     printHeader("one slow replica (20 times) at 40%");
     Trace trace = makeTrace({{"web", nominalRate * 4 / 10, 10, readCost}});
-    runOne("none slow", "kelptally", trace);
+    replayAndPrint("none slow", "kelptally", trace);
     addFault(trace, FaultKind::SlowServer, "b", 20);
-    runOne("one slow", "kelptally", trace);
-    runOne("one slow", "round-robin", trace);
+    replayAndPrint("one slow", "kelptally", trace);
+    replayAndPrint("one slow", "round-robin", trace);
 }
 
-// Long browsing statements that go to the primary too, since one replica is dead.
-void measureBorrowedSlots()
+// Long browsing statements also go to the primary while one replica is down.
+void measurePrimaryBrowseSlots()
 {
     printHeader(
-        "browsing (100 ms each) and writes, a replica dead: slots of the primary for browsing");
+        "browsing (100 ms each) and writes, one replica down: slots of the primary for browsing");
     Trace trace = makeTrace({{"web", 100, 50, 100ms}});
     addFault(trace, FaultKind::KillServer, "c", 1);
     for (const int slots : {0, 2, 1}) {
         ReplayOptions options;
         options.primaryBrowseSlots = slots;
-        runOne(slots == 0 ? std::string("all") : std::to_string(slots), "kelptally", trace,
-               options);
+        replayAndPrint(slots == 0 ? std::string("all") : std::to_string(slots), "kelptally", trace,
+                       options);
     }
 }
 
@@ -196,14 +197,14 @@
 
 int runOverload(int argc, char **argv)
 {
-    TCLAP::CmdLine line("Measures goodput, refusals and latencies when callers ask for more than "
-                        "there is, in the replay's model of one database group.");
+    TCLAP::CmdLine line("Measures goodput, refusals and latencies under overload, in the replay "
+                        "model of one database group.");
     line.parse(argc, argv);
     measureLoad();
-    measureStorm();
+    measureRetryStorm();
     measureGreedyTeam();
     measureSlowServer();
-    measureBorrowedSlots();
+    measurePrimaryBrowseSlots();
     return 0;
 }
 
--- a/src/bench/pressurecommand.cpp
+++ b/src/bench/pressurecommand.cpp
@@ -30,28 +30,28 @@
 void printRow(const std::string &name, const PressureCount &counted)
 {
     std::cout << absl::StrFormat(
-        "%-16s %7d %7d %7d %7d %7d %9d %7d %8.1f %8.1f\n", name, counted.asked, counted.inTime,
+        "%-16s %7d %7d %7d %7d %7d %9d %7d %8.1f %8.1f\n", name, counted.offered, counted.inTime,
         counted.late, counted.refused, counted.held, counted.unanswered, counted.repeats,
         milliseconds(quantile(counted.waits, 50)), milliseconds(quantile(counted.waits, 99)));
 }
 
-// Worth over the seeds, and the tables of the first one.
+// Prints the mean and range of the worth over all seeds, and the tables of the first seed.
 void printOrder(const PressurePlan &plan, const char *name, PressureOrder order, int seeds)
 {
     std::vector<double> worths;
     PressureResult first;
     for (int seed = 1; seed <= seeds; ++seed) {
-        PressureResult result = playPressure(plan, static_cast<std::uint64_t>(seed), order);
+        PressureResult result = simulatePressure(plan, static_cast<std::uint64_t>(seed), order);
         worths.push_back(result.worthShare());
         if (seed == 1)
             first = std::move(result);
     }
-    const auto [least, most] = std::minmax_element(worths.begin(), worths.end());
+    const auto [lowest, highest] = std::minmax_element(worths.begin(), worths.end());
     double sum = 0;
     for (const double worth : worths)
         sum += worth;
     std::cout << absl::StrFormat("\n%s: worth %.4f (%.4f to %.4f, %d seeds)\n", name,
-                                 sum / static_cast<double>(seeds), *least, *most, seeds);
+                                 sum / static_cast<double>(seeds), *lowest, *highest, seeds);
     printHeader("kind, seed 1");
     for (const auto &[kind, counted] : first.kinds)
         printRow(kind, counted);
@@ -65,11 +65,11 @@
 int runPressure(int argc, char **argv)
 {
     TCLAP::CmdLine command(
-        "Plays a load against the decisions of a group's owner, in virtual time.");
+        "Simulates a load on one group's admission control and routing, in virtual time.");
     TCLAP::UnlabeledValueArg<std::string> file("plan", "Plan file (docs/LOAD.md)", true, "", "PLAN",
                                                command);
-    TCLAP::ValueArg<int> seeds("s", "seeds", "How many seeds to play", false, defaultSeeds, "N",
-                               command);
+    TCLAP::ValueArg<int> seeds("s", "seeds", "Number of seeds to simulate", false, defaultSeeds,
+                               "N", command);
     command.parse(argc, argv);
     if (seeds.getValue() < 1) {
         std::cerr << "--seeds: allowed is 1 or more\n";
--- a/src/bench/replay.cpp
+++ b/src/bench/replay.cpp
@@ -81,7 +81,7 @@
         if (answer.executed == Executed::No && retriesLeft > 0) {
             const Duration delay = options_.callerRetryDelay.value_or(answer.retryAfter);
             model_.timers.subscribeAfter(delay, [this, &request, retriesLeft] {
-                model_.checker.onRepeated(request, model_.timers.now());
+                model_.checker.onRetried(request, model_.timers.now());
                 submit(request, retriesLeft - 1);
             });
             return;
@@ -100,7 +100,7 @@
         const std::size_t first = static_cast<std::size_t>(requested - hosts.begin());
         for (std::size_t i = 0; i < hosts.size(); ++i) {
             const HostName &name = hosts[(first + i) % hosts.size()].name;
-            if (policy_->takesCallers(name))
+            if (policy_->acceptsCallers(name))
                 return name;
         }
         return std::nullopt;
@@ -113,7 +113,7 @@
         const Instant now = model_.timers.now();
         for (const ModelServer *server : model_.serversOf(request.group)) {
             if (isReachable(*server, request) && couldServe(*server, request, now))
-                return model_.checker.onCouldReplica();
+                return model_.checker.onReplicaEligibleRead();
         }
         if (now < until)
             model_.timers.subscribeAfter(
@@ -125,7 +125,7 @@
         const auto entry = entryFor(request);
         for (const TraceHost &host : model_.trace.hosts) {
             if (entry == host.name)
-                return model_.way(host.zone, server.what().zone).has_value();
+                return model_.networkDelay(host.zone, server.details().zone).has_value();
         }
         return false;
     }
@@ -134,12 +134,12 @@
     {
         if (server.primary() || !server.alive() || server.hung())
             return false;
-        if (model_.isLeaving(server.what().name))
+        if (model_.isLeaving(server.details().name))
             return false;
         // The data ages during the round trip and the execution of the statement.
-        const Duration way = 2 * model_.trace.zoneDelay + 2 * model_.trace.clientDelay;
-        const Instant committedBy = now + way + request.cost - *request.statedAge;
-        return !model_.checker.missesOwn(request, server.applied())
+        const Duration networkDelay = 2 * model_.trace.zoneDelay + 2 * model_.trace.clientDelay;
+        const Instant committedBy = now + networkDelay + request.cost - *request.statedAge;
+        return !model_.checker.missesOwnWrite(request, server.applied())
             && !model_.checker.isStale(request.group, server.applied(), committedBy, now);
     }
 
@@ -163,17 +163,17 @@
             return model_.server(fault.target).setLag(fault.time);
         case FaultKind::LeaveServer:
             model_.setLeaving(fault.target);
-            model_.timers.subscribeAfter(configurationDelay,
-                                         [this, &fault] { policy_->onLeaving(fault.target); });
+            model_.timers.subscribeAfter(
+                configurationDelay, [this, &fault] { policy_->onServerLeaving(fault.target); });
             return;
         case FaultKind::CutZone:
             recordZoneCut(fault.target);
-            return model_.setCut(fault.target, true);
+            return model_.setPartitioned(fault.target, true);
         case FaultKind::HealZone:
-            return model_.setCut(fault.target, false);
+            return model_.setPartitioned(fault.target, false);
         case FaultKind::StopStore:
         case FaultKind::StartStore:
-            model_.storeUp = fault.kind == FaultKind::StartStore;
+            model_.storeAvailable = fault.kind == FaultKind::StartStore;
             return;
         case FaultKind::StopHost:
             return policy_->stopHost(fault.target);
@@ -189,14 +189,14 @@
     {
         const ModelServer &server = model_.server(name);
         if (server.primary())
-            model_.checker.onWritesStop({server.what().group}, model_.timers.now());
+            model_.checker.onWritesStop({server.details().group}, model_.timers.now());
     }
 
     void recordZoneCut(const ZoneName &zone)
     {
         for (const GroupName &group : model_.trace.groups()) {
             const ModelServer *primary = model_.primaryOf(group);
-            if (primary != nullptr && primary->what().zone == zone)
+            if (primary != nullptr && primary->details().zone == zone)
                 model_.checker.onWritesStop({group}, model_.timers.now());
         }
     }
@@ -216,7 +216,7 @@
         for (const GroupName &group : model_.trace.groups()) {
             const ModelServer *primary = model_.primaryOf(group);
             if (primary != nullptr)
-                model_.checker.atEnd(group, primary->term());
+                model_.checker.checkFinalLog(group, primary->term());
         }
     }
 
