--- a/src/bench/kelptally.cpp
+++ b/src/bench/kelptally.cpp
@@ -143,7 +143,8 @@
     process.unanswered = 0;
     std::vector<settings::Host> hosts;
     for (const TraceHost &host : model_.trace.hosts)
-        hosts.push_back({host.name, host.zone, host.name, host.name, settings::Presence::Active});
+        hosts.push_back(
+            {host.name, host.zone, host.name, host.name, settings::AdministrativeState::Active});
     process.membership = Membership();
     process.membership.setHosts(hosts);
     for (const GroupName &group : model_.trace.groups()) {
--- a/src/bench/slopes.cpp
+++ b/src/bench/slopes.cpp
@@ -224,7 +224,7 @@
     for (int i = 0; i < count; ++i) {
         const std::string address = processOf(i).address;
         hosts.push_back({absl::StrCat("host-", i), absl::StrCat("zone-", i % 6), address, address,
-                         settings::Presence::Active});
+                         settings::AdministrativeState::Active});
     }
     return hosts;
 }
--- a/src/caller/callerrequest.cpp
+++ b/src/caller/callerrequest.cpp
@@ -44,7 +44,7 @@
 }
 
 // Operation and transaction id of a path; false when there is no such path.
-bool takePath(const std::string &path, CallerRequest &request)
+bool parsePath(const std::string &path, CallerRequest &request)
 {
     const std::string_view view = path;
     if (view == statementPath) {
@@ -97,7 +97,7 @@
             return std::move(findings_);
         }
         for (std::size_t i = 0; i < document->names.size(); ++i)
-            takeMember(document->names[i], document->items[i]);
+            readMember(document->names[i], document->items[i]);
         checkPresent(*document);
         return std::move(findings_);
     }
@@ -108,21 +108,21 @@
         findings_.push_back({place, std::move(problem)});
     }
 
-    void takeMember(const std::string &name, JsonValue &value)
+    void readMember(const std::string &name, JsonValue &value)
     {
         const std::string place = "/" + name;
         if (fields_.target && name == "group")
-            takeText(place, value, request_.group, maxNameLength);
+            readText(place, value, request_.group, maxNameLength);
         else if (fields_.target && name == "kind")
-            takeText(place, value, request_.kind, maxNameLength);
+            readText(place, value, request_.kind, maxNameLength);
         else if (fields_.statement && name == "sql")
-            takeText(place, value, request_.sql, std::string::npos);
+            readText(place, value, request_.sql, std::string::npos);
         else if (fields_.statement && name == "parameters")
-            takeParameters(place, value);
+            readParameters(place, value);
         else if (fields_.statedAge && name == "statedAgeMs")
-            takeMilliseconds(place, value, request_.statedAge, 0);
+            readMilliseconds(place, value, request_.statedAge, 0);
         else if (name == "deadlineMs")
-            takeMilliseconds(place, value, request_.deadline, 1);
+            readMilliseconds(place, value, request_.deadline, 1);
         else
             add(place, "there is no such field here; allowed: " + allowed());
     }
@@ -139,7 +139,7 @@
         return names + "deadlineMs";
     }
 
-    void takeText(const std::string &place, JsonValue &value, std::string &into, std::size_t limit)
+    void readText(const std::string &place, JsonValue &value, std::string &into, std::size_t limit)
     {
         if (value.type != JsonType::String)
             return add(place, "must be a string");
@@ -152,18 +152,18 @@
         into = std::move(value.text);
     }
 
-    void takeMilliseconds(const std::string &place, const JsonValue &value,
-                          std::optional<Duration> &into, std::int64_t least)
+    void readMilliseconds(const std::string &place, const JsonValue &value,
+                          std::optional<Duration> &into, std::int64_t minimum)
     {
         const std::int64_t number = value.toInteger(-1);
-        if (number < least || number > maxMilliseconds)
+        if (number < minimum || number > maxMilliseconds)
             return add(place,
-                       "must be a whole number of milliseconds from " + std::to_string(least)
+                       "must be a whole number of milliseconds from " + std::to_string(minimum)
                            + " to " + std::to_string(maxMilliseconds));
         into = std::chrono::milliseconds(number);
     }
 
-    void takeParameters(const std::string &place, JsonValue &value)
+    void readParameters(const std::string &place, JsonValue &value)
     {
         if (value.type != JsonType::Array)
             return add(place, "must be an array");
@@ -171,11 +171,11 @@
             return add(place, "must have at most " + std::to_string(maxParameters) + " elements");
         request_.parameters.reserve(value.items.size());
         for (std::size_t i = 0; i < value.items.size(); ++i)
-            takeParameter(place, i, value.items[i]);
+            readParameter(place, i, value.items[i]);
     }
 
     // Parameters go to the database in its text format.
-    void takeParameter(const std::string &place, std::size_t index, JsonValue &value)
+    void readParameter(const std::string &place, std::size_t index, JsonValue &value)
     {
         switch (value.type) {
         case JsonType::Null:
@@ -219,7 +219,8 @@
 }
 
 // The header's value may be a bare word or a quoted string.
-void takeKey(std::string_view key, CallerRequest &request, std::vector<ProblemFinding> &findings)
+void readIdempotencyKey(std::string_view key, CallerRequest &request,
+                        std::vector<ProblemFinding> &findings)
 {
     if (key.empty())
         return;
@@ -235,7 +236,7 @@
     request.idempotencyKey = key;
 }
 
-void takeAuthorization(const std::string &header, CallerRequest &request,
+void readAuthorization(const std::string &header, CallerRequest &request,
                        std::vector<ProblemFinding> &findings)
 {
     if (header.empty())
@@ -251,17 +252,17 @@
 ParsedRequest parseCallerRequest(HttpRequest request)
 {
     ParsedRequest parsed;
-    CallerRequest &typed = parsed.request;
-    typed.connection = request.connection;
-    if (request.method != HttpMethod::Post || !takePath(request.path, typed)) {
+    CallerRequest &callerRequest = parsed.request;
+    callerRequest.connection = request.connection;
+    if (request.method != HttpMethod::Post || !parsePath(request.path, callerRequest)) {
         parsed.problem = makeProblem(Reason::UnknownPath);
         return parsed;
     }
     std::vector<ProblemFinding> findings;
-    takeAuthorization(request.authorization, typed, findings);
-    takeKey(request.idempotencyKey, typed, findings);
-    typed.sessionToken = std::move(request.sessionToken);
-    for (ProblemFinding &finding : BodyReader(typed).take(request.body))
+    readAuthorization(request.authorization, callerRequest, findings);
+    readIdempotencyKey(request.idempotencyKey, callerRequest, findings);
+    callerRequest.sessionToken = std::move(request.sessionToken);
+    for (ProblemFinding &finding : BodyReader(callerRequest).take(request.body))
         findings.push_back(std::move(finding));
     if (!request.query.empty())
         findings.push_back({"?" + request.query.substr(0, 64), "this path takes no query"});
--- a/src/caller/httpreader.cpp
+++ b/src/caller/httpreader.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 // More than this is given back to the heap between requests.
-constexpr std::size_t keptPendingBytes = 512;
+constexpr std::size_t maxRetainedPendingBytes = 512;
 
 // The end of a chunked body is "0", two line ends. Beast 1.74 asserts on less than that when it
 // goes on after a "0" that came alone, and no chunked body ends with fewer bytes to come.
-constexpr std::size_t leastChunkedBytes = 5;
+constexpr std::size_t minChunkedBytes = 5;
 
 std::string toString(boost::beast::string_view text)
 {
@@ -42,7 +42,7 @@
 }
 
 // Path and query of a target in origin or absolute form (RFC 9112, section 3.2).
-bool takeTarget(boost::beast::string_view target, HttpRequest &request)
+bool parseTarget(boost::beast::string_view target, HttpRequest &request)
 {
     std::string text = toString(target);
     constexpr std::string_view scheme = "http://";
@@ -89,10 +89,10 @@
     return parser_ || !pending_.empty();
 }
 
-bool HttpReader::takeWantsContinue()
+bool HttpReader::takeExpectContinue()
 {
-    const bool wanted = wantsContinue_;
-    wantsContinue_ = false;
+    const bool wanted = expectsContinue_;
+    expectsContinue_ = false;
     return wanted;
 }
 
@@ -116,7 +116,7 @@
         parser_->beast.body_limit(maxBodyBytes_);
         parser_->beast.eager(true);
     }
-    if (parser_->headerSeen && parser_->beast.chunked() && pending_.size() < leastChunkedBytes)
+    if (parser_->headerSeen && parser_->beast.chunked() && pending_.size() < minChunkedBytes)
         return State::NeedMore;
     boost::system::error_code error;
     const std::size_t used =
@@ -130,7 +130,8 @@
     if (parser_->beast.is_header_done() && !parser_->headerSeen) {
         parser_->headerSeen = true;
         const auto &fields = parser_->beast.get();
-        wantsContinue_ = !parser_->beast.is_done() && fields[http::field::expect] == "100-continue";
+        expectsContinue_ =
+            !parser_->beast.is_done() && fields[http::field::expect] == "100-continue";
     }
     if (parser_->beast.is_done())
         return finish();
@@ -142,23 +143,23 @@
 
 HttpReader::State HttpReader::finish()
 {
-    if (!takeFields())
+    if (!readHeaderFields())
         return State::Refused;
     parser_.reset();
-    wantsContinue_ = false;
-    if (pending_.empty() && pending_.capacity() > keptPendingBytes)
+    expectsContinue_ = false;
+    if (pending_.empty() && pending_.capacity() > maxRetainedPendingBytes)
         pending_ = std::string();
     return State::Request;
 }
 
 // Takes over the fields that are used. One given twice is refused: proxies on the way might have
 // chosen the other.
-bool HttpReader::takeFields()
+bool HttpReader::readHeaderFields()
 {
     auto &message = parser_->beast.get();
     request_ = HttpRequest();
     request_.method = toMethod(message.method());
-    if (!takeTarget(message.target(), request_)) {
+    if (!parseTarget(message.target(), request_)) {
         refuse(Reason::MalformedRequest, "the target must be a path");
         return false;
     }
--- a/src/caller/httpreader.h
+++ b/src/caller/httpreader.h
@@ -41,14 +41,14 @@
     // Bytes fed that no request has taken yet.
     std::size_t buffered() const { return pending_.size(); }
     // True once for each request whose caller waits for "100 Continue" before sending the body.
-    bool takeWantsContinue();
+    bool takeExpectContinue();
 
 private:
     struct Parser;
 
     State refuse(Reason reason, std::string detail);
     State finish();
-    bool takeFields();
+    bool readHeaderFields();
 
     const std::size_t maxHeaderBytes_;
     const std::size_t maxBodyBytes_;
@@ -58,7 +58,7 @@
     Reason reason_ = Reason::None;
     std::string detail_;
     bool keepAlive_ = true;
-    bool wantsContinue_ = false;
+    bool expectsContinue_ = false;
 };
 
 } // namespace kelptally::caller
--- a/src/caller/httpserver.cpp
+++ b/src/caller/httpserver.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 // Connections over the limit that are told so; more than these are closed without a word.
-constexpr int refusedConnections = 256;
+constexpr int maxRefusedConnections = 256;
 // Wait after a failed accept, as when the process has no file descriptor left.
-constexpr Duration acceptPause = std::chrono::milliseconds(100);
+constexpr Duration acceptRetryDelay = std::chrono::milliseconds(100);
 struct Answer
 {
     ConnectionId connection = 0;
@@ -53,10 +53,10 @@
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         if (context_)
-            boost::asio::post(*context_, [this, self = shared_from_this()] { take(); });
+            boost::asio::post(*context_, [this, self = shared_from_this()] { deliverQueued(); });
     }
 
-    void take()
+    void deliverQueued()
     {
         if (!context_)
             return;
@@ -114,7 +114,7 @@
 
 } // namespace
 
-struct HttpServer::Private : HttpSessionHost, std::enable_shared_from_this<HttpServer::Private>
+struct HttpServer::Private : HttpSessionManager, std::enable_shared_from_this<HttpServer::Private>
 {
     Private(DutyThread &theThread, HttpHandler &theHandler, const HttpLimits &theLimits,
             RefusalCounter theCounter)
@@ -122,12 +122,12 @@
           countRefusal(std::move(theCounter)), acceptor(thread.context()),
           answers(std::make_shared<AnswerQueue>(
               thread.context(),
-              static_cast<std::size_t>(httpLimits.maxConnections) + refusedConnections + 1,
+              static_cast<std::size_t>(httpLimits.maxConnections) + maxRefusedConnections + 1,
               [this](std::vector<Answer> &batch) { deliver(batch); }))
     { }
 
     const HttpLimits &limits() const override { return httpLimits; }
-    bool draining() const override { return drains; }
+    bool draining() const override { return isDraining; }
 
     void onRequest(HttpSession &session, HttpRequest request) override
     {
@@ -164,9 +164,9 @@
     void accept();
     void onAccepted(tcp::socket socket);
     void deliver(std::vector<Answer> &batch);
-    void checkTimes();
+    void checkDeadlines();
     void drain(std::function<void()> whenDone);
-    void endGrace();
+    void stopAccepting();
     void finishDrain();
 
     DutyThread &thread;
@@ -180,8 +180,8 @@
     ConnectionId lastId = 0;
     std::atomic<int> open {0};
     TimerId timer = 0;
-    bool drains = false;
-    std::function<void()> drained;
+    bool isDraining = false;
+    std::function<void()> onDrained;
     std::time_t dateTime = 0;
     std::string dateText;
 };
@@ -228,7 +228,7 @@
         return failed("listening on " + place, error);
     const Duration period = std::clamp<Duration>(
         httpLimits.readTimeout / 4, std::chrono::milliseconds(10), std::chrono::seconds(1));
-    timer = thread.timers().subscribeEvery(period, [this] { checkTimes(); });
+    timer = thread.timers().subscribeEvery(period, [this] { checkDeadlines(); });
     accept();
     return absl::OkStatus();
 }
@@ -242,7 +242,7 @@
             self->onAccepted(std::move(socket));
             return self->accept();
         }
-        self->thread.timers().subscribeAfter(acceptPause, [self] {
+        self->thread.timers().subscribeAfter(acceptRetryDelay, [self] {
             if (self->acceptor.is_open())
                 self->accept();
         });
@@ -253,7 +253,7 @@
 {
     const int count = static_cast<int>(sessions.size());
     const bool full = count >= httpLimits.maxConnections;
-    if (count >= httpLimits.maxConnections + refusedConnections)
+    if (count >= httpLimits.maxConnections + maxRefusedConnections)
         return onRefused(Reason::ConnectionLimit);
     ErrorCode ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -276,7 +276,7 @@
 }
 
 // Sessions that close themselves leave the map, so a copy of the pointers is walked.
-void HttpServer::Private::checkTimes()
+void HttpServer::Private::checkDeadlines()
 {
     const Instant now = BootClock::now();
     std::vector<std::shared_ptr<HttpSession>> all;
@@ -284,20 +284,20 @@
     for (const auto &entry : sessions)
         all.push_back(entry.second);
     for (const auto &session : all)
-        session->checkTime(now);
+        session->checkDeadline(now);
 }
 
 void HttpServer::Private::drain(std::function<void()> whenDone)
 {
-    if (drains)
+    if (isDraining)
         return;
-    drains = true;
-    drained = std::move(whenDone);
+    isDraining = true;
+    onDrained = std::move(whenDone);
     thread.timers().subscribeAfter(httpLimits.drainGrace,
-                                   [self = shared_from_this()] { self->endGrace(); });
+                                   [self = shared_from_this()] { self->stopAccepting(); });
 }
 
-void HttpServer::Private::endGrace()
+void HttpServer::Private::stopAccepting()
 {
     ErrorCode ignored;
     acceptor.close(ignored);
@@ -311,10 +311,10 @@
 
 void HttpServer::Private::finishDrain()
 {
-    if (acceptor.is_open() || !sessions.empty() || !drained)
+    if (acceptor.is_open() || !sessions.empty() || !onDrained)
         return;
-    const std::function<void()> done = std::move(drained);
-    drained = nullptr;
+    const std::function<void()> done = std::move(onDrained);
+    onDrained = nullptr;
     thread.timers().cancel(timer);
     boost::asio::post(thread.context(), done);
 }
--- a/src/caller/httpsession.cpp
+++ b/src/caller/httpsession.cpp
@@ -21,11 +21,11 @@
 // Chosen, not measured: a usual request fits; it is all that an idle connection holds.
 constexpr std::size_t readBufferBytes = 2048;
 // More than this is given back to the heap after an answer.
-constexpr std::size_t keptOutputBytes = 2048;
+constexpr std::size_t maxRetainedOutputBytes = 2048;
 // How long a refused caller may go on sending, so that it can read why (RFC 9112, section 9.6).
-constexpr Duration lingerTime = std::chrono::seconds(2);
+constexpr Duration lingerTimeout = std::chrono::seconds(2);
 
-constexpr Instant never = Instant::max();
+constexpr Instant noDeadline = Instant::max();
 
 std::string_view statusText(int status)
 {
@@ -120,9 +120,9 @@
 {
 public:
     template <typename... Args>
-    StreamSession(HttpSessionHost &host, ConnectionId id, Args &&...args)
-        : host_(&host), id_(id), stream_(std::forward<Args>(args)...),
-          reader_(host.limits().maxHeaderBytes, host.limits().maxBodyBytes)
+    StreamSession(HttpSessionManager &manager, ConnectionId id, Args &&...args)
+        : manager_(&manager), id_(id), stream_(std::forward<Args>(args)...),
+          reader_(manager.limits().maxHeaderBytes, manager.limits().maxBodyBytes)
     { }
 
     ConnectionId id() const override { return id_; }
@@ -130,7 +130,7 @@
     void start() override
     {
         if constexpr (std::is_same_v<Stream, TlsStream>) {
-            deadline_ = BootClock::now() + host_->limits().readTimeout;
+            deadline_ = BootClock::now() + manager_->limits().readTimeout;
             stream_.async_handshake(TlsStream::server,
                                     [this, self = shared_from_this()](const ErrorCode &error) {
                                         error ? close() : begin();
@@ -150,11 +150,11 @@
     {
         if (state_ != State::Handling)
             return;
-        const bool closes = !reader_.keepAlive() || host_->draining() || callerGone_;
+        const bool closes = !reader_.keepAlive() || manager_->draining() || callerGone_;
         write(response, closes);
     }
 
-    void checkTime(Instant now) override
+    void checkDeadline(Instant now) override
     {
         if (now < deadline_)
             return;
@@ -172,7 +172,7 @@
 
     void abandon() override
     {
-        host_ = nullptr;
+        manager_ = nullptr;
         close();
     }
 
@@ -194,7 +194,7 @@
             return;
         if (refusal_ != Reason::None)
             return refuse(refusal_, {});
-        deadline_ = BootClock::now() + host_->limits().idleTimeout;
+        deadline_ = BootClock::now() + manager_->limits().idleTimeout;
         read();
     }
 
@@ -204,9 +204,9 @@
     {
         if (reading_ || state_ == State::Closed)
             return;
-        const bool mayTake = state_ == State::Reading || state_ == State::Lingering
-            || reader_.buffered() <= host_->limits().maxHeaderBytes;
-        if (!mayTake)
+        const bool shouldRead = state_ == State::Reading || state_ == State::Lingering
+            || reader_.buffered() <= manager_->limits().maxHeaderBytes;
+        if (!shouldRead)
             return;
         reading_ = true;
         stream_.async_read_some(
@@ -214,29 +214,29 @@
             [this, self = shared_from_this()](const ErrorCode &error, std::size_t count) {
                 reading_ = false;
                 if (state_ != State::Closed)
-                    error ? onEnd() : onBytes(count);
+                    error ? onReadFailed() : onDataReceived(count);
             });
     }
 
-    void onBytes(std::size_t count)
+    void onDataReceived(std::size_t count)
     {
         if (state_ == State::Lingering)
             return read();
         if (state_ == State::Reading && !reader_.started())
-            deadline_ = BootClock::now() + host_->limits().readTimeout;
+            deadline_ = BootClock::now() + manager_->limits().readTimeout;
         reader_.feed({buffer_.data(), count});
         if (state_ == State::Reading)
-            step();
+            processInput();
         else
             read();
     }
 
     // Goes on with the bytes that have arrived.
-    void step()
+    void processInput()
     {
         switch (reader_.next()) {
         case HttpReader::State::NeedMore:
-            if (reader_.takeWantsContinue())
+            if (reader_.takeExpectContinue())
                 return sendContinue();
             return read();
         case HttpReader::State::Request:
@@ -249,15 +249,15 @@
     void handle()
     {
         state_ = State::Handling;
-        deadline_ = never;
+        deadline_ = noDeadline;
         HttpRequest request = reader_.takeRequest();
         request.connection = id_;
         headOnly_ = request.method == HttpMethod::Head;
-        host_->onRequest(*this, std::move(request));
+        manager_->onRequest(*this, std::move(request));
         read();
     }
 
-    void onEnd()
+    void onReadFailed()
     {
         switch (state_) {
         case State::Reading:
@@ -267,7 +267,7 @@
         case State::Handling:
         case State::Writing:
             if (!callerGone_ && state_ == State::Handling)
-                host_->onCallerGone(id_);
+                manager_->onCallerGone(id_);
             callerGone_ = true;
             return;
         case State::Lingering:
@@ -279,7 +279,7 @@
 
     void refuse(Reason reason, const std::string &detail)
     {
-        host_->onRefused(reason);
+        manager_->onRefused(reason);
         refusal_ = reason;
         write(problemResponse(makeProblem(reason, detail)), true);
     }
@@ -296,7 +296,7 @@
                 if (error || callerGone_)
                     return close();
                 state_ = State::Reading;
-                step();
+                processInput();
             });
         read();
     }
@@ -304,16 +304,16 @@
     void write(const HttpResponse &response, bool closes)
     {
         state_ = State::Writing;
-        deadline_ = BootClock::now() + host_->limits().writeTimeout;
+        deadline_ = BootClock::now() + manager_->limits().writeTimeout;
         closesAfterWrite_ = closes;
         output_.clear();
-        appendResponse(output_, response, host_->date(), closes, headOnly_);
+        appendResponse(output_, response, manager_->date(), closes, headOnly_);
         boost::asio::async_write(
             stream_, boost::asio::buffer(output_),
             [this, self = shared_from_this()](const ErrorCode &error, std::size_t) {
                 if (state_ == State::Closed)
                     return;
-                if (output_.capacity() > keptOutputBytes)
+                if (output_.capacity() > maxRetainedOutputBytes)
                     output_ = std::string();
                 error ? close() : onWritten();
             });
@@ -328,16 +328,16 @@
             return linger();
         state_ = State::Reading;
         const bool more = reader_.started();
-        deadline_ =
-            BootClock::now() + (more ? host_->limits().readTimeout : host_->limits().idleTimeout);
-        more ? step() : read();
+        deadline_ = BootClock::now()
+            + (more ? manager_->limits().readTimeout : manager_->limits().idleTimeout);
+        more ? processInput() : read();
     }
 
     // Says that nothing more comes, and waits for the caller to end too.
     void linger()
     {
         state_ = State::Lingering;
-        deadline_ = BootClock::now() + lingerTime;
+        deadline_ = BootClock::now() + lingerTimeout;
         ErrorCode ignored;
         if constexpr (std::is_same_v<Stream, Socket>)
             stream_.shutdown(Socket::shutdown_send, ignored);
@@ -350,17 +350,17 @@
             return;
         const bool handled = state_ == State::Handling;
         state_ = State::Closed;
-        deadline_ = never;
+        deadline_ = noDeadline;
         ErrorCode ignored;
         socketOf(stream_).close(ignored);
-        if (!host_)
+        if (!manager_)
             return;
         if (handled && !callerGone_)
-            host_->onCallerGone(id_);
-        host_->onClosed(id_);
+            manager_->onCallerGone(id_);
+        manager_->onClosed(id_);
     }
 
-    HttpSessionHost *host_;
+    HttpSessionManager *manager_;
     const ConnectionId id_;
     Stream stream_;
     HttpReader reader_;
@@ -370,20 +370,20 @@
     bool callerGone_ = false;
     bool closesAfterWrite_ = false;
     bool headOnly_ = false;
-    Instant deadline_ = never;
+    Instant deadline_ = noDeadline;
     std::string output_;
     std::array<char, readBufferBytes> buffer_;
 };
 
 } // namespace
 
-std::shared_ptr<HttpSession> makeHttpSession(HttpSessionHost &host, ConnectionId id,
+std::shared_ptr<HttpSession> makeHttpSession(HttpSessionManager &manager, ConnectionId id,
                                              boost::asio::ip::tcp::socket socket,
                                              boost::asio::ssl::context *tls)
 {
     if (tls)
-        return std::make_shared<StreamSession<TlsStream>>(host, id, std::move(socket), *tls);
-    return std::make_shared<StreamSession<Socket>>(host, id, std::move(socket));
+        return std::make_shared<StreamSession<TlsStream>>(manager, id, std::move(socket), *tls);
+    return std::make_shared<StreamSession<Socket>>(manager, id, std::move(socket));
 }
 
 } // namespace kelptally::caller
--- a/src/caller/httpsession.h
+++ b/src/caller/httpsession.h
@@ -14,10 +14,10 @@
 class HttpSession;
 
 // What the sessions of one server share. Used on the server's thread.
-class HttpSessionHost
+class HttpSessionManager
 {
 public:
-    virtual ~HttpSessionHost() = default;
+    virtual ~HttpSessionManager() = default;
 
     virtual const HttpLimits &limits() const = 0;
     virtual void onRequest(HttpSession &session, HttpRequest request) = 0;
@@ -42,14 +42,14 @@
     virtual void startRefusing(Reason reason) = 0;
     virtual void answer(const HttpResponse &response) = 0;
     // Ends what has taken too long.
-    virtual void checkTime(Instant now) = 0;
+    virtual void checkDeadline(Instant now) = 0;
     // Closes if no request is in progress.
     virtual void closeIfIdle() = 0;
     virtual void abandon() = 0;
 };
 
 // With a TLS context the session begins with a handshake.
-std::shared_ptr<HttpSession> makeHttpSession(HttpSessionHost &host, ConnectionId id,
+std::shared_ptr<HttpSession> makeHttpSession(HttpSessionManager &manager, ConnectionId id,
                                              boost::asio::ip::tcp::socket socket,
                                              boost::asio::ssl::context *tls);
 
--- a/src/caller/problem.cpp
+++ b/src/caller/problem.cpp
@@ -10,7 +10,7 @@
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(200);
 constexpr Duration failoverRetryAfter = std::chrono::seconds(1);
 
-std::int64_t wholeSecondsUp(Duration duration)
+std::int64_t roundUpToSeconds(Duration duration)
 {
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(duration);
     return seconds.count() + (seconds < duration ? 1 : 0);
@@ -49,7 +49,7 @@
     const Executed executed = problem.executed.value_or(info.executed);
     const Duration retryAfter =
         problem.retryAfter > Duration(0) ? problem.retryAfter : defaultRetryAfter(problem.reason);
-    const bool comeBack = info.retryable && retryAfter > Duration(0);
+    const bool hasRetryAfter = info.retryable && retryAfter > Duration(0);
 
     JsonWriter json;
     json.beginObject();
@@ -61,7 +61,7 @@
     json.member("retryable", info.retryable);
     if (!problem.detail.empty())
         json.member("detail", problem.detail);
-    if (comeBack)
+    if (hasRetryAfter)
         json.member("retryAfterMs", toMilliseconds(retryAfter));
     if (!problem.findings.empty()) {
         json.key("findings").beginArray();
@@ -78,8 +78,8 @@
     HttpResponse response;
     response.status = info.httpStatus;
     response.contentType = "application/problem+json";
-    if (comeBack)
-        response.headers.push_back({"Retry-After", std::to_string(wholeSecondsUp(retryAfter))});
+    if (hasRetryAfter)
+        response.headers.push_back({"Retry-After", std::to_string(roundUpToSeconds(retryAfter))});
     if (problem.reason == Reason::Unauthenticated)
         response.headers.push_back({"WWW-Authenticate", "Bearer"});
     response.body = json.take();
--- a/src/decision/membership.cpp
+++ b/src/decision/membership.cpp
@@ -57,7 +57,7 @@
         record.member.host = host.name;
         record.member.zone = host.zone;
         record.hash = stableHash(host.ownerAddress);
-        record.leavingByConfig = host.presence == settings::Presence::Leaving;
+        record.leavingByConfig = host.administrativeState == settings::AdministrativeState::Leaving;
         record.member.leaving = record.leavingByConfig || record.leavingByList;
     }
     records_ = std::move(next);
--- a/src/group/grouphost.cpp
+++ b/src/group/grouphost.cpp
@@ -60,7 +60,7 @@
     hosted.runner = std::make_unique<GroupRunner>(
         GroupRunner::Parts {parts_.timers, parts_.connector, ownership_, quotas_, parts_.promotions,
                             parts_.log, parts_.metrics, parts_.times, parts_.probe, parts_.zone,
-                            parts_.onSilentConnections, parts_.ways},
+                            parts_.onSilentConnections, parts_.policies},
         group);
     hosted.runner->setServerLeaveTime(serverLeaveTime_);
     if (const session::GroupOptions *options = optionsOf(group))
--- a/src/group/grouphost.h
+++ b/src/group/grouphost.h
@@ -45,7 +45,7 @@
         // Returns whether the table service is believed to be unavailable.
         std::function<bool()> isStoreUnavailable;
         decision::QuotaTolerance quotaTolerance;
-        decision::PolicyOptions ways;
+        decision::PolicyOptions policies;
     };
 
     explicit GroupHost(const Parts &parts);
--- a/src/group/grouprunner.cpp
+++ b/src/group/grouprunner.cpp
@@ -67,7 +67,7 @@
                                             onConnectionFailure(id, outcome);
                                         },
                                         parts_.onSilentConnections,
-                                        parts_.ways};
+                                        parts_.policies};
         known = std::make_unique<GroupServer>(parts, server);
         known->setMaxConnections(options_.maxConnections, options_.byOrganisation);
         if (active_)
@@ -391,7 +391,7 @@
 
 bool GroupRunner::usesFairQueueing(const OrganisationName &organisation) const
 {
-    switch (parts_.ways.queueDiscipline) {
+    switch (parts_.policies.queueDiscipline) {
     case decision::QueueDiscipline::FairUnlessLimited:
         return !organisation.empty() && !parts_.quotas.hasQuota(organisation);
     case decision::QueueDiscipline::Fair:
--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -39,7 +39,7 @@
         ZoneName zone;
         // See GroupServer::Parts.
         std::function<void(Instant since)> onSilentConnections;
-        decision::PolicyOptions ways;
+        decision::PolicyOptions policies;
     };
 
     GroupRunner(const Parts &parts, const GroupName &group);
--- a/src/group/grouprunnerrouting.cpp
+++ b/src/group/grouprunnerrouting.cpp
@@ -43,7 +43,7 @@
     state.failedBefore = job->failedServers.count(server.id()) != 0;
     const OrganisationName &organisation = job->statement.organisation;
     if (!organisation.empty() && !server.hasConnectionFor(organisation))
-        state.openingCost = parts_.ways.openingCost;
+        state.openingCost = parts_.policies.openingCost;
     state.inFlight = server.inFlight();
     state.slots = server.slots();
     state.shown = server.observed.position;
--- a/src/group/groupserver.cpp
+++ b/src/group/groupserver.cpp
@@ -75,7 +75,7 @@
 {
     decision::OwnerShare share {ownerSharePercent, ownerSharePercent};
     if (byOrganisation)
-        share = {parts_.ways.ownerSharePercent, parts_.ways.maxOwnerSharePercent};
+        share = {parts_.policies.ownerSharePercent, parts_.policies.maxOwnerSharePercent};
     pool_.setMaxConnections(count, byOrganisation, share);
 }
 
--- a/src/group/groupserver.h
+++ b/src/group/groupserver.h
@@ -53,7 +53,7 @@
         // Called when open connections have stopped responding: those of this process without an
         // answer since the given time may be affected, too.
         std::function<void(Instant since)> onSilentConnections;
-        decision::PolicyOptions ways;
+        decision::PolicyOptions policies;
     };
 
     GroupServer(const Parts &parts, const ListedServer &listed);
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -86,8 +86,8 @@
         [this](const GroupName &group) { onOwnerChanged(group); },
         [this](Instant since) { closeStaleConnections(since); },
         [this] { return store_.isSilent(); },
-        {settings_.quotaWindow, settings_.quotaOver, settings_.quotaSlack},
-        settings_.ways});
+        {settings_.quotaWindow, settings_.quotaOvershoot, settings_.quotaSlack},
+        settings_.policies});
     router_ = std::make_unique<session::Router>(
         session::Router::Parts {timers, *links_, groups_->ownership(), *groups_, localReads_,
                                 ports_.log, ports_.metrics, stageTimes_, self_});
@@ -235,7 +235,7 @@
 
 void HostProcess::reload(const settings::HostSettings &settings)
 {
-    settings_.grace = settings.grace;
+    settings_.gracePeriod = settings.gracePeriod;
     settings_.serverLeaveTime = settings.serverLeaveTime;
     groups_->setServerLeaveTime(settings.serverLeaveTime);
 }
@@ -266,12 +266,12 @@
         callers_->closeIdle(maxClosedPerStep);
     }
     // 3. Statements that could not finish in time are refused.
-    if (passed >= settings_.grace - statementReserve)
+    if (passed >= settings_.gracePeriod - statementReserve)
         router_->refuseNewOperations();
     // 4. Ends when nothing is left or the grace period is nearly over.
     const bool empty = passed >= balancerDetectionTime && callers_->count() == 0
         && groups_->isIdle() && router_->inProgress() == 0;
-    if (!empty && passed < settings_.grace - shutdownReserve) {
+    if (!empty && passed < settings_.gracePeriod - shutdownReserve) {
         ports_.timers.subscribeAfter(drainStepPeriod, [this] { drainStep(); });
         return;
     }
--- a/src/owner/failoverdriver.cpp
+++ b/src/owner/failoverdriver.cpp
@@ -71,7 +71,7 @@
     std::vector<ServerName> leaving;
     for (const auto &server : group.servers) {
         names.push_back(server.name);
-        if (server.presence == settings::Presence::Leaving)
+        if (server.administrativeState == settings::AdministrativeState::Leaving)
             leaving.push_back(server.name);
         auto &connection = connections[server.name];
         const auto found = connections_.find(server.name);
--- a/src/owner/groupservers.cpp
+++ b/src/owner/groupservers.cpp
@@ -86,7 +86,8 @@
 {
     const auto found = servers_.find(name);
     return found == servers_.end()
-        || found->second.executor->server().presence == settings::Presence::Leaving;
+        || found->second.executor->server().administrativeState
+        == settings::AdministrativeState::Leaving;
 }
 
 void GroupServers::onReport(const ServerName &name, Instant sentAt,
@@ -183,7 +184,7 @@
     view.zone = settings.zone;
     view.primary = primary_ == name;
     view.reachable = server.reachable;
-    view.draining = settings.presence == settings::Presence::Leaving;
+    view.draining = settings.administrativeState == settings::AdministrativeState::Leaving;
     view.slots = settings.slots;
     view.busy = admission.busy();
     view.queued = admission.queued();
@@ -264,7 +265,8 @@
     for (auto &[name, server] : servers_) {
         const settings::Server &settings = server.executor->server();
         const int open = std::min(settings.slots, successorReserve(settings) - controlConnections);
-        server.executor->warm(settings.presence == settings::Presence::Active ? open : 0);
+        server.executor->warm(
+            settings.administrativeState == settings::AdministrativeState::Active ? open : 0);
     }
 }
 
--- a/src/settings/hostsettings.cpp
+++ b/src/settings/hostsettings.cpp
@@ -1,7 +1,7 @@
 #include "settings/hostsettings.h"
 
 #include "core/eventlog.h"
-#include "settings/sectionparts.h"
+#include "settings/sectionschema.h"
 
 #include <absl/strings/numbers.h>
 
@@ -14,7 +14,7 @@
 constexpr NumberRange portRange {1, 65'535};
 constexpr NumberRange sessionRange {1, 1'000'000};
 constexpr NumberRange linesRange {1, 1000};
-constexpr DurationRange graceRange {1s, 10min};
+constexpr DurationRange gracePeriodRange {1s, 10min};
 constexpr DurationRange leaveTimeRange {1s, 10min};
 constexpr DurationRange configurationTimeRange {1s, 10min};
 constexpr DurationRange storeTimeoutRange {10ms, 1min};
@@ -23,14 +23,14 @@
 constexpr DurationRange quotaWindowRange {100ms, 1h};
 struct FractionRange
 {
-    double least;
-    double most;
+    double minimum;
+    double maximum;
     const char *text;
 };
 constexpr FractionRange processorsRange {0.01, 1024, "not a number from 0.01 to 1024"};
-constexpr FractionRange quotaOverRange {0, 10, "not a number from 0 to 10"};
+constexpr FractionRange quotaOvershootRange {0, 10, "not a number from 0 to 10"};
 constexpr FractionRange quotaSlackRange {0, 1e6, "not a number from 0 to 1000000"};
-constexpr std::size_t leastKeyLength = 16;
+constexpr std::size_t minKeyLength = 16;
 
 double readFraction(SectionReader &reader, const char *key, const FractionRange &range,
                     double fallback)
@@ -38,8 +38,8 @@
     if (!reader.has(key))
         return fallback;
     double value = 0;
-    const bool valid =
-        absl::SimpleAtod(reader.text(key), &value) && value >= range.least && value <= range.most;
+    const bool valid = absl::SimpleAtod(reader.text(key), &value) && value >= range.minimum
+        && value <= range.maximum;
     if (!valid)
         reader.add(key, range.text);
     return valid ? value : fallback;
@@ -55,7 +55,7 @@
     settings.readiness = reader.endpoint("readiness");
     settings.adminPort = reader.number("admin-port", portRange);
     settings.maxSessions = reader.number("max-sessions", sessionRange, settings.maxSessions);
-    settings.grace = reader.duration("grace", graceRange, settings.grace);
+    settings.gracePeriod = reader.duration("grace", gracePeriodRange, settings.gracePeriod);
     settings.processors = readFraction(reader, "processors", processorsRange, settings.processors);
     if (settings.adminPort == settings.peerPort)
         reader.add("admin-port", "the same port as peer-port");
@@ -72,7 +72,7 @@
 void readKeys(SectionReader &reader, HostSettings &settings)
 {
     settings.peerKey = reader.text("peer-key");
-    if (!settings.peerKey.empty() && settings.peerKey.size() < leastKeyLength)
+    if (!settings.peerKey.empty() && settings.peerKey.size() < minKeyLength)
         reader.add("peer-key", "shorter than 16 characters; allowed is a long random text");
     const auto hashes = reader.hashes("operator-key-hash");
     if (hashes.size() > 1)
@@ -88,20 +88,22 @@
     settings.configurationTime =
         reader.duration("configuration-time", configurationTimeRange, settings.configurationTime);
     settings.quotaWindow = reader.duration("quota-window", quotaWindowRange, settings.quotaWindow);
-    settings.quotaOver = readFraction(reader, "quota-over", quotaOverRange, settings.quotaOver);
+    settings.quotaOvershoot =
+        readFraction(reader, "quota-over", quotaOvershootRange, settings.quotaOvershoot);
     settings.quotaSlack = readFraction(reader, "quota-slack", quotaSlackRange, settings.quotaSlack);
 }
 
 void readExperiments(SectionReader &reader, HostSettings &settings)
 {
     using namespace decision;
-    PolicyOptions &ways = settings.ways;
-    ways.queueDiscipline = static_cast<QueueDiscipline>(
+    PolicyOptions &policies = settings.policies;
+    policies.queueDiscipline = static_cast<QueueDiscipline>(
         reader.choice("wait", {"fair-unless-limited", "fair", "due"}, 0));
-    ways.ownerSharePercent = reader.number("owner-share", ownerShareRange, ways.ownerSharePercent);
-    ways.maxOwnerSharePercent =
-        reader.number("resting-share", ownerShareRange, ways.maxOwnerSharePercent);
-    ways.openingCost = reader.number("opening-cost", openingCostRange, ways.openingCost);
+    policies.ownerSharePercent =
+        reader.number("owner-share", ownerShareRange, policies.ownerSharePercent);
+    policies.maxOwnerSharePercent =
+        reader.number("resting-share", ownerShareRange, policies.maxOwnerSharePercent);
+    policies.openingCost = reader.number("opening-cost", openingCostRange, policies.openingCost);
 }
 
 void readLog(SectionReader &reader, HostSettings &settings)
@@ -114,7 +116,7 @@
         reader.add("level", "allowed are trace, debug, info, warning and error");
 }
 
-constexpr SectionPart<HostSettings> parts[] = {
+constexpr SectionSchema<HostSettings> schemas[] = {
     {"process", true, readProcess}, {"platform", true, readPlatform},
     {"keys", true, readKeys},       {"limits", false, readLimits},
     {"log", false, readLog},        {"experiments", false, readExperiments},
@@ -122,7 +124,7 @@
 
 } // namespace
 
-std::string changedForRestart(const HostSettings &running, const HostSettings &wanted)
+std::string keysNeedingRestart(const HostSettings &running, const HostSettings &wanted)
 {
     std::string keys;
     const auto compare = [&keys](const char *key, const auto &before, const auto &after) {
@@ -140,7 +142,7 @@
     compare("processors", running.processors, wanted.processors);
     compare("configuration-time", running.configurationTime, wanted.configurationTime);
     compare("quota-window", running.quotaWindow, wanted.quotaWindow);
-    compare("quota-over", running.quotaOver, wanted.quotaOver);
+    compare("quota-over", running.quotaOvershoot, wanted.quotaOvershoot);
     compare("quota-slack", running.quotaSlack, wanted.quotaSlack);
     compare("store", running.store, wanted.store);
     compare("promotions", running.promotions, wanted.promotions);
@@ -152,7 +154,7 @@
 
 HostSettings parseHostSettings(const std::string &file, const std::string &text, Findings &findings)
 {
-    return readParts(file, text, parts, findings);
+    return readSections(file, text, schemas, findings);
 }
 
 } // namespace kelptally::settings
--- a/src/settings/hostsettings.h
+++ b/src/settings/hostsettings.h
@@ -29,7 +29,7 @@
     // Processor cores that this host may use, as a fraction; groups go to hosts with room.
     double processors = 1;
     // From the request to stop until the process is killed.
-    Duration grace {std::chrono::seconds(6)};
+    Duration gracePeriod {std::chrono::seconds(6)};
 
     // [limits] From a server's report that it leaves until nothing may reach it any more.
     Duration serverLeaveTime {std::chrono::seconds(7)};
@@ -40,7 +40,7 @@
     // How far organisations may go beyond their quotas: by this part and so many operations in any
     // span as long as the window.
     Duration quotaWindow {std::chrono::seconds(5)};
-    double quotaOver = 0;
+    double quotaOvershoot = 0;
     double quotaSlack = 0;
 
     // [platform]
@@ -54,7 +54,7 @@
     std::string operatorKeyHash;
 
     // [experiments], never set where callers are served
-    decision::PolicyOptions ways;
+    decision::PolicyOptions policies;
 
     // [log]
     std::string logLevel = "info";
@@ -65,7 +65,7 @@
 
 // Keys whose change takes effect at the next start only, joined by commas. The log, the grace of a
 // stop and the time that leaving servers have take effect at once.
-std::string changedForRestart(const HostSettings &running, const HostSettings &wanted);
+std::string keysNeedingRestart(const HostSettings &running, const HostSettings &wanted);
 
 HostSettings parseHostSettings(const std::string &file, const std::string &text,
                                Findings &findings);
--- a/src/settings/inidocument.cpp
+++ b/src/settings/inidocument.cpp
@@ -14,18 +14,18 @@
 
 namespace {
 
-constexpr char blanks[] = " \t\r\v\f";
+constexpr char whitespace[] = " \t\r\v\f";
 
 std::string_view trimmed(std::string_view text)
 {
-    const auto first = text.find_first_not_of(blanks);
+    const auto first = text.find_first_not_of(whitespace);
     if (first == std::string_view::npos)
         return {};
-    return text.substr(first, text.find_last_not_of(blanks) - first + 1);
+    return text.substr(first, text.find_last_not_of(whitespace) - first + 1);
 }
 
 // Bytes that follow the first byte of a character in UTF-8; nothing for one that begins none.
-std::optional<std::size_t> followingBytes(unsigned char first)
+std::optional<std::size_t> continuationBytes(unsigned char first)
 {
     if (first < 0x80)
         return 0;
@@ -41,16 +41,16 @@
 // Whether a second byte may follow the first one (RFC 3629: no overlong forms, no surrogates).
 bool isSecondByte(unsigned char first, unsigned char second)
 {
-    const unsigned char least = first == 0xE0 ? 0xA0 : first == 0xF0 ? 0x90 : 0x80;
-    const unsigned char most = first == 0xED ? 0x9F : first == 0xF4 ? 0x8F : 0xBF;
-    return second >= least && second <= most;
+    const unsigned char minimum = first == 0xE0 ? 0xA0 : first == 0xF0 ? 0x90 : 0x80;
+    const unsigned char maximum = first == 0xED ? 0x9F : first == 0xF4 ? 0x8F : 0xBF;
+    return second >= minimum && second <= maximum;
 }
 
 bool isUtf8(std::string_view text)
 {
     for (std::size_t at = 0; at < text.size();) {
         const auto first = static_cast<unsigned char>(text[at]);
-        const auto following = followingBytes(first);
+        const auto following = continuationBytes(first);
         if (!following || at + *following >= text.size())
             return false;
         for (std::size_t i = 1; i <= *following; ++i) {
@@ -64,7 +64,7 @@
 }
 
 // The library's settings are process-wide; they are set once and always to these values.
-void setUpLibrary()
+void configureInih()
 {
     static std::once_flag once;
     std::call_once(once, [] {
@@ -90,10 +90,10 @@
 
     void run()
     {
-        setUpLibrary();
+        configureInih();
         if (ini_parse_stream(&Reader::readLine, this, &Reader::onEntry, this) == -2)
             findings_.add(file_, 0, "", "out of memory");
-        checkConsumed();
+        reportUnparsedLine();
         closeSection();
     }
 
@@ -111,7 +111,7 @@
 
     char *nextLine(char *buffer, std::size_t size)
     {
-        checkConsumed();
+        reportUnparsedLine();
         if (rest_.empty())
             return nullptr;
         ++line_;
@@ -120,7 +120,7 @@
         rest_.remove_prefix(end == std::string_view::npos ? rest_.size() : end + 1);
         if (!checkLine(text, size))
             text = {};
-        consumed_ = text.empty() || text[0] == '#' || text[0] == ';';
+        lineParsed_ = text.empty() || text[0] == '#' || text[0] == ';';
         if (!text.empty() && text[0] == '[')
             openSection(text);
         text.copy(buffer, text.size());
@@ -148,7 +148,7 @@
 
     void openSection(std::string_view text)
     {
-        consumed_ = true;
+        lineParsed_ = true;
         closeSection();
         IniSection &section = section_.emplace();
         section.line = line_;
@@ -158,14 +158,14 @@
             return;
         }
         const std::string_view title = trimmed(text.substr(1, end - 1));
-        const auto blank = title.find_first_of(blanks);
+        const auto blank = title.find_first_of(whitespace);
         section.type = std::string(title.substr(0, blank));
         if (blank != std::string_view::npos)
             section.name = std::string(trimmed(title.substr(blank)));
         if (section.type.empty())
             add("", "a section without a name: [type] or [type name] is allowed");
         else
-            checkSecondSection(section);
+            checkDuplicateSection(section);
     }
 
     void closeSection()
@@ -176,7 +176,7 @@
         keys_.clear();
     }
 
-    void checkSecondSection(const IniSection &section)
+    void checkDuplicateSection(const IniSection &section)
     {
         const auto [first, isNew] = sectionLines_.emplace(section.title(), line_);
         if (!isNew)
@@ -186,7 +186,7 @@
 
     void addEntry(const char *key, const char *value)
     {
-        consumed_ = true;
+        lineParsed_ = true;
         if (!section_) {
             add(key, "a key before the first section");
             return;
@@ -199,11 +199,11 @@
                 "the key stands twice, first at line " + std::to_string(first->second));
     }
 
-    void checkConsumed()
+    void reportUnparsedLine()
     {
-        if (!consumed_)
+        if (!lineParsed_)
             add("", "neither a section nor key = value nor a comment");
-        consumed_ = true;
+        lineParsed_ = true;
     }
 
     void add(const std::string &key, const std::string &problem)
@@ -215,7 +215,7 @@
     std::string_view rest_;
     Findings &findings_;
     int line_ = 0;
-    bool consumed_ = true;
+    bool lineParsed_ = true;
     const SectionHandler &onSection_;
     // The open section.
     std::optional<IniSection> section_;
--- a/src/settings/inventory.cpp
+++ b/src/settings/inventory.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 // A group survives the loss of one server only with a majority of three.
-constexpr std::size_t leastServers = 3;
+constexpr std::size_t minServers = 3;
 
 constexpr NumberRange slotRange {1, 10'000};
 constexpr NumberRange connectionRange {1, 100'000};
@@ -26,23 +26,24 @@
 constexpr DurationRange retentionRange {1min, 30 * 24h};
 constexpr DurationRange transitRange {0ms, 1s};
 
-const std::vector<std::string> presenceWords = {"active", "leaving"};
+const std::vector<std::string> administrativeStateWords = {"active", "leaving"};
 const std::vector<std::string> accessWords = {"read", "write"};
-const std::vector<std::string> yesWords = {"no", "yes"};
+const std::vector<std::string> booleanWords = {"no", "yes"};
 // In the order of RequestClass.
 const std::vector<std::string> classWords = {"critical", "write", "fresh-read", "browse"};
 
 template <typename T>
-const T *findNamed(const std::vector<T> &items, const std::string &name)
+const T *findByName(const std::vector<T> &items, const std::string &name)
 {
     const auto found =
         std::find_if(items.begin(), items.end(), [&](const T &item) { return item.name == name; });
     return found == items.end() ? nullptr : &*found;
 }
 
-Presence presence(SectionReader &reader)
+AdministrativeState administrativeState(SectionReader &reader)
 {
-    return reader.choice("state", presenceWords, 0) == 0 ? Presence::Active : Presence::Leaving;
+    return reader.choice("state", administrativeStateWords, 0) == 0 ? AdministrativeState::Active
+                                                                    : AdministrativeState::Leaving;
 }
 
 RequestClass defaultClass(const Kind &kind)
@@ -117,7 +118,7 @@
         if (!problem.empty())
             findings_.add(file_, section.line, section.title(), problem);
         else
-            declared_[section.type].insert(section.name);
+            declaredNames_[section.type].insert(section.name);
     }
 
     void readZone(const IniSection &section, SectionReader &reader)
@@ -132,7 +133,7 @@
         host.zone = reference(reader, "zone", "zone");
         host.ownerAddress = uniqueAddress(section, reader, "owner").toText();
         host.entryAddress = uniqueAddress(section, reader, "entry").toText();
-        host.presence = presence(reader);
+        host.administrativeState = administrativeState(reader);
         inventory_.hosts.push_back(std::move(host));
     }
 
@@ -168,7 +169,7 @@
         server.port = endpoint.port;
         server.slots = reader.number("slots", slotRange);
         server.connections = reader.number("connections", connectionRange);
-        server.presence = presence(reader);
+        server.administrativeState = administrativeState(reader);
         if (server.connections < server.slots)
             reader.add("connections", "fewer connections than slots; each slot needs one");
         servers_[server.group].push_back(std::move(server));
@@ -179,8 +180,8 @@
         Kind kind;
         kind.name = section.name;
         kind.readOnly = reader.choice("access", accessWords) == 0;
-        kind.repeatable = kind.readOnly ? reader.choice("repeatable", yesWords, 1) == 1
-                                        : reader.choice("repeatable", yesWords) == 1;
+        kind.repeatable = kind.readOnly ? reader.choice("repeatable", booleanWords, 1) == 1
+                                        : reader.choice("repeatable", booleanWords) == 1;
         kind.statedAge = reader.optionalDuration("stated-age", statedAgeRange);
         kind.deadline = reader.duration("deadline", deadlineRange, kind.deadline);
         kind.requestClass = static_cast<RequestClass>(
@@ -275,7 +276,7 @@
     void checkReferences()
     {
         for (const Reference &reference : references_)
-            if (declared_[reference.type].count(reference.name) == 0)
+            if (declaredNames_[reference.type].count(reference.name) == 0)
                 findings_.add(file_, reference.line, reference.key,
                               "there is no [" + reference.type + " " + reference.name + "]");
         for (auto &group : inventory_.groups)
@@ -285,7 +286,7 @@
     void checkServers(const Group &group)
     {
         const std::size_t count = group.servers.size();
-        if (count < leastServers || count % 2 == 0)
+        if (count < minServers || count % 2 == 0)
             findings_.add(file_, groupLines_[group.name], "group " + group.name,
                           "the group has " + std::to_string(count)
                               + " servers; allowed is an odd number from 3 on");
@@ -294,7 +295,7 @@
     void checkNotEmpty()
     {
         for (const char *type : {"group", "host", "kind"})
-            if (declared_[type].empty())
+            if (declaredNames_[type].empty())
                 findings_.add(file_, 0, type,
                               std::string("there is no [") + type
                                   + " NAME]; at least one is required");
@@ -304,7 +305,7 @@
     Findings &findings_;
     Inventory inventory_;
     // Names declared, by type of section.
-    std::map<std::string, std::set<std::string>> declared_;
+    std::map<std::string, std::set<std::string>> declaredNames_;
     std::vector<Reference> references_;
     std::map<GroupName, int> groupLines_;
     std::map<GroupName, std::vector<Server>> servers_;
@@ -321,7 +322,7 @@
     if (indexed != groupIndex_.end() && indexed->second < groups.size()
         && groups[indexed->second].name == name)
         return &groups[indexed->second];
-    return findNamed(groups, name);
+    return findByName(groups, name);
 }
 
 void Inventory::indexGroups()
@@ -333,17 +334,17 @@
 
 const Kind *Inventory::findKind(const KindName &name) const
 {
-    return findNamed(kinds, name);
+    return findByName(kinds, name);
 }
 
 const Team *Inventory::findTeam(const TeamName &name) const
 {
-    return findNamed(teams, name);
+    return findByName(teams, name);
 }
 
 const Host *Inventory::findHost(const HostName &name) const
 {
-    return findNamed(hosts, name);
+    return findByName(hosts, name);
 }
 
 Inventory parseInventory(const std::string &file, const std::string &text, Findings &findings)
--- a/src/settings/inventory.h
+++ b/src/settings/inventory.h
@@ -13,7 +13,7 @@
 namespace kelptally::settings {
 
 // The state of a host or server as the operators give it. A leaving one gets no new work.
-enum class Presence {
+enum class AdministrativeState {
     Active,
     Leaving,
 };
@@ -33,7 +33,7 @@
     ZoneName zone;
     std::string ownerAddress;
     std::string entryAddress;
-    Presence presence = Presence::Active;
+    AdministrativeState administrativeState = AdministrativeState::Active;
 };
 
 // [server NAME] group=, zone=, address=ip:port, slots=, connections=, state=active|leaving
@@ -48,7 +48,7 @@
     int slots = 0;
     // Connections that all our processes together may have open.
     int connections = 0;
-    Presence presence = Presence::Active;
+    AdministrativeState administrativeState = AdministrativeState::Active;
 };
 
 // The SQL by which the servers of a group are asked and told; a setting of the group.
--- a/src/settings/processsettings.cpp
+++ b/src/settings/processsettings.cpp
@@ -1,6 +1,6 @@
 #include "settings/processsettings.h"
 
-#include "settings/sectionparts.h"
+#include "settings/sectionschema.h"
 
 namespace kelptally::settings {
 
@@ -15,7 +15,7 @@
 constexpr NumberRange requestBytesRange {1024, 64 << 20};
 constexpr DurationRange storeTimeoutRange {10ms, 1min};
 constexpr DurationRange readTimeoutRange {100ms, 10min};
-constexpr std::size_t leastKeyLength = 16;
+constexpr std::size_t minKeyLength = 16;
 
 void readProcess(SectionReader &reader, ProcessSettings &settings)
 {
@@ -45,9 +45,9 @@
 std::string secret(SectionReader &reader, const std::string &key)
 {
     const std::string value = reader.text(key);
-    if (!value.empty() && value.size() < leastKeyLength)
+    if (!value.empty() && value.size() < minKeyLength)
         reader.add(key,
-                   "shorter than " + std::to_string(leastKeyLength)
+                   "shorter than " + std::to_string(minKeyLength)
                        + " characters; allowed is a long random text");
     return value;
 }
@@ -87,7 +87,7 @@
         reader.duration("request-read-timeout", readTimeoutRange, settings.requestReadTimeout);
 }
 
-constexpr SectionPart<ProcessSettings> parts[] = {
+constexpr SectionSchema<ProcessSettings> schemas[] = {
     {"process", true, readProcess}, {"platform", true, readPlatform}, {"keys", true, readKeys},
     {"tls", false, readTls},        {"peers", false, readPeers},      {"limits", false, readLimits},
 };
@@ -97,7 +97,7 @@
 ProcessSettings parseProcessSettings(const std::string &file, const std::string &text,
                                      Findings &findings)
 {
-    return readParts(file, text, parts, findings);
+    return readSections(file, text, schemas, findings);
 }
 
 } // namespace kelptally::settings
--- a/src/settings/sectionreader.cpp
+++ b/src/settings/sectionreader.cpp
@@ -27,7 +27,7 @@
 constexpr int hashLength = 64;
 
 template <typename T>
-std::optional<T> parseWhole(std::string_view text)
+std::optional<T> parseInteger(std::string_view text)
 {
     T number {};
     const char *end = text.data() + text.size();
@@ -82,7 +82,7 @@
         return std::nullopt;
     boost::system::error_code error;
     const auto address = boost::asio::ip::make_address_v4(text.substr(0, colon), error);
-    const auto port = parseWhole<int>(std::string_view(text).substr(colon + 1));
+    const auto port = parseInteger<int>(std::string_view(text).substr(colon + 1));
     if (error || !port || *port < 1 || *port > 65535)
         return std::nullopt;
     return Endpoint {address.to_string(), *port};
@@ -93,7 +93,7 @@
     const auto unitAt = text.find_first_not_of("0123456789");
     if (unitAt == std::string::npos)
         return std::nullopt;
-    const auto count = parseWhole<std::int64_t>(std::string_view(text).substr(0, unitAt));
+    const auto count = parseInteger<std::int64_t>(std::string_view(text).substr(0, unitAt));
     if (!count || *count > maxDurationCount)
         return std::nullopt;
     for (const Unit &unit : units)
@@ -130,7 +130,7 @@
 
 const IniEntry *SectionReader::find(const std::string &key)
 {
-    asked_.insert(key);
+    requestedKeys_.insert(key);
     const auto found = entries_.find(key);
     return found == entries_.end() ? nullptr : found->second;
 }
@@ -215,14 +215,14 @@
         return *fallback;
     const std::string *value = required(key);
     if (!value)
-        return range.least;
-    const auto number = parseWhole<int>(*value);
-    if (number && *number >= range.least && *number <= range.most)
+        return range.minimum;
+    const auto number = parseInteger<int>(*value);
+    if (number && *number >= range.minimum && *number <= range.maximum)
         return *number;
     add(key,
-        "not a whole number from " + std::to_string(range.least) + " to "
-            + std::to_string(range.most));
-    return range.least;
+        "not a whole number from " + std::to_string(range.minimum) + " to "
+            + std::to_string(range.maximum));
+    return range.minimum;
 }
 
 Duration SectionReader::duration(const std::string &key, DurationRange range,
@@ -232,14 +232,14 @@
         return *fallback;
     const std::string *value = required(key);
     if (!value)
-        return range.least;
+        return range.minimum;
     const auto duration = parseDuration(*value);
-    if (duration && *duration >= range.least && *duration <= range.most)
+    if (duration && *duration >= range.minimum && *duration <= range.maximum)
         return *duration;
     add(key,
-        "not a duration from " + formatDuration(range.least) + " to " + formatDuration(range.most)
-            + "; the units are ms, s, m, h and d, such as 250ms");
-    return range.least;
+        "not a duration from " + formatDuration(range.minimum) + " to "
+            + formatDuration(range.maximum) + "; the units are ms, s, m, h and d, such as 250ms");
+    return range.minimum;
 }
 
 std::optional<Duration> SectionReader::optionalDuration(const std::string &key, DurationRange range)
@@ -330,8 +330,10 @@
 void SectionReader::finish()
 {
     for (const auto &entry : section_.entries)
-        if (asked_.count(entry.key) == 0)
-            add(entry.key, "unknown key; allowed are " + joined({asked_.begin(), asked_.end()}));
+        if (requestedKeys_.count(entry.key) == 0)
+            add(entry.key,
+                "unknown key; allowed are "
+                    + joined({requestedKeys_.begin(), requestedKeys_.end()}));
 }
 
 } // namespace kelptally::settings
--- a/src/settings/sectionreader.h
+++ b/src/settings/sectionreader.h
@@ -14,14 +14,14 @@
 // An allowed range, both ends included.
 struct NumberRange
 {
-    int least = 0;
-    int most = 0;
+    int minimum = 0;
+    int maximum = 0;
 };
 
 struct DurationRange
 {
-    Duration least {0};
-    Duration most {0};
+    Duration minimum {0};
+    Duration maximum {0};
 };
 
 // An IPv4 address and a port, as "127.0.0.1:80".
@@ -93,7 +93,7 @@
     const IniSection &section_;
     Findings &findings_;
     std::map<std::string, const IniEntry *> entries_;
-    std::set<std::string> asked_;
+    std::set<std::string> requestedKeys_;
 };
 
 // Longest value that is allowed, in bytes.
--- a/src/settings/sectionparts.h
+++ b/src/settings/sectionschema.h
@@ -9,7 +9,7 @@
 
 // One section that a settings file may or must have, and the function that reads it.
 template <typename Settings>
-struct SectionPart
+struct SectionSchema
 {
     const char *type;
     bool required;
@@ -18,8 +18,8 @@
 
 // Reads a file whose sections are the given parts. Unknown and missing sections are findings.
 template <typename Settings, std::size_t Count>
-Settings readParts(const std::string &file, const std::string &text,
-                   const SectionPart<Settings> (&parts)[Count], Findings &findings)
+Settings readSections(const std::string &file, const std::string &text,
+                      const SectionSchema<Settings> (&schemas)[Count], Findings &findings)
 {
     Settings settings;
     const auto sections = parseIni(file, text, findings);
@@ -27,27 +27,27 @@
         // A broken section has its finding already.
         if (section.type.empty())
             continue;
-        const auto part = std::find_if(std::begin(parts), std::end(parts), [&](const auto &each) {
-            return section.title() == each.type;
-        });
-        if (part == std::end(parts)) {
+        const auto schema =
+            std::find_if(std::begin(schemas), std::end(schemas),
+                         [&](const auto &each) { return section.title() == each.type; });
+        if (schema == std::end(schemas)) {
             std::string allowed;
-            for (const auto &each : parts)
+            for (const auto &each : schemas)
                 allowed += std::string(allowed.empty() ? "" : ", ") + each.type;
             findings.add(file, section.line, section.title(),
                          "unknown section; allowed are " + allowed);
             continue;
         }
         SectionReader reader(file, section, findings);
-        part->read(reader, settings);
+        schema->read(reader, settings);
         reader.finish();
     }
-    for (const auto &part : parts) {
+    for (const auto &schema : schemas) {
         const bool found =
             std::any_of(sections.begin(), sections.end(),
-                        [&](const IniSection &section) { return section.title() == part.type; });
-        if (part.required && !found)
-            findings.add(file, 0, part.type, "the section is required");
+                        [&](const IniSection &section) { return section.title() == schema.type; });
+        if (schema.required && !found)
+            findings.add(file, 0, schema.type, "the section is required");
     }
     findings.sort();
     return settings;
--- a/tests/caller/callerrequest_test.cpp
+++ b/tests/caller/callerrequest_test.cpp
@@ -40,19 +40,19 @@
     const ParsedRequest parsed = parseCallerRequest(request);
     CAPTURE(parsed.problem ? parsed.problem->detail : std::string());
     REQUIRE_FALSE(parsed.problem);
-    const CallerRequest &typed = parsed.request;
-    CHECK(typed.operation == CallerOperation::Statement);
-    CHECK(typed.apiKey == "secret");
-    CHECK(typed.idempotencyKey == "key-1");
-    CHECK(typed.sessionToken == "token");
-    CHECK(typed.group == "offers");
-    CHECK(typed.kind == "offer");
-    CHECK(typed.sql == "SELECT $1");
+    const CallerRequest &callerRequest = parsed.request;
+    CHECK(callerRequest.operation == CallerOperation::Statement);
+    CHECK(callerRequest.apiKey == "secret");
+    CHECK(callerRequest.idempotencyKey == "key-1");
+    CHECK(callerRequest.sessionToken == "token");
+    CHECK(callerRequest.group == "offers");
+    CHECK(callerRequest.kind == "offer");
+    CHECK(callerRequest.sql == "SELECT $1");
     const std::vector<Value> expected = {"a", "12345678901234567890.10", "-7", "true",
                                          std::nullopt};
-    CHECK(typed.parameters == expected);
-    CHECK(typed.statedAge == std::optional<Duration>(Duration(0)));
-    CHECK(typed.deadline == std::optional<Duration>(std::chrono::milliseconds(1500)));
+    CHECK(callerRequest.parameters == expected);
+    CHECK(callerRequest.statedAge == std::optional<Duration>(Duration(0)));
+    CHECK(callerRequest.deadline == std::optional<Duration>(std::chrono::milliseconds(1500)));
 }
 
 TEST_CASE("The paths of transactions are told apart")
--- a/tests/caller/httpmeasure.cpp
+++ b/tests/caller/httpmeasure.cpp
@@ -50,15 +50,15 @@
 class Client : public std::enable_shared_from_this<Client>
 {
 public:
-    Client(boost::asio::io_context &context, const tcp::endpoint &server, long &left)
-        : socket_(context), left_(left)
+    Client(boost::asio::io_context &context, const tcp::endpoint &server, long &remaining)
+        : socket_(context), remaining_(remaining)
     {
         socket_.connect(server);
     }
 
     void next()
     {
-        if (left_-- <= 0)
+        if (remaining_-- <= 0)
             return;
         boost::asio::async_write(
             socket_, boost::asio::buffer(request()),
@@ -81,7 +81,7 @@
     }
 
     tcp::socket socket_;
-    long &left_;
+    long &remaining_;
     char buffer_[4096];
 };
 
@@ -105,10 +105,10 @@
 void measureRequests(DutyThread &thread, const tcp::endpoint &server, int connections)
 {
     boost::asio::io_context context;
-    long left = 400000;
-    const long count = left;
+    long remaining = 400000;
+    const long count = remaining;
     for (int i = 0; i < connections; ++i)
-        std::make_shared<Client>(context, server, left)->next();
+        std::make_shared<Client>(context, server, remaining)->next();
     const double before = threadSeconds(thread);
     context.run();
     const double spent = threadSeconds(thread) - before;
--- a/tests/caller/httpreader_test.cpp
+++ b/tests/caller/httpreader_test.cpp
@@ -15,7 +15,7 @@
 {
     std::vector<std::string> requests;
     Reason reason = Reason::None;
-    std::size_t mostBuffered = 0;
+    std::size_t maxBuffered = 0;
 };
 
 // Feeds pieces of the given lengths, over and over, until the bytes are used up.
@@ -34,7 +34,7 @@
             outcome.requests.push_back(request.path + "|" + request.sessionToken + "|"
                                        + request.body);
         }
-        outcome.mostBuffered = std::max(outcome.mostBuffered, reader.buffered());
+        outcome.maxBuffered = std::max(outcome.maxBuffered, reader.buffered());
         outcome.reason = reader.reason();
     }
     return outcome;
@@ -130,7 +130,7 @@
         while (bytes.size() < 8 * maxHeader)
             bytes += unit;
         const Outcome outcome = readInPieces(bytes, {64});
-        RC_ASSERT(outcome.mostBuffered <= maxHeader + 64);
+        RC_ASSERT(outcome.maxBuffered <= maxHeader + 64);
         RC_ASSERT(outcome.reason != Reason::None);
     });
     CHECK(held);
--- a/tests/owner/owner_test.cpp
+++ b/tests/owner/owner_test.cpp
@@ -215,8 +215,9 @@
     const auto setLeaving = [&](ConfigVersion version, const ServerName &leaving) {
         settings::Inventory inventory = cluster.inventory();
         for (settings::Server &server : inventory.groups.front().servers)
-            server.presence =
-                server.name == leaving ? settings::Presence::Leaving : settings::Presence::Active;
+            server.administrativeState = server.name == leaving
+                ? settings::AdministrativeState::Leaving
+                : settings::AdministrativeState::Active;
         cluster.install(version, inventory);
     };
     inner::Execute browse = OwnerCluster::read("SELECT id FROM offer");
--- a/tests/settings/hostsettings_test.cpp
+++ b/tests/settings/hostsettings_test.cpp
@@ -32,7 +32,7 @@
     REQUIRE(findings.empty());
     CHECK(set.processors == Approx(0.12));
     CHECK(set.configurationTime == 5s);
-    CHECK(changedForRestart(plain, set) == "processors, configuration-time");
+    CHECK(keysNeedingRestart(plain, set) == "processors, configuration-time");
 }
 
 TEST_CASE("How far quotas may be passed is read, and has to make sense")
@@ -42,11 +42,11 @@
         "h.ini", file("", "quota-window=5s\nquota-over=0.1\nquota-slack=20\n"), findings);
     REQUIRE(findings.empty());
     CHECK(set.quotaWindow == 5s);
-    CHECK(set.quotaOver == Approx(0.1));
+    CHECK(set.quotaOvershoot == Approx(0.1));
     CHECK(set.quotaSlack == Approx(20));
     const HostSettings plain = parseHostSettings("h.ini", file("", ""), findings);
-    CHECK(plain.quotaOver == 0);
-    CHECK(changedForRestart(plain, set) == "quota-over, quota-slack");
+    CHECK(plain.quotaOvershoot == 0);
+    CHECK(keysNeedingRestart(plain, set) == "quota-over, quota-slack");
     for (const char *line : {"quota-window=0s", "quota-over=-1", "quota-over=much",
                              "quota-slack=-1", "quota-slack=1e9"}) {
         Findings wrong;
@@ -60,7 +60,7 @@
 {
     Findings findings;
     const HostSettings plain = parseHostSettings("h.ini", file("", ""), findings);
-    CHECK(plain.ways.queueDiscipline == decision::QueueDiscipline::FairUnlessLimited);
+    CHECK(plain.policies.queueDiscipline == decision::QueueDiscipline::FairUnlessLimited);
     const HostSettings other = parseHostSettings("h.ini",
                                                  file("", "")
                                                      + "[experiments]\nwait=due\n"
@@ -68,9 +68,9 @@
                                                  findings);
     INFO(findings.toText());
     REQUIRE(findings.empty());
-    CHECK(other.ways.queueDiscipline == decision::QueueDiscipline::EarliestDueDate);
-    CHECK(other.ways.ownerSharePercent == 85);
-    CHECK(other.ways.openingCost == 100);
+    CHECK(other.policies.queueDiscipline == decision::QueueDiscipline::EarliestDueDate);
+    CHECK(other.policies.ownerSharePercent == 85);
+    CHECK(other.policies.openingCost == 100);
     for (const char *line : {"wait=any", "owner-share=0", "opening-cost=-1", "unknown=1"}) {
         Findings wrong;
         parseHostSettings("h.ini", file("", "") + "[experiments]\n" + line + "\n", wrong);
--- a/tests/settings/inventory_test.cpp
+++ b/tests/settings/inventory_test.cpp
@@ -115,7 +115,7 @@
     REQUIRE(findings.toText().empty());
     const Group *group = inventory.findGroup("g");
     REQUIRE(group);
-    CHECK(group->servers[2].presence == Presence::Leaving);
+    CHECK(group->servers[2].administrativeState == AdministrativeState::Leaving);
     CHECK(group->servers[1].address == "127.0.0.1");
     CHECK(group->servers[1].port == 12);
     CHECK(group->statements.promote == GroupStatements().promote);
@@ -190,10 +190,10 @@
         {"state = leaving", "state = gone", "f:33: server s3/state: unknown value; allowed"},
         {"[kind look]", "[limits x]", "f:34: limits x: [limits] takes no name"},
     };
-    for (const Case &one : cases) {
-        INFO(one.to);
-        CHECK_THAT(findingsOf(replaced(goodDocument, one.from, one.to)),
-                   Catch::Contains(one.finding));
+    for (const Case &testCase : cases) {
+        INFO(testCase.to);
+        CHECK_THAT(findingsOf(replaced(goodDocument, testCase.from, testCase.to)),
+                   Catch::Contains(testCase.finding));
     }
 }
 
--- a/tests/settings/random_test.cpp
+++ b/tests/settings/random_test.cpp
@@ -45,7 +45,7 @@
 }
 
 // What must hold of a document that has no finding.
-void checkSound(const Inventory &inventory)
+void checkConsistent(const Inventory &inventory)
 {
     std::set<std::string> zones;
     for (const Zone &zone : inventory.zones)
@@ -91,7 +91,7 @@
     for (const char c : findings.toText())
         RC_ASSERT((c >= ' ' && c <= '~') || c == '\n');
     if (findings.empty())
-        checkSound(inventory);
+        checkConsistent(inventory);
     Findings processFindings;
     parseProcessSettings("f", text, processFindings);
 }
@@ -116,18 +116,18 @@
     const std::vector<std::string> whole = linesOf(demo("agency.ini"));
     CHECK(rc::check([&whole] {
         std::vector<std::string> lines = whole;
-        const int damages = *rc::gen::inRange(1, 6);
-        for (int i = 0; i < damages; ++i) {
+        const int mutationCount = *rc::gen::inRange(1, 6);
+        for (int i = 0; i < mutationCount; ++i) {
             const auto at = *rc::gen::inRange<std::size_t>(0, lines.size());
             const auto other = *rc::gen::inRange<std::size_t>(0, lines.size());
-            const int way = *rc::gen::inRange(0, 5);
-            if (way == 0)
+            const int mutation = *rc::gen::inRange(0, 5);
+            if (mutation == 0)
                 lines.erase(lines.begin() + static_cast<std::ptrdiff_t>(at));
-            else if (way == 1)
+            else if (mutation == 1)
                 lines.insert(lines.begin() + static_cast<std::ptrdiff_t>(at), lines[other]);
-            else if (way == 2)
+            else if (mutation == 2)
                 std::swap(lines[at], lines[other]);
-            else if (way == 3)
+            else if (mutation == 3)
                 lines[at] = lines[at].substr(0, lines[at].size() / 2) + *iniCharacter();
             else
                 lines[at] += *rc::gen::container<std::string>(iniCharacter());
