--- a/src/caller/callerrequest.cpp
+++ b/src/caller/callerrequest.cpp
@@ -12,14 +12,14 @@
 constexpr std::size_t maxKeyLength = 128;
 constexpr std::size_t maxNameLength = 128;
 constexpr std::size_t maxTransactionLength = 512;
-// The limit of PostgreSQL's protocol is 65535; the bound on JSON values is reached first.
+// Below the limit of PostgreSQL's protocol, 65535, and within the limit on JSON values.
 constexpr std::size_t maxParameters = 16384;
 constexpr std::int64_t maxMilliseconds = 24 * 60 * 60 * 1000;
 
 constexpr std::string_view statementPath = "/v1/statement";
 constexpr std::string_view transactionsPath = "/v1/transactions";
 
-// Which fields of the body an operation has.
+// The fields that the body of an operation may hold.
 struct BodyFields
 {
     bool target = false;
@@ -43,7 +43,7 @@
     return {};
 }
 
-// Operation and transaction id of a path; false when there is no such path.
+// Sets the operation and the transaction id from a path; false for an unknown path.
 bool parsePath(const std::string &path, CallerRequest &request)
 {
     const std::string_view view = path;
@@ -75,7 +75,7 @@
         && request.transaction.find('/') == std::string::npos;
 }
 
-// Reads the body of one request and collects what is wrong with it.
+// Reads the body of one request and collects the mistakes in it.
 class BodyReader
 {
 public:
@@ -174,7 +174,7 @@
             readParameter(place, i, value.items[i]);
     }
 
-    // Parameters go to the database in its text format.
+    // Converts a parameter to PostgreSQL's text format.
     void readParameter(const std::string &place, std::size_t index, JsonValue &value)
     {
         switch (value.type) {
@@ -218,7 +218,7 @@
     return c > 0x20 && c < 0x7f && c != '"';
 }
 
-// The header's value may be a bare word or a quoted string.
+// Sets the idempotency key from its header, which may be quoted.
 void readIdempotencyKey(std::string_view key, CallerRequest &request,
                         std::vector<ProblemFinding> &findings)
 {
--- a/src/caller/callerrequest.h
+++ b/src/caller/callerrequest.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-// The callers' interface of docs/CALLERS.md as typed requests and answers.
+// Typed requests and answers of the callers' HTTP interface, see docs/CALLERS.md.
 namespace kelptally::caller {
 
 enum class CallerOperation {
@@ -30,36 +30,36 @@
 {
     CallerOperation operation = CallerOperation::Statement;
     ConnectionId connection = 0;
-    // Of the Authorization header, without "Bearer "; empty when there is none.
+    // From the Authorization header, without "Bearer "; empty without the header.
     std::string apiKey;
     std::string idempotencyKey;
     std::string sessionToken;
-    // Id in the path, for the operations on an open transaction.
+    // Transaction id in the path, for operations on an open transaction.
     std::string transaction;
-    // Statement and Begin.
+    // For Statement and Begin.
     GroupName group;
     KindName kind;
-    // Statement and TransactionStatement.
+    // For Statement and TransactionStatement.
     std::string sql;
     std::vector<Value> parameters;
-    // Statement only.
+    // Maximum age of the data read, for Statement.
     std::optional<Duration> statedAge;
-    // Time from the arrival of the request.
+    // Relative to the arrival of the request.
     std::optional<Duration> deadline;
 };
 
-// A request, or the problem to answer with.
+// A parsed request, or the problem to answer with.
 struct ParsedRequest
 {
     CallerRequest request;
-    // Set when the request can't be used; it lists every mistake found.
+    // Set when the request is invalid; lists every mistake found.
     std::optional<Problem> problem;
 };
 
-// Takes a request apart. Fields that are unknown, given twice or of the wrong type are findings.
+// Parses a request. Unknown and duplicate fields and fields of a wrong type are findings.
 ParsedRequest parseCallerRequest(HttpRequest request);
 
-// What a caller is told of a request that was done.
+// The result of a request that was executed.
 struct CallerAnswer
 {
     Rows rows;
@@ -67,9 +67,9 @@
     std::optional<Duration> age;
     bool fromReplica = false;
     bool replayed = false;
-    // Id of the transaction that was begun.
+    // Id of a transaction that Begin started.
     std::string transaction;
-    // For the Kelptally-Session header; empty leaves it out.
+    // Value of the Kelptally-Session header; omitted when empty.
     std::string sessionToken;
 };
 
--- a/src/caller/httpmessage.h
+++ b/src/caller/httpmessage.h
@@ -6,10 +6,10 @@
 #include <utility>
 #include <vector>
 
-// HTTP as its users see it: no library header is needed to handle requests.
+// HTTP messages and handlers, independent of the HTTP library.
 namespace kelptally::caller {
 
-// Tells one connection of a server from all others; never used twice by one server.
+// Identifies a connection; a server never reuses one.
 using ConnectionId = std::uint64_t;
 
 enum class HttpMethod {
@@ -21,18 +21,18 @@
     Other,
 };
 
-// One whole request. Headers that nobody uses are not kept.
+// A complete request with the headers that handlers use.
 struct HttpRequest
 {
     ConnectionId connection = 0;
     HttpMethod method = HttpMethod::Get;
-    // Path of the target, without its query.
+    // Path of the request target, without the query.
     std::string path;
-    // What follows the '?' of the target.
+    // Query of the request target, without the '?'.
     std::string query;
     std::string authorization;
     std::string idempotencyKey;
-    // Kelptally-Session
+    // From the Kelptally-Session header.
     std::string sessionToken;
     std::string ifMatch;
     std::string ifNoneMatch;
@@ -54,7 +54,7 @@
     std::string body;
 };
 
-// Status 200 with a JSON document.
+// Returns a response with status 200 and a JSON body.
 inline HttpResponse jsonResponse(std::string document)
 {
     HttpResponse response;
@@ -62,28 +62,28 @@
     return response;
 }
 
-// The place for the answer to one request.
+// Sends the response to one request.
 class HttpReply
 {
 public:
     virtual ~HttpReply() = default;
 
-    // Answers; the first call counts. Callable from any thread, also when the caller has gone. A
-    // reply that is destroyed unanswered answers Reason::Internal.
+    // Only the first call has an effect. Callable from any thread, also after the connection has
+    // closed. A reply that is destroyed without a call sends Reason::Internal.
     virtual void send(HttpResponse response) = 0;
 };
 using HttpReplyPtr = std::shared_ptr<HttpReply>;
 
-// The user of an HTTP server. Called on the server's thread.
+// Handles the requests of an HTTP server. Called on the server's thread.
 class HttpHandler
 {
 public:
     virtual ~HttpHandler() = default;
 
-    // One request of a connection at a time: the next comes after the answer.
+    // Called for one request of a connection at a time; the next one follows the response.
     virtual void onRequest(HttpRequest request, HttpReplyPtr reply) = 0;
 
-    // The caller closed its connection while a request of it was unanswered.
+    // Called when a caller closes its connection while its request is in progress.
     virtual void onCallerGone(ConnectionId connection) = 0;
 };
 
--- a/src/caller/httpreader.cpp
+++ b/src/caller/httpreader.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-// More than this is given back to the heap between requests.
+// A larger empty buffer is freed between requests.
 constexpr std::size_t maxRetainedPendingBytes = 512;
 
-// The end of a chunked body is "0", two line ends. Beast 1.74 asserts on less than that when it
-// goes on after a "0" that came alone, and no chunked body ends with fewer bytes to come.
+// Length of the last chunk, "0\r\n\r\n". Beast 1.74 may fail an assertion if it resumes a chunked
+// body with fewer bytes; every chunked body ends with at least these.
 constexpr std::size_t minChunkedBytes = 5;
 
 std::string toString(boost::beast::string_view text)
@@ -41,7 +41,7 @@
     }
 }
 
-// Path and query of a target in origin or absolute form (RFC 9112, section 3.2).
+// Sets path and query from a target in origin or absolute form (RFC 9112, section 3.2).
 bool parseTarget(boost::beast::string_view target, HttpRequest &request)
 {
     std::string text = toString(target);
@@ -135,7 +135,7 @@
     }
     if (parser_->beast.is_done())
         return finish();
-    // The parser leaves a header alone until all of it is there.
+    // The parser consumes a header only when it is complete.
     if (pending_.size() > maxHeaderBytes_)
         return refuse(Reason::RequestTooLarge, "header limit exceeded");
     return State::NeedMore;
@@ -152,8 +152,8 @@
     return State::Request;
 }
 
-// Takes over the fields that are used. One given twice is refused: proxies on the way might have
-// chosen the other.
+// Copies the header fields that are used. Refuses duplicates, as intermediate proxies may use a
+// different one of them.
 bool HttpReader::readHeaderFields()
 {
     auto &message = parser_->beast.get();
--- a/src/caller/httpreader.h
+++ b/src/caller/httpreader.h
@@ -9,38 +9,39 @@
 
 namespace kelptally::caller {
 
-// Takes the bytes of one connection apart into requests. No I/O. Keeps nothing but a small object
-// between requests; while one is under way it holds at most the limits' worth of bytes.
+// Incremental parser of the requests of one connection; does no I/O. Its memory is bounded by the
+// limits during a request and small between requests.
 class HttpReader
 {
 public:
     enum class State {
         NeedMore,
-        // request() is whole.
+        // A request is complete; see takeRequest().
         Request,
-        // The connection can't go on; see reason() and detail().
+        // The input is invalid and the connection must be closed; see reason() and detail().
         Refused,
     };
 
     HttpReader(std::size_t maxHeaderBytes, std::size_t maxBodyBytes);
     ~HttpReader();
 
+    // Appends received bytes.
     void feed(std::string_view bytes);
-    // Goes on with what was fed. After Request, call it again for the next pipelined one.
+    // Parses the bytes fed so far. After Request, call it again for pipelined requests.
     State next();
 
-    // The request found by next(); it is moved out.
+    // Moves out the request that next() completed.
     HttpRequest takeRequest();
-    // Whether the caller wants the connection to stay open after that request.
+    // Whether the connection stays open after that request.
     bool keepAlive() const { return keepAlive_; }
     Reason reason() const { return reason_; }
     const std::string &detail() const { return detail_; }
 
-    // Whether a part of a request has arrived.
+    // Whether part of a request has been received.
     bool started() const;
-    // Bytes fed that no request has taken yet.
+    // Number of bytes that are fed but not yet parsed.
     std::size_t buffered() const { return pending_.size(); }
-    // True once for each request whose caller waits for "100 Continue" before sending the body.
+    // True once for each request with "Expect: 100-continue" whose body is outstanding.
     bool takeExpectContinue();
 
 private:
--- a/src/caller/httpserver.cpp
+++ b/src/caller/httpserver.cpp
@@ -19,9 +19,9 @@
 
 namespace {
 
-// Connections over the limit that are told so; more than these are closed without a word.
+// Connections over the limit that are answered with a refusal; further ones are only closed.
 constexpr int maxRefusedConnections = 256;
-// Wait after a failed accept, as when the process has no file descriptor left.
+// Delay after a failed accept, such as when the process is out of file descriptors.
 constexpr Duration acceptRetryDelay = std::chrono::milliseconds(100);
 struct Answer
 {
@@ -29,7 +29,8 @@
     HttpResponse response;
 };
 
-// The way of answers back to the server's thread; it outlives the server for late ones.
+// Passes answers from other threads to the server's thread. Replies share it, so that they may
+// outlive the server.
 class AnswerQueue : public std::enable_shared_from_this<AnswerQueue>
 {
 public:
@@ -39,7 +40,7 @@
         : context_(&context), drain_(std::move(drain)), ring_(capacity, [this] { wake(); })
     { }
 
-    // There is at most one answer for each connection, so the ring can't be full.
+    // The capacity covers one answer for each connection, so the ring is never full.
     void push(Answer answer) { ring_.tryPush(std::move(answer)); }
 
     void close()
@@ -275,7 +276,7 @@
     }
 }
 
-// Sessions that close themselves leave the map, so a copy of the pointers is walked.
+// Iterates over a copy, as sessions that close are erased from the map.
 void HttpServer::Private::checkDeadlines()
 {
     const Instant now = BootClock::now();
--- a/src/caller/httpserver.h
+++ b/src/caller/httpserver.h
@@ -17,47 +17,47 @@
     int maxConnections = 20000;
     std::size_t maxHeaderBytes = 8192;
     std::size_t maxBodyBytes = 1u << 20;
-    // From the first byte of a request to its last.
+    // From the first byte of a request to its last byte.
     Duration readTimeout {std::chrono::seconds(10)};
-    // For the caller to take an answer.
+    // For writing a response.
     Duration writeTimeout {std::chrono::seconds(30)};
     // Between requests.
     Duration idleTimeout {std::chrono::minutes(10)};
-    // How long a draining server goes on accepting and lets idle connections bring a request, each
-    // answered with "Connection: close": balancers and callers notice a stop late.
+    // How long a draining server still accepts connections and requests, answered with
+    // "Connection: close", until load balancers and callers have noticed the stop.
     Duration drainGrace {std::chrono::seconds(1)};
 };
 
-// PEM files; both empty: no TLS.
+// Paths of PEM files; TLS is off when both are empty.
 struct HttpTls
 {
     std::string certificate;
     std::string key;
 };
 
-// An HTTP/1.1 server on one duty thread. Requests of one connection are handled one after the
-// other, pipelined ones included. What breaks a limit is answered with a problem document, counted
-// by its reason, and closed.
+// An HTTP/1.1 server on one duty thread. Requests of one connection are handled sequentially,
+// pipelined ones included. A violated limit is answered with a problem document and counted by its
+// reason, and the connection is closed.
 class HttpServer
 {
 public:
-    // Called on the duty thread for each request refused by the server itself.
+    // Called on the duty thread for each request that the server itself refuses.
     using RefusalCounter = std::function<void(Reason)>;
 
     HttpServer(DutyThread &thread, HttpHandler &handler, HttpLimits limits,
                RefusalCounter countRefusal);
-    // The duty thread is stopped by now.
+    // The duty thread must have stopped.
     ~HttpServer();
 
-    // Called before the duty thread starts, or on it. Port 0 takes a free one, see port().
+    // Call it before the duty thread starts, or on it. Port 0 selects a free port, see port().
     absl::Status listen(const std::string &address, int port, const HttpTls &tls = {});
     int port() const;
 
-    // Graceful stop, from any thread: after the grace accepts no more and closes idle connections,
-    // and calls back on the duty thread once every request is answered and its connection closed.
+    // Starts a graceful stop; callable from any thread. After drainGrace the server stops accepting
+    // and closes idle connections. Calls back on the duty thread once all connections are closed.
     void drain(std::function<void()> whenDone);
 
-    // Open connections; for metrics, from any thread.
+    // Number of open connections; callable from any thread.
     int connections() const;
 
 private:
--- a/src/caller/httpsession.cpp
+++ b/src/caller/httpsession.cpp
@@ -18,11 +18,12 @@
 using TlsStream = boost::asio::ssl::stream<Socket>;
 using ErrorCode = boost::system::error_code;
 
-// Chosen, not measured: a usual request fits; it is all that an idle connection holds.
+// Allocated for each connection; holds a typical request.
 constexpr std::size_t readBufferBytes = 2048;
-// More than this is given back to the heap after an answer.
+// A larger output buffer is freed after the response.
 constexpr std::size_t maxRetainedOutputBytes = 2048;
-// How long a refused caller may go on sending, so that it can read why (RFC 9112, section 9.6).
+// How long input is still read before a close, so that the caller receives the response before a
+// reset (RFC 9112, section 9.6).
 constexpr Duration lingerTimeout = std::chrono::seconds(2);
 
 constexpr Instant noDeadline = Instant::max();
@@ -77,7 +78,7 @@
     out += ": ";
     const auto begin = static_cast<std::ptrdiff_t>(out.size());
     out += value;
-    // A value must not begin another header.
+    // Prevents header injection.
     const auto breaks = [](char c) { return c == '\r' || c == '\n' || c == '\0'; };
     std::replace_if(out.begin() + begin, out.end(), breaks, ' ');
     out += "\r\n";
@@ -178,12 +179,12 @@
 
 private:
     enum class State {
-        // Waits for a request or reads one.
+        // Waits for a request or receives one.
         Reading,
-        // The handler has a request.
+        // The handler processes a request.
         Handling,
         Writing,
-        // Refused: what still comes is thrown away.
+        // The last response is sent; further input is discarded.
         Lingering,
         Closed,
     };
@@ -198,8 +199,8 @@
         read();
     }
 
-    // One read is always pending, so that a caller that goes is noticed; but a caller that sends
-    // on and on while its request is handled is not read beyond the limit of one header.
+    // Keeps one read pending to detect a disconnect. While a request is handled, it buffers no more
+    // than the header limit.
     void read()
     {
         if (reading_ || state_ == State::Closed)
@@ -231,7 +232,7 @@
             read();
     }
 
-    // Goes on with the bytes that have arrived.
+    // Parses the received bytes and acts on the result.
     void processInput()
     {
         switch (reader_.next()) {
@@ -333,7 +334,7 @@
         more ? processInput() : read();
     }
 
-    // Says that nothing more comes, and waits for the caller to end too.
+    // Closes the sending side and waits for the caller to close the connection.
     void linger()
     {
         state_ = State::Lingering;
--- a/src/caller/httpsession.h
+++ b/src/caller/httpsession.h
@@ -13,7 +13,7 @@
 
 class HttpSession;
 
-// What the sessions of one server share. Used on the server's thread.
+// Owns the sessions of one server and receives their events, on the server's thread.
 class HttpSessionManager
 {
 public:
@@ -24,13 +24,13 @@
     virtual void onCallerGone(ConnectionId connection) = 0;
     virtual void onRefused(Reason reason) = 0;
     virtual void onClosed(ConnectionId connection) = 0;
-    // Value of the Date header.
+    // Returns the value of the Date header.
     virtual const std::string &date() = 0;
     virtual bool draining() const = 0;
 };
 
-// One connection of a caller. It keeps itself alive by its pending operations; the host outlives
-// it or is told to forget it by abandon().
+// One connection of a caller. Pending operations keep it alive; its manager must outlive it or call
+// abandon().
 class HttpSession : public std::enable_shared_from_this<HttpSession>
 {
 public:
@@ -38,17 +38,18 @@
 
     virtual ConnectionId id() const = 0;
     virtual void start() = 0;
-    // Answers any first request with this refusal and closes.
+    // Sends this refusal and closes the connection.
     virtual void startRefusing(Reason reason) = 0;
     virtual void answer(const HttpResponse &response) = 0;
-    // Ends what has taken too long.
+    // Refuses a request or closes the connection if its time limit has passed.
     virtual void checkDeadline(Instant now) = 0;
     // Closes if no request is in progress.
     virtual void closeIfIdle() = 0;
+    // Closes the connection and drops the reference to the manager.
     virtual void abandon() = 0;
 };
 
-// With a TLS context the session begins with a handshake.
+// Creates a session for an accepted socket; uses TLS if a context is given.
 std::shared_ptr<HttpSession> makeHttpSession(HttpSessionManager &manager, ConnectionId id,
                                              boost::asio::ip::tcp::socket socket,
                                              boost::asio::ssl::context *tls);
--- a/src/caller/keyring.h
+++ b/src/caller/keyring.h
@@ -8,13 +8,14 @@
 
 namespace kelptally::caller {
 
-// The callers' keys of all teams.
+// Returns the caller keys of all teams.
 KeyRing callerKeys(const settings::Inventory &inventory);
 
-// The operators' keys of all teams and the one of the settings, which stands for all teams.
+// Returns the operator keys of all teams and the key of the settings file, which has an empty team
+// name and access to all teams.
 KeyRing operatorKeys(const settings::Inventory &inventory, const std::string &settingsHash);
 
-// The key of an "Authorization: Bearer KEY" header; nothing when it is of another form.
+// Returns the key of an "Authorization: Bearer KEY" header, or nothing for another scheme.
 std::optional<std::string_view> bearerKey(std::string_view header);
 
 } // namespace kelptally::caller
--- a/src/caller/problem.cpp
+++ b/src/caller/problem.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Chosen, not measured: longer than a usual failover, shorter than a caller's patience.
+// For overload and other short conditions, and for conditions that last as long as a failover.
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(200);
 constexpr Duration failoverRetryAfter = std::chrono::seconds(1);
 
--- a/src/caller/problem.h
+++ b/src/caller/problem.h
@@ -10,7 +10,7 @@
 
 namespace kelptally::caller {
 
-// One mistake in a document that was sent, with its place.
+// A mistake in a received document and its location.
 struct ProblemFinding
 {
     // JSON pointer (RFC 6901) into the body, a header's name, or "line N: section/key" of a
@@ -19,25 +19,25 @@
     std::string problem;
 };
 
-// A refusal as a problem document (RFC 9457) tells it.
+// The content of a problem document (RFC 9457).
 struct Problem
 {
     Reason reason = Reason::Internal;
-    // Nothing: what the reason itself says.
+    // Overrides the value that belongs to the reason.
     std::optional<Executed> executed;
     std::string detail;
-    // When to come back; 0 gives no Retry-After.
+    // 0: defaultRetryAfter() of the reason.
     Duration retryAfter {0};
     std::vector<ProblemFinding> findings;
 };
 
 Problem makeProblem(Reason reason, std::string detail = {});
 
-// The answer with status, Retry-After (whole seconds, rounded up) and body {type, title, status,
-// reason, executed, retryable, detail, retryAfterMs?, findings?}.
+// Returns a response with status, Retry-After (in whole seconds, rounded up) and the body {type,
+// title, status, reason, executed, retryable, detail?, retryAfterMs?, findings?}.
 HttpResponse problemResponse(const Problem &problem);
 
-// A Retry-After for reasons whose refusal knows no better.
+// Returns the Retry-After of a reason; 0 if it is not retryable.
 Duration defaultRetryAfter(Reason reason);
 
 } // namespace kelptally::caller
--- a/src/settings/findings.cpp
+++ b/src/settings/findings.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A key may hold any byte of a broken file; a report shows printable ones only.
+// Replaces bytes that are not printable ASCII, as a key may hold any bytes of an invalid file.
 std::string printable(std::string text)
 {
     for (char &c : text)
--- a/src/settings/findings.h
+++ b/src/settings/findings.h
@@ -5,31 +5,31 @@
 
 namespace kelptally::settings {
 
-// One mistake in a file of settings or configuration, with its place.
+// A mistake in a settings or configuration file and its location.
 struct Finding
 {
     std::string file;
     int line = 0;
-    // "section/key", or the section alone.
+    // "section/key", or "section".
     std::string key;
-    // What is wrong and what is allowed.
+    // The mistake and the allowed values.
     std::string problem;
 };
 
-// All mistakes found in one go. A document with any finding is not used.
+// The mistakes found in a document. A document with findings must not be used.
 class Findings
 {
 public:
-    // Beyond maxFindings the rest is left out, and one last finding says so.
+    // Beyond maxFindings, adds one finding on the truncation and drops the others.
     void add(std::string file, int line, std::string key, std::string problem);
 
-    // Puts them in the order of their lines.
+    // Sorts by line.
     void sort();
 
     bool empty() const { return findings_.empty(); }
     const std::vector<Finding> &all() const { return findings_; }
 
-    // One line for each finding: "file:line: section/key: problem".
+    // Returns a line for each finding: "file:line: section/key: problem".
     std::string toText() const;
 
     static constexpr std::size_t maxFindings = 1000;
--- a/src/settings/hostsettings.h
+++ b/src/settings/hostsettings.h
@@ -10,35 +10,34 @@
 
 namespace kelptally::settings {
 
-// Settings of a process that is entry and owner in one: the INI file that is given at start and
-// read again when it changes.
+// Settings of a host process, from an INI file that is read at start and again when it changes.
 struct HostSettings
 {
     // [process]
     HostName host;
     ZoneName zone;
-    // IP of this host, for the links between our processes.
+    // IP address of this host, for the links between processes.
     std::string address;
     int peerPort = 0;
-    // Where callers connect, where the balancer asks for readiness, and the port for operators on
-    // the same address.
+    // Endpoints for callers and for the load balancer's readiness checks, and the operators' port
+    // on the host's address.
     Endpoint callers;
     Endpoint readiness;
     int adminPort = 0;
     int maxSessions = 3500;
-    // Processor cores that this host may use, as a fraction; groups go to hosts with room.
+    // Processor cores that this host may use; may be fractional. Used for the
+    // placement of groups.
     double processors = 1;
-    // From the request to stop until the process is killed.
+    // From the stop request until the process is killed.
     Duration gracePeriod {std::chrono::seconds(6)};
 
-    // [limits] From a server's report that it leaves until nothing may reach it any more.
+    // [limits] From a server's report that it leaves until no request may reach it.
     Duration serverLeaveTime {std::chrono::seconds(7)};
 
-    // Within this an accepted configuration has to be in force on every host.
+    // Time limit for an accepted configuration to take effect on every host.
     Duration configurationTime {std::chrono::seconds(3)};
 
-    // How far organisations may go beyond their quotas: by this part and so many operations in any
-    // span as long as the window.
+    // Tolerance of quotas in each time window: a fraction of the quota and a number of operations.
     Duration quotaWindow {std::chrono::seconds(5)};
     double quotaOvershoot = 0;
     double quotaSlack = 0;
@@ -48,12 +47,12 @@
     std::string promotions;
     Duration storeTimeout {std::chrono::seconds(2)};
 
-    // [keys] shared by our processes
+    // [keys] Shared by all processes.
     std::string peerKey;
-    // SHA-256 of the operators' key, in hex; without it operators' calls are refused.
+    // SHA-256 of the operators' key, in hex; operator requests are refused when it is empty.
     std::string operatorKeyHash;
 
-    // [experiments], never set where callers are served
+    // [experiments] Not for production.
     decision::PolicyOptions policies;
 
     // [log]
@@ -63,8 +62,8 @@
     std::string peerAddress() const { return address + ":" + std::to_string(peerPort); }
 };
 
-// Keys whose change takes effect at the next start only, joined by commas. The log, the grace of a
-// stop and the time that leaving servers have take effect at once.
+// Returns the changed keys that take effect at the next start, joined by commas. Changes to the
+// log, the grace period and the server leave time take effect at once.
 std::string keysNeedingRestart(const HostSettings &running, const HostSettings &wanted);
 
 HostSettings parseHostSettings(const std::string &file, const std::string &text,
--- a/src/settings/inidocument.cpp
+++ b/src/settings/inidocument.cpp
@@ -24,7 +24,7 @@
     return text.substr(first, text.find_last_not_of(whitespace) - first + 1);
 }
 
-// Bytes that follow the first byte of a character in UTF-8; nothing for one that begins none.
+// Returns the number of UTF-8 continuation bytes after a lead byte; nothing for an invalid one.
 std::optional<std::size_t> continuationBytes(unsigned char first)
 {
     if (first < 0x80)
@@ -38,7 +38,7 @@
     return std::nullopt;
 }
 
-// Whether a second byte may follow the first one (RFC 3629: no overlong forms, no surrogates).
+// Whether a second byte is valid after a lead byte (RFC 3629: no overlong forms, no surrogates).
 bool isSecondByte(unsigned char first, unsigned char second)
 {
     const unsigned char minimum = first == 0xE0 ? 0xA0 : first == 0xF0 ? 0x90 : 0x80;
@@ -63,7 +63,7 @@
     return true;
 }
 
-// The library's settings are process-wide; they are set once and always to these values.
+// Sets the options of inih, which are global variables.
 void configureInih()
 {
     static std::once_flag once;
@@ -73,13 +73,13 @@
         ini_initial_alloc = static_cast<int>(maxLineBytes) + 2;
         ini_max_line = ini_initial_alloc;
         ini_allow_multiline = false;
-        // A value may hold ';', as passwords and SQL do.
+        // Values such as passwords and SQL may contain ';'.
         ini_allow_inline_comments = false;
     });
 }
 
-// Feeds the library line by line and so knows the line of each entry. Lines that the library made
-// nothing of are findings.
+// Passes a text to inih line by line, to record the line of each entry. Lines that inih does not
+// recognise are findings.
 class Reader
 {
 public:
@@ -217,10 +217,10 @@
     int line_ = 0;
     bool lineParsed_ = true;
     const SectionHandler &onSection_;
-    // The open section.
+    // The current section.
     std::optional<IniSection> section_;
     std::map<std::string, int> sectionLines_;
-    // Keys of the open section.
+    // Keys of the current section and their lines.
     std::map<std::string, int> keys_;
 };
 
--- a/src/settings/inidocument.h
+++ b/src/settings/inidocument.h
@@ -8,7 +8,7 @@
 
 namespace kelptally::settings {
 
-// One "key = value" of a section, with its line.
+// A "key = value" entry and its line.
 struct IniEntry
 {
     std::string key;
@@ -16,8 +16,8 @@
     int line = 0;
 };
 
-// One "[type name]" or "[type]" with its entries. Two entries of a section never share a key: the
-// second one is a finding and left out.
+// A section "[type name]" or "[type]" and its entries. Keys are unique: a duplicate is a finding
+// and is dropped.
 struct IniSection
 {
     std::string type;
@@ -25,29 +25,28 @@
     int line = 0;
     std::vector<IniEntry> entries;
 
-    // As it stands between the brackets.
+    // The text between the brackets.
     std::string title() const { return name.empty() ? type : type + " " + name; }
 };
 
-// Largest file that is read, in bytes: a document with its envelope fits in one frame of 4 MB
-// between our processes.
+// Maximum size of a file, in bytes: a document with its envelope fits in a frame of 4 MiB between
+// processes.
 constexpr std::size_t maxDocumentBytes = (4 << 20) - 4096;
 
-// Longest line that is read, in bytes.
+// Maximum length of a line, in bytes.
 constexpr std::size_t maxLineBytes = 8000;
 
-// Reads the sections of an INI text in their order. Comments start with ';' or '#' and stand on
-// lines of their own. Any bytes are taken: what is not INI in UTF-8 becomes a finding. The result
-// holds whatever could be read, so that later checks can report more in the same go.
+// Parses an INI text in UTF-8 into its sections, in order. Comments are whole lines that start with
+// ';' or '#'. Invalid input becomes findings; the result holds the valid rest for further checks.
 std::vector<IniSection> parseIni(const std::string &file, const std::string &text,
                                  Findings &findings);
 
-// The same, section by section, so that a large document is never held a second time as a whole.
+// The same, with a callback for each section, to save memory for large documents.
 using SectionHandler = std::function<void(const IniSection &)>;
 void parseIni(const std::string &file, const std::string &text, Findings &findings,
               const SectionHandler &onSection);
 
-// The bytes of a file; empty, with a finding, when it cannot be read or is too large.
+// Returns the content of a file; empty, with a finding, if it cannot be read or is too large.
 std::string readFile(const std::string &path, Findings &findings);
 
 } // namespace kelptally::settings
--- a/src/settings/inventory.cpp
+++ b/src/settings/inventory.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-// A group survives the loss of one server only with a majority of three.
+// The smallest group that keeps a majority after the loss of one server.
 constexpr std::size_t minServers = 3;
 
 constexpr NumberRange slotRange {1, 10'000};
@@ -53,7 +53,7 @@
     return kind.repeatable ? RequestClass::Write : RequestClass::Critical;
 }
 
-// Reads one document: first each section by itself, then what the sections say of each other.
+// Reads a document: first each section by itself, then the references between sections.
 class InventoryReader
 {
 public:
@@ -72,7 +72,7 @@
     }
 
 private:
-    // A use of a name that another section must declare.
+    // A reference to a name that another section must declare.
     struct Reference
     {
         int line = 0;
@@ -91,7 +91,7 @@
             {"kind", &InventoryReader::readKind},     {"team", &InventoryReader::readTeam},
             {"limits", &InventoryReader::readLimits},
         };
-        // The section is broken and has its finding.
+        // The section is invalid and was reported by the parser.
         if (section.type.empty())
             return;
         const auto found = readers.find(section.type);
@@ -260,7 +260,7 @@
         return endpoint;
     }
 
-    // A key that belonged to two teams would not tell which of them a caller is.
+    // A key must identify a single team.
     std::vector<std::string> uniqueHashes(const IniSection &section, SectionReader &reader,
                                           const std::string &key)
     {
@@ -268,7 +268,7 @@
         for (const auto &hash : hashes) {
             const auto [other, isNew] = hashUsers_.emplace(hash, section.title() + "/" + key);
             if (!isNew)
-                reader.add(key, "a sum that " + other->second + " has already");
+                reader.add(key, "the hash is used in " + other->second + " already");
         }
         return hashes;
     }
@@ -304,12 +304,12 @@
     const std::string &file_;
     Findings &findings_;
     Inventory inventory_;
-    // Names declared, by type of section.
+    // By section type.
     std::map<std::string, std::set<std::string>> declaredNames_;
     std::vector<Reference> references_;
     std::map<GroupName, int> groupLines_;
     std::map<GroupName, std::vector<Server>> servers_;
-    // Where an address or a sum was first used.
+    // Section and key of the first use of an address or hash.
     std::map<std::string, std::string> addressUsers_;
     std::map<std::string, std::string> hashUsers_;
 };
--- a/src/settings/inventory.h
+++ b/src/settings/inventory.h
@@ -12,7 +12,7 @@
 
 namespace kelptally::settings {
 
-// The state of a host or server as the operators give it. A leaving one gets no new work.
+// The state of a host or server that operators configure. Leaving ones get no new work.
 enum class AdministrativeState {
     Active,
     Leaving,
@@ -44,14 +44,14 @@
     ZoneName zone;
     std::string address;
     int port = 0;
-    // Statements that run at the same time.
+    // Maximum number of concurrent statements.
     int slots = 0;
-    // Connections that all our processes together may have open.
+    // Maximum number of open connections of all processes together.
     int connections = 0;
     AdministrativeState administrativeState = AdministrativeState::Active;
 };
 
-// The SQL by which the servers of a group are asked and told; a setting of the group.
+// SQL statements that query and control the servers of a group.
 struct GroupStatements
 {
     // One row: newest term prepared or followed, role ('primary'|'replica'), received offset,
@@ -60,22 +60,22 @@
                          " FROM kelptally_status";
     // Rows: term, offset at which it began.
     std::string history = "SELECT term, start FROM kelptally_history";
-    // $1 term: from now on accept no log from a lower term. Fails when a higher one was prepared.
+    // $1 term: reject the log of lower terms from now on. Fails if a higher term was prepared.
     std::string prepare = "SELECT kelptally_prepare($1)";
-    // $1 term: become primary of the prepared term, and begin it with a record of its own, as the
-    // end-of-recovery record of PostgreSQL does.
+    // $1 term: become primary of the prepared term and start it with a log record, like the
+    // end-of-recovery record of PostgreSQL.
     std::string promote = "SELECT kelptally_promote($1)";
-    // $1 primary's name, $2 term: replicate from it, dropping what its history does not hold.
+    // $1 name of the primary, $2 term: replicate from it, discarding records it does not have.
     std::string follow = "SELECT kelptally_follow($1, $2)";
-    // $1 epoch: raise the fence row. Fails when it is higher already.
+    // $1 epoch: raise the fence row. Fails if it is already higher.
     std::string raiseFence = "SELECT kelptally_raise_fence($1)";
-    // $1 epoch: fails with SQLSTATE KF001 when the fence row is higher; part of each write.
+    // $1 epoch: fails with SQLSTATE KF001 if the fence row is higher; part of each write.
     std::string checkFence = "SELECT kelptally_check_fence($1)";
-    // One row, one column: offset of the log after the current transaction commits.
+    // One row, one column: log offset after the commit of the current transaction.
     std::string writeOffset = "SELECT kelptally_write_offset()";
 };
 
-// [group NAME] database=, user=, password=, team=, and optionally the statements.
+// [group NAME] database=, user=, password=, team=, and optionally the keys of GroupStatements.
 struct Group
 {
     GroupName name;
@@ -87,14 +87,14 @@
     std::vector<Server> servers;
 };
 
-// Order of service; a lower class goes first.
+// Scheduling priority; lower values are served first.
 enum class RequestClass {
-    // Writes and transactions that must not be repeated, such as decisions, offers, deposits.
+    // Writes and transactions that must not be repeated.
     Critical,
     Write,
-    // Reads that want the newest data.
+    // Reads that need the newest data.
     FreshRead,
-    // Reads that accept an age.
+    // Reads that accept data of a stated age.
     Browse,
 };
 constexpr int requestClassCount = 4;
@@ -104,13 +104,13 @@
 {
     KindName name;
     bool readOnly = true;
-    // A kind that is not repeatable needs an idempotency key and runs at most once.
+    // Requests that are not repeatable need an idempotency key and run at most once.
     bool repeatable = true;
-    // Greatest age that such reads accept when the caller states none; nothing: newest.
+    // Default maximum age of the data read; without it, reads return the newest data.
     std::optional<Duration> statedAge;
     Duration deadline {std::chrono::seconds(5)};
     RequestClass requestClass = RequestClass::Write;
-    // Teams that may use it; empty: all.
+    // Teams that may use the kind; empty: all.
     std::vector<TeamName> teams;
 };
 
@@ -131,13 +131,13 @@
     Duration transactionIdle {std::chrono::seconds(10)};
     Duration keyRetention {std::chrono::hours(24)};
     int retryBudgetPercent = 10;
-    // Share of a primary's slots that reads with a stated age may take, in percent.
+    // Maximum percentage of a primary's slots for reads with a stated age.
     int primaryReadPercent = 50;
-    // Taken off the stated age for the way from an entry to its caller.
+    // Subtracted from the stated age for the transfer from an entry to the caller.
     Duration callerTransit {std::chrono::milliseconds(10)};
 };
 
-// A configuration document, checked as a whole: what the operators own and the rules they set.
+// The content of a configuration document: the deployment and its limits.
 struct Inventory
 {
     std::vector<Zone> zones;
@@ -147,23 +147,24 @@
     std::vector<Team> teams;
     Limits limits;
 
-    // Null when there is none. A group is looked up for each request: among thousands, it takes no
-    // longer once indexGroups() has been called after the last change.
+    // Return null if the name is unknown. findGroup() takes constant time after indexGroups() and
+    // linear time otherwise.
     const Group *findGroup(const GroupName &name) const;
     const Kind *findKind(const KindName &name) const;
     const Team *findTeam(const TeamName &name) const;
     const Host *findHost(const HostName &name) const;
 
+    // Builds the index for findGroup(); call it after changes to the groups.
     void indexGroups();
 
 private:
     std::unordered_map<GroupName, std::size_t> groupIndex_;
 };
 
-// Reads a document; the findings tell everything that is wrong. Use the result only without any.
+// Parses and validates a document. The result must not be used if there are findings.
 Inventory parseInventory(const std::string &file, const std::string &text, Findings &findings);
 
-// One accepted version, shared read-only by all parts of a process.
+// An accepted version of the configuration, shared read-only within a process.
 struct Configuration
 {
     ConfigVersion version = 0;
--- a/src/settings/processsettings.h
+++ b/src/settings/processsettings.h
@@ -9,44 +9,43 @@
 
 namespace kelptally::settings {
 
-// What one process must know before it can ask anybody: the INI file given at start.
+// Settings of a process, from the INI file given at start.
 struct ProcessSettings
 {
     // [process]
     HostName host;
     ZoneName zone;
-    // IP that this process listens on.
+    // IP address that this process listens on.
     std::string address;
-    // Port of the links between our processes; the peer address is "address:peerPort".
+    // Port of the links between processes.
     int peerPort = 0;
-    // Port for callers (entry only; 0: none).
+    // Port for callers; entries only, 0 otherwise.
     int callerPort = 0;
-    // Port for operators: administration API, /metrics, /healthz, /readyz.
+    // Port of the administration API, /metrics, /healthz and /readyz.
     int adminPort = 0;
     std::string logDirectory;
     int logLevel = 0;
 
-    // [platform] "ip:port" of each service.
+    // [platform] Endpoints of the services, as "ip:port".
     std::string tableService;
     std::string objectStore;
     std::string hostList;
     Duration storeTimeout {std::chrono::seconds(2)};
 
-    // [keys]
-    // Shared by our processes: links and session tokens.
+    // [keys] Shared by all processes: for the links and for session tokens.
     std::string peerKey;
     std::string tokenKey;
-    // Hex SHA-256 of the operators' key.
+    // SHA-256 of the operators' key, in hex.
     std::string operatorKeyHash;
 
-    // [tls] empty: plain
+    // [tls] Paths of PEM files; TLS is off when both are empty.
     std::string tlsCertificate;
     std::string tlsKey;
 
-    // [peers] addresses of processes to ask when the platform does not answer.
+    // [peers] Addresses of processes to contact when the platform is unavailable.
     std::vector<std::string> seeds;
 
-    // [limits] of this process
+    // [limits]
     int maxCallerConnections = 20000;
     int maxRequestBytes = 1 << 20;
     Duration requestReadTimeout {std::chrono::seconds(10)};
--- a/src/settings/sectionreader.cpp
+++ b/src/settings/sectionreader.cpp
@@ -16,7 +16,7 @@
     Duration length;
 };
 
-// From the longest to the shortest, for formatDuration().
+// In descending order, for formatDuration().
 constexpr Unit units[] = {
     {"d", std::chrono::hours(24)},        {"h", std::chrono::hours(1)},
     {"m", std::chrono::minutes(1)},       {"s", std::chrono::seconds(1)},
--- a/src/settings/sectionreader.h
+++ b/src/settings/sectionreader.h
@@ -11,7 +11,7 @@
 
 namespace kelptally::settings {
 
-// An allowed range, both ends included.
+// An inclusive range of allowed values.
 struct NumberRange
 {
     int minimum = 0;
@@ -24,7 +24,7 @@
     Duration maximum {0};
 };
 
-// An IPv4 address and a port, as "127.0.0.1:80".
+// An IPv4 address and a port.
 struct Endpoint
 {
     std::string address;
@@ -33,16 +33,16 @@
     std::string toText() const { return address + ":" + std::to_string(port); }
 };
 
-// An endpoint without a finding; nothing when the text is not one.
+// Parses an endpoint such as "127.0.0.1:80"; returns nothing if the text is invalid.
 std::optional<Endpoint> parseEndpoint(const std::string &text);
 
-// A duration as "1500us", "250ms", "5s", "2m", "24h" or "7d"; nothing when the text is not one.
+// Parses a duration such as "1500us", "250ms", "5s", "2m", "24h" or "7d"; returns nothing if the
+// text is invalid.
 std::optional<Duration> parseDuration(const std::string &text);
 std::string formatDuration(Duration duration);
 
-// Reads the keys of one section with their types; each mistake becomes a finding at its line. A
-// key without a fallback is required. After all keys have been asked for, finish() reports those
-// that nobody asked for.
+// Reads typed values of the keys of one section; each mistake becomes a finding at its line. A key
+// without a fallback is required. Call finish() after all keys have been read.
 class SectionReader
 {
 public:
@@ -51,40 +51,41 @@
     // Printable ASCII, not empty, at most maxTextLength bytes.
     std::string text(const std::string &key);
     std::string text(const std::string &key, const std::string &fallback);
-    // As text, and a name: letters, digits, '-', '_' and '.'.
+    // Letters, digits, '-', '_' and '.', at most maxNameLength.
     std::string name(const std::string &key);
-    // Names with commas between them; empty when the key is missing.
+    // Comma-separated names; empty if the key is missing.
     std::vector<std::string> names(const std::string &key);
 
     int number(const std::string &key, NumberRange range, std::optional<int> fallback = {});
     Duration duration(const std::string &key, DurationRange range,
                       std::optional<Duration> fallback = {});
-    // Without a fallback too: nothing when the key is missing.
+    // Returns nothing if the key is missing.
     std::optional<Duration> optionalDuration(const std::string &key, DurationRange range);
 
     Endpoint endpoint(const std::string &key);
     std::vector<std::string> endpoints(const std::string &key);
-    // An IPv4 address alone.
+    // An IPv4 address without a port.
     std::string address(const std::string &key);
 
-    // Hex SHA-256 sums with commas between them, in lower case; empty when the key is missing.
+    // Comma-separated SHA-256 hashes in hex, converted to lower case; empty if the key is missing.
     std::vector<std::string> hashes(const std::string &key);
 
-    // One of the words; gives its index.
+    // Returns the index of the value in the allowed words.
     std::size_t choice(const std::string &key, const std::vector<std::string> &words,
                        std::optional<std::size_t> fallback = {});
 
-    // Reports a mistake of a key, at its line or, when it is missing, at the section's.
+    // Adds a finding for a key, at its line or, if it is missing, at the line of the section.
     void add(const std::string &key, const std::string &problem);
     bool has(const std::string &key) const;
     int lineOf(const std::string &key) const;
     std::string title() const { return section_.title(); }
 
+    // Reports the keys of the section that were not read.
     void finish();
 
 private:
     const IniEntry *find(const std::string &key);
-    // The value, or nothing after a finding when a required key is missing.
+    // Returns the value; null, with a finding, if the key is missing or the value is invalid.
     const std::string *required(const std::string &key);
     bool checkText(const std::string &key, const std::string &value);
     std::vector<std::string> list(const std::string &key);
@@ -96,13 +97,13 @@
     std::set<std::string> requestedKeys_;
 };
 
-// Longest value that is allowed, in bytes.
+// Maximum length of a value, in bytes.
 constexpr std::size_t maxTextLength = 4096;
 
-// Longest name of a group, server, host and so on.
+// Maximum length of the name of a group, server, host and so on.
 constexpr std::size_t maxNameLength = 40;
 
-// What is wrong with a name; empty when nothing is.
+// Returns what is wrong with a name; empty if it is valid.
 std::string nameProblem(const std::string &name);
 
 } // namespace kelptally::settings
--- a/src/settings/sectionschema.h
+++ b/src/settings/sectionschema.h
@@ -7,7 +7,7 @@
 
 namespace kelptally::settings {
 
-// One section that a settings file may or must have, and the function that reads it.
+// An allowed or required section of a settings file, and the function that reads it.
 template <typename Settings>
 struct SectionSchema
 {
@@ -16,7 +16,7 @@
     void (*read)(SectionReader &, Settings &);
 };
 
-// Reads a file whose sections are the given parts. Unknown and missing sections are findings.
+// Reads a file with the given sections. Unknown and missing sections are findings.
 template <typename Settings, std::size_t Count>
 Settings readSections(const std::string &file, const std::string &text,
                       const SectionSchema<Settings> (&schemas)[Count], Findings &findings)
@@ -24,7 +24,7 @@
     Settings settings;
     const auto sections = parseIni(file, text, findings);
     for (const IniSection &section : sections) {
-        // A broken section has its finding already.
+        // The section is invalid and was reported by the parser.
         if (section.type.empty())
             continue;
         const auto schema =
--- a/tests/caller/callerrequest_test.cpp
+++ b/tests/caller/callerrequest_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("A statement is read with its headers and parameters")
+TEST_CASE("A statement request is parsed with its headers and parameters")
 {
     HttpRequest request = post("/v1/statement",
                                R"({"group":"offers","kind":"offer","sql":"SELECT $1","parameters":)"
@@ -55,7 +55,7 @@
     CHECK(callerRequest.deadline == std::optional<Duration>(std::chrono::milliseconds(1500)));
 }
 
-TEST_CASE("The paths of transactions are told apart")
+TEST_CASE("Paths of transactions select their operation, and unknown paths are refused")
 {
     CHECK(parseCallerRequest(post("/v1/transactions", R"({"group":"g","kind":"k"})"))
               .request.operation
@@ -93,7 +93,7 @@
     CHECK(places == expected);
 }
 
-TEST_CASE("Bodies that are no proper document are refused")
+TEST_CASE("Bodies that are not a valid JSON document are refused")
 {
     CHECK(findingsOf(post("/v1/statement", "")).size() == 1);
     CHECK(findingsOf(post("/v1/statement", "[]")).front().problem.find("object")
@@ -106,7 +106,7 @@
     CHECK(findingsOf(post("/v1/transactions/id/commit", R"({"sql":"a"})")).size() == 1);
 }
 
-TEST_CASE("The reader of JSON holds its bounds")
+TEST_CASE("The JSON parser enforces its limits")
 {
     CHECK_FALSE(parseJson(std::string(100, '[')).ok());
     std::string many = "[0";
@@ -119,7 +119,7 @@
     CHECK(parseJson(" [1, {\"a\": \"\\u00e9\"}] ")->items[1].textOf("a") == "\xc3\xa9");
 }
 
-TEST_CASE("An answer tells rows, age and token")
+TEST_CASE("A response holds rows, age and session token")
 {
     CallerAnswer answer;
     answer.rows.columns = {"id", "na\"me"};
@@ -138,7 +138,7 @@
     CHECK_FALSE(json.find("transaction"));
 }
 
-TEST_CASE("A problem document names reason, executed and when to come back")
+TEST_CASE("A problem document holds reason, executed and retryAfterMs")
 {
     for (const ReasonInfo &info : allReasons()) {
         const HttpResponse response = problemResponse(makeProblem(info.reason, "detail \x01"));
--- a/tests/caller/httpclient.h
+++ b/tests/caller/httpclient.h
@@ -11,7 +11,7 @@
 
 namespace kelptally::caller {
 
-// What the tests see of one answer.
+// A response as received.
 struct RawAnswer
 {
     int status = 0;
@@ -19,7 +19,7 @@
     std::string body;
 };
 
-// A blocking connection that sends bytes as given, whole requests or not.
+// A blocking connection that sends arbitrary bytes.
 class RawClient
 {
 public:
@@ -41,7 +41,7 @@
              + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     }
 
-    // The next answer; status 0 when the connection ends instead.
+    // Returns the next response; with status 0 if the connection is closed.
     RawAnswer receive()
     {
         RawAnswer answer;
@@ -61,7 +61,7 @@
         return answer;
     }
 
-    // Whether the server has ended the connection with nothing left to read.
+    // Whether the server has closed the connection and all data is read.
     bool atEnd() { return pending_.empty() && !readMore(); }
 
     void endSending() { socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send); }
--- a/tests/caller/httpmeasure.cpp
+++ b/tests/caller/httpmeasure.cpp
@@ -1,5 +1,5 @@
-// Measures the bare HTTP server: heap for each idle connection, and processor time of the server's
-// thread for each request. Run by hand; nothing is asserted.
+// Benchmark of the HTTP server: heap per idle connection, and processor time of the server's thread
+// per request.
 
 #include "caller/httpserver.h"
 
@@ -46,7 +46,7 @@
     return text;
 }
 
-// Sends one request, takes its answer, and again.
+// Sends the next request after each response.
 class Client : public std::enable_shared_from_this<Client>
 {
 public:
@@ -69,7 +69,7 @@
     }
 
 private:
-    // The answer is small and comes in one piece.
+    // The response is small enough for a single read.
     void receive()
     {
         socket_.async_read_some(
--- a/tests/caller/httpreader_test.cpp
+++ b/tests/caller/httpreader_test.cpp
@@ -18,7 +18,7 @@
     std::size_t maxBuffered = 0;
 };
 
-// Feeds pieces of the given lengths, over and over, until the bytes are used up.
+// Feeds the bytes in pieces whose lengths cycle through the given ones.
 Outcome readInPieces(const std::string &bytes, const std::vector<std::size_t> &lengths)
 {
     HttpReader reader(maxHeader, maxBody);
@@ -46,7 +46,7 @@
         rc::gen::container<std::vector<std::size_t>>(rc::gen::inRange<std::size_t>(1, 40)));
 }
 
-// One request and what the reader should make of it.
+// A request and the expected result of the parser.
 struct Sample
 {
     std::string bytes;
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE("Requests are the same however the bytes are cut")
+TEST_CASE("Requests are independent of the segmentation of the input")
 {
     const bool held = rc::check([] {
         const auto bodies = *rc::gen::container<std::vector<std::string>>(
@@ -90,7 +90,7 @@
     CHECK(held);
 }
 
-TEST_CASE("Damaged bytes are requests or a refusal, the same however they are cut")
+TEST_CASE("Corrupt input gives the same result for every segmentation")
 {
     const bool held = rc::check([] {
         std::string bytes = makeSample("abcdef", *rc::gen::arbitrary<bool>(), 0).bytes
@@ -111,7 +111,7 @@
                                                             "Content-Length: 9", "ffffffff"));
             }
         }
-        // A header cut into pieces is looked at again when its end has come.
+        // Segmented headers are parsed only when their end has been received.
         bytes += "\r\n\r\n";
         const Outcome whole = readInPieces(bytes, {});
         const Outcome pieces = readInPieces(bytes, *pieceLengths());
@@ -121,7 +121,7 @@
     CHECK(held);
 }
 
-TEST_CASE("The reader holds no more than a header and one piece, whatever is sent")
+TEST_CASE("The reader buffers at most the header limit and one piece")
 {
     const bool held = rc::check([] {
         const std::string unit = *rc::gen::nonEmpty(rc::gen::container<std::string>(
--- a/tests/caller/httpserver_test.cpp
+++ b/tests/caller/httpserver_test.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-// Answers with "METHOD path body"; "/hold" waits until release(), "/drop" is never answered.
+// Echoes path, query, idempotency key and body; "/hold" waits until release(), "/drop" drops its
+// reply, "/break" returns a header value with a line break.
 class EchoHandler : public HttpHandler
 {
 public:
@@ -95,7 +96,7 @@
         return refused[reason];
     }
 
-    // The refusal as the caller sees it, and as it is counted.
+    // Checks the response of a refusal, the close and the count.
     void requireRefused(RawClient &client, Reason reason)
     {
         const RawAnswer answer = client.receive();
@@ -123,7 +124,7 @@
 
 } // namespace
 
-TEST_CASE("Requests of a kept connection are answered in order, also pipelined ones")
+TEST_CASE("Requests of a persistent connection are answered in order, also pipelined ones")
 {
     Fixture fixture;
     RawClient client(fixture.server.port());
@@ -137,7 +138,7 @@
     CHECK(client.receive().body == "/c   ");
 }
 
-TEST_CASE("A request that comes byte by byte or in chunks is read whole")
+TEST_CASE("A chunked request that arrives byte by byte is read")
 {
     Fixture fixture;
     RawClient client(fixture.server.port());
@@ -160,7 +161,7 @@
     }
 }
 
-TEST_CASE("A caller that asks first is told to go on with its body")
+TEST_CASE("Expect: 100-continue is answered with 100 Continue")
 {
     Fixture fixture;
     RawClient client(fixture.server.port());
@@ -170,7 +171,7 @@
     CHECK(client.receive().body == "/x   ab");
 }
 
-TEST_CASE("A header's value can't begin another header")
+TEST_CASE("Line breaks in a header value can't inject a header")
 {
     Fixture fixture;
     RawClient client(fixture.server.port());
@@ -198,13 +199,13 @@
     fixture.requireRefused(client, Reason::MalformedRequest);
 }
 
-TEST_CASE("A body or header over the limit is refused before it is read")
+TEST_CASE("A body or header over the limit is refused")
 {
     HttpLimits limits;
     limits.maxBodyBytes = 1000;
     Fixture fixture(limits);
     RawClient client(fixture.server.port());
-    SECTION("announced body")
+    SECTION("body with Content-Length")
     {
         client.send("POST /x HTTP/1.1\r\nHost: t\r\nContent-Length: 1001\r\n\r\n");
         fixture.requireRefused(client, Reason::RequestTooLarge);
@@ -215,14 +216,14 @@
                     + std::string(1001, 'x'));
         fixture.requireRefused(client, Reason::RequestTooLarge);
     }
-    SECTION("header that never ends")
+    SECTION("header without an end")
     {
         client.send("GET /x HTTP/1.1\r\nHost: t\r\nX: " + std::string(9000, 'x'));
         fixture.requireRefused(client, Reason::RequestTooLarge);
     }
 }
 
-TEST_CASE("A request that stays unfinished is refused as slow")
+TEST_CASE("A request that is incomplete at its timeout is refused as too slow")
 {
     Fixture fixture(shortReads());
     RawClient client(fixture.server.port());
@@ -230,7 +231,7 @@
     fixture.requireRefused(client, Reason::RequestTooSlow);
 }
 
-TEST_CASE("A request that is cut short is refused as truncated")
+TEST_CASE("A request that ends early is refused as truncated")
 {
     Fixture fixture;
     RawClient client(fixture.server.port());
@@ -239,7 +240,7 @@
     fixture.requireRefused(client, Reason::RequestTruncated);
 }
 
-TEST_CASE("Connections over the limit are told so")
+TEST_CASE("Connections over the limit are refused")
 {
     HttpLimits limits;
     limits.maxConnections = 1;
@@ -253,7 +254,7 @@
     CHECK(first.receive().status == 200);
 }
 
-TEST_CASE("A reply may be given from another thread, once")
+TEST_CASE("A reply may be sent from another thread, and only the first one counts")
 {
     Fixture fixture;
     RawClient client(fixture.server.port());
@@ -265,7 +266,7 @@
     CHECK(client.receive().body == "/x   ");
 }
 
-TEST_CASE("A reply that is dropped answers internal")
+TEST_CASE("A reply that is destroyed without an answer sends an internal error")
 {
     Fixture fixture;
     RawClient client(fixture.server.port());
@@ -276,7 +277,7 @@
     CHECK(answer.body.find("\"executed\":\"unknown\"") != std::string::npos);
 }
 
-TEST_CASE("The handler hears of a caller that goes before its answer")
+TEST_CASE("The handler is notified when a caller disconnects during its request")
 {
     Fixture fixture;
     RawClient client(fixture.server.port());
@@ -287,7 +288,7 @@
     fixture.handler.release();
 }
 
-TEST_CASE("A drain answers what is in progress, then closes everything")
+TEST_CASE("A drain completes requests in progress and closes all connections")
 {
     Fixture fixture;
     RawClient idle(fixture.server.port());
@@ -316,7 +317,7 @@
     CHECK(changed.wait_for(lock, std::chrono::seconds(60), [&] { return done; }));
 }
 
-TEST_CASE("A draining server goes on accepting for its grace")
+TEST_CASE("A draining server accepts connections during the grace period")
 {
     HttpLimits limits;
     limits.drainGrace = std::chrono::minutes(5);
@@ -333,7 +334,7 @@
     }
 }
 
-TEST_CASE("Listening reports what is wrong")
+TEST_CASE("Listening fails with an invalid address or a missing certificate")
 {
     EchoHandler handler;
     DutyThread thread("http-test");
--- a/tests/caller/keyring_test.cpp
+++ b/tests/caller/keyring_test.cpp
@@ -5,9 +5,9 @@
 using namespace kelptally;
 using namespace kelptally::caller;
 
-TEST_CASE("A key is told by the sum of it that is configured")
+TEST_CASE("A key is identified by its configured hash")
 {
-    // FIPS 180-4, example of one block.
+    // Test vector of FIPS 180-4.
     CHECK(digestToHex(sha256("abc"))
           == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
     settings::Inventory inventory;
@@ -28,14 +28,14 @@
     CHECK_FALSE(operators.organisationOf("key-a"));
 }
 
-TEST_CASE("Only 64 hexadecimal digits are a digest")
+TEST_CASE("A digest has exactly 64 hexadecimal digits")
 {
     CHECK_FALSE(digestFromHex(std::string(63, 'a')));
     CHECK_FALSE(digestFromHex(std::string(63, 'a') + "g"));
     CHECK(digestFromHex(std::string(64, 'F')));
 }
 
-TEST_CASE("The key of an Authorization header is found whatever the scheme's case")
+TEST_CASE("The scheme of an Authorization header is case-insensitive")
 {
     CHECK(bearerKey("bEaRer abc") == std::optional<std::string_view>("abc"));
     for (const char *header : {"", "Bearer", "Bearer ", "Basic abc", "abc"})
--- a/tests/caller/selfsigned.h
+++ b/tests/caller/selfsigned.h
@@ -12,7 +12,7 @@
 
 namespace kelptally::caller {
 
-// A certificate for 127.0.0.1 signed by itself, and its key, in files that go with the object.
+// Files with a self-signed certificate for 127.0.0.1 and its key, removed by the destructor.
 class SelfSigned
 {
 public:
--- a/tests/caller/tls_test.cpp
+++ b/tests/caller/tls_test.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("With certificate and key the server speaks TLS only")
+TEST_CASE("A server with a certificate and key accepts only TLS")
 {
     const SelfSigned certificate("tls_test");
     PathHandler handler;
--- a/tests/settings/hostsettings_test.cpp
+++ b/tests/settings/hostsettings_test.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("A host's room and bounds have defaults and are read")
+TEST_CASE("Processors and limits are read and have defaults")
 {
     Findings findings;
     const HostSettings plain = parseHostSettings("h.ini", file("", ""), findings);
@@ -35,7 +35,7 @@
     CHECK(keysNeedingRestart(plain, set) == "processors, configuration-time");
 }
 
-TEST_CASE("How far quotas may be passed is read, and has to make sense")
+TEST_CASE("The quota tolerance is read and validated")
 {
     Findings findings;
     const HostSettings set = parseHostSettings(
@@ -56,7 +56,7 @@
     }
 }
 
-TEST_CASE("Ways to decide are picked in a section for experiments, and nowhere else")
+TEST_CASE("Policies are selected in the section for experiments")
 {
     Findings findings;
     const HostSettings plain = parseHostSettings("h.ini", file("", ""), findings);
@@ -79,7 +79,7 @@
     }
 }
 
-TEST_CASE("Values that make no sense are told with their keys")
+TEST_CASE("Invalid values are reported with their keys")
 {
     for (const char *processors : {"0", "-1", "x", "nan", "1e9"}) {
         Findings findings;
--- a/tests/settings/inventory_test.cpp
+++ b/tests/settings/inventory_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A whole document that holds.
+// A valid document.
 const std::string goodDocument = R"(
 [zone a]
 region = north
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE("the documents of the demonstration hold")
+TEST_CASE("the documents of the demonstration are valid")
 {
     for (const char *name : {"/agency.ini", "/lagon.ini"}) {
         Findings findings;
@@ -87,7 +87,7 @@
     }
 }
 
-TEST_CASE("the stand-ins of the demonstration play the documents' servers")
+TEST_CASE("the stand-ins of the demonstration listen on the addresses of the documents' servers")
 {
     for (const std::string site : {"agency", "lagon"}) {
         Findings findings;
@@ -108,7 +108,7 @@
     }
 }
 
-TEST_CASE("a document is read with its types and defaults")
+TEST_CASE("a document is parsed with types and defaults")
 {
     Findings findings;
     const Inventory inventory = parseInventory("f", goodDocument, findings);
@@ -131,7 +131,7 @@
     CHECK(inventory.findTeam("nobody") == nullptr);
 }
 
-TEST_CASE("five mistakes give five findings with line, key and what is allowed")
+TEST_CASE("each mistake gives a finding with line, key and allowed values")
 {
     std::string text = replaced(goodDocument, "slots = 3", "slots = many");
     text = replaced(text, "access = read", "access = look");
@@ -147,7 +147,7 @@
              "f:41: kind pay/teams: there is no [team x]\n");
 }
 
-TEST_CASE("each rule of a document has its finding")
+TEST_CASE("each violated rule of a document gives a finding")
 {
     struct Case
     {
@@ -197,7 +197,7 @@
     }
 }
 
-TEST_CASE("any bytes give findings and no crash")
+TEST_CASE("invalid bytes, lines and sizes give findings")
 {
     CHECK_THAT(findingsOf(""), Catch::Contains("there is no [group NAME]"));
     CHECK_THAT(findingsOf(std::string(20, '\0')), Catch::Contains("f:1: the line holds a NUL"));
--- a/tests/settings/processsettings_test.cpp
+++ b/tests/settings/processsettings_test.cpp
@@ -7,7 +7,7 @@
 using namespace kelptally::settings;
 using namespace std::chrono_literals;
 
-TEST_CASE("the process settings of the demonstration hold")
+TEST_CASE("the process settings of the demonstration are valid")
 {
     for (const char *name : {"entry-1", "entry-2", "owner-1", "owner-2", "owner-3"}) {
         Findings findings;
@@ -19,7 +19,7 @@
     }
 }
 
-TEST_CASE("five mistakes in process settings give five findings")
+TEST_CASE("each mistake in process settings gives a finding")
 {
     const std::string text = R"([process]
 host = entry-1
@@ -50,7 +50,7 @@
     CHECK(findings.all()[4].line == 17);
 }
 
-TEST_CASE("process settings name the sections and keys they miss")
+TEST_CASE("missing sections and keys of process settings are reported")
 {
     Findings findings;
     parseProcessSettings("p.ini", "[tls]\ncertificate = x\n", findings);
--- a/tests/settings/random_test.cpp
+++ b/tests/settings/random_test.cpp
@@ -44,7 +44,7 @@
     return static_cast<std::size_t>(std::count(text.begin(), text.end(), '\n')) + 1;
 }
 
-// What must hold of a document that has no finding.
+// Checks the invariants of a document without findings.
 void checkConsistent(const Inventory &inventory)
 {
     std::set<std::string> zones;
@@ -76,7 +76,8 @@
     }
 }
 
-// Reads the text both ways: the findings have places within it, and what has none is sound.
+// Parses the text as both kinds of file. Findings must refer to its lines in order, and a document
+// without findings must be consistent.
 void checkText(const std::string &text)
 {
     Findings findings;
@@ -96,7 +97,7 @@
     parseProcessSettings("f", text, processFindings);
 }
 
-// Characters that mean something to the reader, and some that must not.
+// Generates mostly characters with a meaning in INI files.
 rc::Gen<char> iniCharacter()
 {
     return rc::gen::weightedOneOf<char>(
@@ -106,12 +107,12 @@
 
 } // namespace
 
-TEST_CASE("random texts are read without a fault")
+TEST_CASE("random texts give valid findings")
 {
     CHECK(rc::check([] { checkText(*rc::gen::container<std::string>(iniCharacter())); }));
 }
 
-TEST_CASE("damaged documents give findings within the text or are sound")
+TEST_CASE("corrupt documents give valid findings or are consistent")
 {
     const std::vector<std::string> whole = linesOf(demo("agency.ini"));
     CHECK(rc::check([&whole] {
@@ -136,7 +137,7 @@
     }));
 }
 
-TEST_CASE("a line of nonsense is found at its place and nothing else is")
+TEST_CASE("an invalid line gives exactly one finding, at that line")
 {
     const std::vector<std::string> whole = linesOf(demo("lagon.ini"));
     CHECK(rc::check([&whole] {
--- a/tests/settings/size_test.cpp
+++ b/tests/settings/size_test.cpp
@@ -30,7 +30,7 @@
     return text.str();
 }
 
-// A configuration of the size to design for.
+// Returns a configuration of the target size.
 std::string largeDocument()
 {
     std::ostringstream text;
@@ -71,7 +71,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration of the size to design for fits its bounds")
+TEST_CASE("a configuration of the target size is within the limits")
 {
     const std::string document = largeDocument();
     CHECK(document.size() < maxDocumentBytes);
