--- a/tests/caller/httpmeasure.cpp
+++ b/tests/caller/httpmeasure.cpp
@@ -1,5 +1,5 @@
-// Measures the bare HTTP server: heap for each idle connection, and processor time of the server's
-// thread for each request. Run by hand; nothing is asserted.
+// Benchmark of the HTTP server: heap per idle connection, and processor time of the server's thread
+// per request.
 
 #include "caller/httpserver.h"
 
@@ -46,19 +46,19 @@
     return text;
 }
 
-// Sends one request, takes its answer, and again.
+// Sends the next request after each response.
 class Client : public std::enable_shared_from_this<Client>
 {
 public:
-    Client(boost::asio::io_context &context, const tcp::endpoint &server, long &left)
-        : socket_(context), left_(left)
+    Client(boost::asio::io_context &context, const tcp::endpoint &server, long &remaining)
+        : socket_(context), remaining_(remaining)
     {
         socket_.connect(server);
     }
 
     void next()
     {
-        if (left_-- <= 0)
+        if (remaining_-- <= 0)
             return;
         boost::asio::async_write(
             socket_, boost::asio::buffer(request()),
@@ -69,7 +69,7 @@
     }
 
 private:
-    // The answer is small and comes in one piece.
+    // The response is small enough for a single read.
     void receive()
     {
         socket_.async_read_some(
@@ -81,7 +81,7 @@
     }
 
     tcp::socket socket_;
-    long &left_;
+    long &remaining_;
     char buffer_[4096];
 };
 
@@ -105,10 +105,10 @@
 void measureRequests(DutyThread &thread, const tcp::endpoint &server, int connections)
 {
     boost::asio::io_context context;
-    long left = 400000;
-    const long count = left;
+    long remaining = 400000;
+    const long count = remaining;
     for (int i = 0; i < connections; ++i)
-        std::make_shared<Client>(context, server, left)->next();
+        std::make_shared<Client>(context, server, remaining)->next();
     const double before = threadSeconds(thread);
     context.run();
     const double spent = threadSeconds(thread) - before;
--- a/tests/settings/hostsettings_test.cpp
+++ b/tests/settings/hostsettings_test.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("A host's room and bounds have defaults and are read")
+TEST_CASE("Processors and limits are read and have defaults")
 {
     Findings findings;
     const HostSettings plain = parseHostSettings("h.ini", file("", ""), findings);
@@ -32,21 +32,21 @@
     REQUIRE(findings.empty());
     CHECK(set.processors == Approx(0.12));
     CHECK(set.configurationTime == 5s);
-    CHECK(changedForRestart(plain, set) == "processors, configuration-time");
+    CHECK(keysNeedingRestart(plain, set) == "processors, configuration-time");
 }
 
-TEST_CASE("How far quotas may be passed is read, and has to make sense")
+TEST_CASE("The quota tolerance is read and validated")
 {
     Findings findings;
     const HostSettings set = parseHostSettings(
         "h.ini", file("", "quota-window=5s\nquota-over=0.1\nquota-slack=20\n"), findings);
     REQUIRE(findings.empty());
     CHECK(set.quotaWindow == 5s);
-    CHECK(set.quotaOver == Approx(0.1));
+    CHECK(set.quotaOvershoot == Approx(0.1));
     CHECK(set.quotaSlack == Approx(20));
     const HostSettings plain = parseHostSettings("h.ini", file("", ""), findings);
-    CHECK(plain.quotaOver == 0);
-    CHECK(changedForRestart(plain, set) == "quota-over, quota-slack");
+    CHECK(plain.quotaOvershoot == 0);
+    CHECK(keysNeedingRestart(plain, set) == "quota-over, quota-slack");
     for (const char *line : {"quota-window=0s", "quota-over=-1", "quota-over=much",
                              "quota-slack=-1", "quota-slack=1e9"}) {
         Findings wrong;
@@ -56,11 +56,11 @@
     }
 }
 
-TEST_CASE("Ways to decide are picked in a section for experiments, and nowhere else")
+TEST_CASE("Policies are selected in the section for experiments")
 {
     Findings findings;
     const HostSettings plain = parseHostSettings("h.ini", file("", ""), findings);
-    CHECK(plain.ways.queueDiscipline == decision::QueueDiscipline::FairUnlessLimited);
+    CHECK(plain.policies.queueDiscipline == decision::QueueDiscipline::FairUnlessLimited);
     const HostSettings other = parseHostSettings("h.ini",
                                                  file("", "")
                                                      + "[experiments]\nwait=due\n"
@@ -68,9 +68,9 @@
                                                  findings);
     INFO(findings.toText());
     REQUIRE(findings.empty());
-    CHECK(other.ways.queueDiscipline == decision::QueueDiscipline::EarliestDueDate);
-    CHECK(other.ways.ownerSharePercent == 85);
-    CHECK(other.ways.openingCost == 100);
+    CHECK(other.policies.queueDiscipline == decision::QueueDiscipline::EarliestDueDate);
+    CHECK(other.policies.ownerSharePercent == 85);
+    CHECK(other.policies.openingCost == 100);
     for (const char *line : {"wait=any", "owner-share=0", "opening-cost=-1", "unknown=1"}) {
         Findings wrong;
         parseHostSettings("h.ini", file("", "") + "[experiments]\n" + line + "\n", wrong);
@@ -79,7 +79,7 @@
     }
 }
 
-TEST_CASE("Values that make no sense are told with their keys")
+TEST_CASE("Invalid values are reported with their keys")
 {
     for (const char *processors : {"0", "-1", "x", "nan", "1e9"}) {
         Findings findings;
--- a/tests/settings/random_test.cpp
+++ b/tests/settings/random_test.cpp
@@ -44,8 +44,8 @@
     return static_cast<std::size_t>(std::count(text.begin(), text.end(), '\n')) + 1;
 }
 
-// What must hold of a document that has no finding.
-void checkSound(const Inventory &inventory)
+// Checks the invariants of a document without findings.
+void checkConsistent(const Inventory &inventory)
 {
     std::set<std::string> zones;
     for (const Zone &zone : inventory.zones)
@@ -76,7 +76,8 @@
     }
 }
 
-// Reads the text both ways: the findings have places within it, and what has none is sound.
+// Parses the text as both kinds of file. Findings must refer to its lines in order, and a document
+// without findings must be consistent.
 void checkText(const std::string &text)
 {
     Findings findings;
@@ -91,12 +92,12 @@
     for (const char c : findings.toText())
         RC_ASSERT((c >= ' ' && c <= '~') || c == '\n');
     if (findings.empty())
-        checkSound(inventory);
+        checkConsistent(inventory);
     Findings processFindings;
     parseProcessSettings("f", text, processFindings);
 }
 
-// Characters that mean something to the reader, and some that must not.
+// Generates mostly characters with a meaning in INI files.
 rc::Gen<char> iniCharacter()
 {
     return rc::gen::weightedOneOf<char>(
@@ -106,28 +107,28 @@
 
 } // namespace
 
-TEST_CASE("random texts are read without a fault")
+TEST_CASE("random texts give valid findings")
 {
     CHECK(rc::check([] { checkText(*rc::gen::container<std::string>(iniCharacter())); }));
 }
 
-TEST_CASE("damaged documents give findings within the text or are sound")
+TEST_CASE("corrupt documents give valid findings or are consistent")
 {
     const std::vector<std::string> whole = linesOf(demo("agency.ini"));
     CHECK(rc::check([&whole] {
         std::vector<std::string> lines = whole;
-        const int damages = *rc::gen::inRange(1, 6);
-        for (int i = 0; i < damages; ++i) {
+        const int mutationCount = *rc::gen::inRange(1, 6);
+        for (int i = 0; i < mutationCount; ++i) {
             const auto at = *rc::gen::inRange<std::size_t>(0, lines.size());
             const auto other = *rc::gen::inRange<std::size_t>(0, lines.size());
-            const int way = *rc::gen::inRange(0, 5);
-            if (way == 0)
+            const int mutation = *rc::gen::inRange(0, 5);
+            if (mutation == 0)
                 lines.erase(lines.begin() + static_cast<std::ptrdiff_t>(at));
-            else if (way == 1)
+            else if (mutation == 1)
                 lines.insert(lines.begin() + static_cast<std::ptrdiff_t>(at), lines[other]);
-            else if (way == 2)
+            else if (mutation == 2)
                 std::swap(lines[at], lines[other]);
-            else if (way == 3)
+            else if (mutation == 3)
                 lines[at] = lines[at].substr(0, lines[at].size() / 2) + *iniCharacter();
             else
                 lines[at] += *rc::gen::container<std::string>(iniCharacter());
@@ -136,7 +137,7 @@
     }));
 }
 
-TEST_CASE("a line of nonsense is found at its place and nothing else is")
+TEST_CASE("an invalid line gives exactly one finding, at that line")
 {
     const std::vector<std::string> whole = linesOf(demo("lagon.ini"));
     CHECK(rc::check([&whole] {
