--- a/src/standin/databasegroup.cpp
+++ b/src/standin/databasegroup.cpp
@@ -57,14 +57,15 @@
     return nullptr;
 }
 
-void DatabaseGroup::setCut(const ServerName &a, const ServerName &b, bool cut)
+void DatabaseGroup::setPartitioned(const ServerName &a, const ServerName &b, bool partitioned)
 {
-    const auto cutAt = [&](const ServerName &at, const ServerName &peer) {
+    const auto setAt = [&](const ServerName &at, const ServerName &peer) {
         if (DatabaseServer *server = find(at))
-            server->callAndWait([&](DatabaseServer &s) { s.setPeerCut(peer, cut); });
+            server->callAndWait(
+                [&](DatabaseServer &s) { s.setPeerPartitioned(peer, partitioned); });
     };
-    cutAt(a, b);
-    cutAt(b, a);
+    setAt(a, b);
+    setAt(b, a);
 }
 
 } // namespace kelptally::standin
--- a/src/standin/databasegroup.h
+++ b/src/standin/databasegroup.h
@@ -21,7 +21,7 @@
     const std::vector<std::unique_ptr<DatabaseServer>> &servers() const { return servers_; }
     DatabaseServer *find(const ServerName &name) const;
     // Cuts or heals the network between two servers, in both directions.
-    void setCut(const ServerName &a, const ServerName &b, bool cut);
+    void setPartitioned(const ServerName &a, const ServerName &b, bool partitioned);
 
 private:
     class Link;
--- a/src/standin/databaseserver.cpp
+++ b/src/standin/databaseserver.cpp
@@ -17,19 +17,19 @@
 using asio::ip::tcp;
 
 // Texts whose parse is kept; all are dropped when there are more.
-constexpr std::size_t maxParsed = 1000;
+constexpr std::size_t maxCachedParses = 1000;
 // Names of threads have 15 characters at most.
-constexpr std::size_t maxThreadName = 15;
+constexpr std::size_t maxThreadNameLength = 15;
 
 } // namespace
 
 DatabaseServer::DatabaseServer(DatabaseServerSettings settings, const std::string &schema,
                                PeerNetwork &network)
-    : thread_(settings.name.substr(0, maxThreadName)), settings_(std::move(settings)),
+    : thread_(settings.name.substr(0, maxThreadNameLength)), settings_(std::move(settings)),
       node_(settings_.name, schema, thread_.timers(), network), acceptor_(thread_.context()),
-      peerLine_(thread_.timers())
+      peerMessages_(thread_.timers())
 {
-    node_.setLag(settings_.limits.replicationLag);
+    node_.setReplicationLag(settings_.limits.replicationLag);
 }
 
 DatabaseServer::~DatabaseServer()
@@ -37,9 +37,9 @@
     stop();
 }
 
-void DatabaseServer::start(const ServerName &firstPrimary)
+void DatabaseServer::start(const ServerName &initialPrimary)
 {
-    node_.install(firstPrimary);
+    node_.install(initialPrimary);
     listen();
     running_ = true;
     thread_.timers().subscribeEvery(Node::fetchPeriod, [this] { tick(); });
@@ -75,7 +75,7 @@
         if (!acceptor_.is_open() || error == asio::error::operation_aborted)
             return;
         if (!error) {
-            const std::uint32_t id = ++lastSession_;
+            const std::uint32_t id = ++lastSessionId_;
             const auto session =
                 std::make_shared<WireSession>(*this, std::move(socket), id, std::random_device()());
             sessions_.emplace(id, session);
@@ -100,16 +100,16 @@
 {
     const Instant due = BootClock::now() + delay;
     asio::post(thread_.context(), [this, from, due, message = std::move(message)] {
-        peerLine_.push(due, [this, from, message] { receive(from, message); });
+        peerMessages_.push(due, [this, from, message] { receive(from, message); });
     });
 }
 
 void DatabaseServer::receive(const ServerName &from, const std::function<void(Node &)> &message)
 {
-    if (!running_ || cutPeers_.count(from) != 0)
+    if (!running_ || partitionedPeers_.count(from) != 0)
         return;
     if (paused_)
-        heldMessages_.push_back([this, message] { message(node_); });
+        deferredMessages_.push_back([this, message] { message(node_); });
     else
         message(node_);
 }
@@ -126,19 +126,19 @@
         return;
     running_ = false;
     paused_ = false;
-    ++run_;
+    ++incarnation_;
     acceptor_.close();
     const auto sessions = sessions_;
     for (const auto &[id, session] : sessions)
         session->close();
-    peerLine_.clear();
-    heldMessages_.clear();
-    slotRequests_.clear();
+    peerMessages_.clear();
+    deferredMessages_.clear();
+    queuedRequests_.clear();
     busySlots_ = 0;
     if (keepState)
         node_.restart();
     else
-        node_.loseState();
+        node_.eraseState();
     LOG(INFO) << "event=server-killed server=" << name()
               << " state=" << (keepState ? "kept" : "lost");
 }
@@ -157,33 +157,33 @@
     paused_ = paused;
     if (paused)
         return;
-    const auto held = std::move(heldMessages_);
-    heldMessages_.clear();
-    for (const auto &message : held)
+    const auto deferred = std::move(deferredMessages_);
+    deferredMessages_.clear();
+    for (const auto &message : deferred)
         message();
     resumeSessions();
 }
 
-void DatabaseServer::setPeerCut(const ServerName &peer, bool cut)
+void DatabaseServer::setPeerPartitioned(const ServerName &peer, bool partitioned)
 {
-    if (cut)
-        cutPeers_.insert(peer);
+    if (partitioned)
+        partitionedPeers_.insert(peer);
     else
-        cutPeers_.erase(peer);
+        partitionedPeers_.erase(peer);
 }
 
-void DatabaseServer::setClientCut(const std::string &address, bool cut)
+void DatabaseServer::setClientPartitioned(const std::string &address, bool partitioned)
 {
-    if (cut)
-        cutClients_.insert(address);
+    if (partitioned)
+        partitionedClients_.insert(address);
     else
-        cutClients_.erase(address);
+        partitionedClients_.erase(address);
     resumeSessions();
 }
 
-void DatabaseServer::setAllClientsCut(bool cut)
+void DatabaseServer::setAllClientsPartitioned(bool partitioned)
 {
-    allClientsCut_ = cut;
+    allClientsPartitioned_ = partitioned;
     resumeSessions();
 }
 
@@ -193,16 +193,16 @@
         session->resume();
 }
 
-bool DatabaseServer::isCutOff(const std::string &clientAddress) const
+bool DatabaseServer::isPartitionedFrom(const std::string &clientAddress) const
 {
-    return allClientsCut_ || cutClients_.count(clientAddress) != 0;
+    return allClientsPartitioned_ || partitionedClients_.count(clientAddress) != 0;
 }
 
 void DatabaseServer::setLimits(const ServerLimits &limits)
 {
     settings_.limits = limits;
-    node_.setLag(limits.replicationLag);
-    runSlots();
+    node_.setReplicationLag(limits.replicationLag);
+    startQueuedRequests();
 }
 
 ServerState DatabaseServer::state()
@@ -213,10 +213,10 @@
     state.running = running_;
     state.paused = paused_;
     state.term = node_.term();
-    state.role = node_.takesWrites() ? "primary" : "replica";
+    state.role = node_.acceptsWrites() ? "primary" : "replica";
     state.received = node_.endOffset();
     state.applied = node_.applied();
-    state.fence = node_.fence(node_.committed());
+    state.fence = node_.fence(node_.committedDatabase());
     state.connections = connections_;
     state.peakConnections = peakConnections_;
     state.limits = settings_.limits;
@@ -225,12 +225,12 @@
 
 ParsedStatementPtr DatabaseServer::parse(const std::string &sql)
 {
-    const auto found = parsed_.find(sql);
-    if (found != parsed_.end())
+    const auto found = parseCache_.find(sql);
+    if (found != parseCache_.end())
         return found->second;
-    if (parsed_.size() >= maxParsed)
-        parsed_.clear();
-    return parsed_.emplace(sql, parseStatement(sql)).first->second;
+    if (parseCache_.size() >= maxCachedParses)
+        parseCache_.clear();
+    return parseCache_.emplace(sql, parseStatement(sql)).first->second;
 }
 
 bool DatabaseServer::admit()
@@ -251,23 +251,24 @@
 
 void DatabaseServer::occupySlot(Duration time, std::function<void()> done)
 {
-    slotRequests_.push_back({time, std::move(done)});
-    runSlots();
+    queuedRequests_.push_back({time, std::move(done)});
+    startQueuedRequests();
 }
 
-void DatabaseServer::runSlots()
+void DatabaseServer::startQueuedRequests()
 {
-    while (busySlots_ < settings_.limits.slots && !slotRequests_.empty()) {
-        const SlotRequest request = std::move(slotRequests_.front());
-        slotRequests_.pop_front();
+    while (busySlots_ < settings_.limits.slots && !queuedRequests_.empty()) {
+        const SlotRequest request = std::move(queuedRequests_.front());
+        queuedRequests_.pop_front();
         ++busySlots_;
-        timers().subscribeAfter(request.time, [this, run = run_, done = request.done] {
-            if (run != run_)
-                return;
-            --busySlots_;
-            done();
-            runSlots();
-        });
+        timers().subscribeAfter(request.time,
+                                [this, incarnation = incarnation_, done = request.done] {
+                                    if (incarnation != incarnation_)
+                                        return;
+                                    --busySlots_;
+                                    done();
+                                    startQueuedRequests();
+                                });
     }
 }
 
--- a/src/standin/databaseserver.h
+++ b/src/standin/databaseserver.h
@@ -48,7 +48,7 @@
     ~DatabaseServer();
 
     // Listens; the port is known afterwards. Throws boost::system::system_error when it can't.
-    void start(const ServerName &firstPrimary);
+    void start(const ServerName &initialPrimary);
     void stop();
     int port() const { return port_; }
     const ServerName &name() const { return settings_.name; }
@@ -61,9 +61,9 @@
     void kill(bool keepState);
     void restart();
     void setPaused(bool paused);
-    void setPeerCut(const ServerName &peer, bool cut);
-    void setClientCut(const std::string &address, bool cut);
-    void setAllClientsCut(bool cut);
+    void setPeerPartitioned(const ServerName &peer, bool partitioned);
+    void setClientPartitioned(const std::string &address, bool partitioned);
+    void setAllClientsPartitioned(bool partitioned);
     void setLimits(const ServerLimits &limits);
     ServerState state();
 
@@ -72,7 +72,7 @@
     TimerService &timers() { return thread_.timers(); }
     const ServerLimits &limits() const { return settings_.limits; }
     bool paused() const { return paused_; }
-    bool isCutOff(const std::string &clientAddress) const;
+    bool isPartitionedFrom(const std::string &clientAddress) const;
     ParsedStatementPtr parse(const std::string &sql);
     // Counts a new connection; false when there are too many.
     bool admit();
@@ -91,7 +91,7 @@
     void listen();
     void accept();
     void tick();
-    void runSlots();
+    void startQueuedRequests();
     void resumeSessions();
     void receive(const ServerName &from, const std::function<void(Node &)> &message);
 
@@ -100,24 +100,24 @@
     Node node_;
     boost::asio::ip::tcp::acceptor acceptor_;
     std::atomic<int> port_ {0};
-    DelayLine peerLine_;
+    DelayQueue peerMessages_;
 
     bool running_ = false;
     bool paused_ = false;
     // Goes up with each kill, so that what was under way is lost.
-    std::uint64_t run_ = 0;
-    std::set<ServerName> cutPeers_;
-    std::set<std::string> cutClients_;
-    bool allClientsCut_ = false;
-    std::vector<std::function<void()>> heldMessages_;
+    std::uint64_t incarnation_ = 0;
+    std::set<ServerName> partitionedPeers_;
+    std::set<std::string> partitionedClients_;
+    bool allClientsPartitioned_ = false;
+    std::vector<std::function<void()>> deferredMessages_;
 
     std::map<std::uint32_t, std::shared_ptr<WireSession>> sessions_;
-    std::uint32_t lastSession_ = 0;
+    std::uint32_t lastSessionId_ = 0;
     int connections_ = 0;
     int peakConnections_ = 0;
     int busySlots_ = 0;
-    std::deque<SlotRequest> slotRequests_;
-    std::unordered_map<std::string, ParsedStatementPtr> parsed_;
+    std::deque<SlotRequest> queuedRequests_;
+    std::unordered_map<std::string, ParsedStatementPtr> parseCache_;
 };
 
 } // namespace kelptally::standin
--- a/src/standin/delayline.cpp
+++ b/src/standin/delayqueue.cpp
@@ -1,8 +1,8 @@
-#include "standin/delayline.h"
+#include "standin/delayqueue.h"
 
 namespace kelptally::standin {
 
-void DelayLine::push(Instant due, std::function<void()> work)
+void DelayQueue::push(Instant due, std::function<void()> work)
 {
     if (items_.empty() && due <= timers_.now()) {
         work();
@@ -13,7 +13,7 @@
         timer_ = timers_.subscribeAt(due, [this] { runDue(); });
 }
 
-void DelayLine::clear()
+void DelayQueue::clear()
 {
     items_.clear();
     if (timer_ != 0)
@@ -21,7 +21,7 @@
     timer_ = 0;
 }
 
-void DelayLine::runDue()
+void DelayQueue::runDue()
 {
     // While work runs the timer counts as armed, so that work which pushes keeps its place.
     const Instant now = timers_.now();
--- a/src/standin/delayline.h
+++ b/src/standin/delayqueue.h
@@ -8,13 +8,13 @@
 namespace kelptally::standin {
 
 // Runs what is pushed after a delay, in the order of pushing. Used on one thread.
-class DelayLine
+class DelayQueue
 {
 public:
-    explicit DelayLine(TimerService &timers) : timers_(timers) { }
-    ~DelayLine() { clear(); }
-    DelayLine(const DelayLine &) = delete;
-    DelayLine &operator=(const DelayLine &) = delete;
+    explicit DelayQueue(TimerService &timers) : timers_(timers) { }
+    ~DelayQueue() { clear(); }
+    DelayQueue(const DelayQueue &) = delete;
+    DelayQueue &operator=(const DelayQueue &) = delete;
 
     // Runs at once when nothing waits and the time has come.
     void push(Instant due, std::function<void()> work);
--- a/src/standin/faults.cpp
+++ b/src/standin/faults.cpp
@@ -10,13 +10,13 @@
 
 using Json = nlohmann::json;
 
-struct Place
+struct FaultTarget
 {
     DatabaseGroup *group = nullptr;
     DatabaseServer *server = nullptr;
 };
 
-Place findServer(DatabaseGroups &groups, const std::string &name)
+FaultTarget findServer(DatabaseGroups &groups, const std::string &name)
 {
     for (const auto &group : groups)
         if (DatabaseServer *server = group->find(name))
@@ -24,10 +24,10 @@
     return {};
 }
 
-Duration timeOf(const Json &fault, const char *key, Duration otherwise)
+Duration durationOf(const Json &fault, const char *key, Duration defaultValue)
 {
     if (!fault.contains(key))
-        return otherwise;
+        return defaultValue;
     const double milliseconds = fault.at(key).get<double>();
     return Duration(std::llround(std::max(0.0, milliseconds) * 1e6));
 }
@@ -37,44 +37,44 @@
     ServerLimits limits = server.limits();
     limits.slots = std::max(1, fault.value("slots", limits.slots));
     limits.connections = std::max(0, fault.value("connections", limits.connections));
-    limits.connectionCost = timeOf(fault, "connection-cost-ms", limits.connectionCost);
-    limits.serviceTime = timeOf(fault, "service-ms", limits.serviceTime);
-    limits.clientDelay = timeOf(fault, "client-delay-ms", limits.clientDelay);
-    limits.replicationDelay = timeOf(fault, "replication-delay-ms", limits.replicationDelay);
-    limits.replicationLag = timeOf(fault, "replication-lag-ms", limits.replicationLag);
-    limits.lockTimeout = timeOf(fault, "lock-timeout-ms", limits.lockTimeout);
+    limits.connectionCost = durationOf(fault, "connection-cost-ms", limits.connectionCost);
+    limits.serviceTime = durationOf(fault, "service-ms", limits.serviceTime);
+    limits.clientDelay = durationOf(fault, "client-delay-ms", limits.clientDelay);
+    limits.replicationDelay = durationOf(fault, "replication-delay-ms", limits.replicationDelay);
+    limits.replicationLag = durationOf(fault, "replication-lag-ms", limits.replicationLag);
+    limits.lockTimeout = durationOf(fault, "lock-timeout-ms", limits.lockTimeout);
     server.setLimits(limits);
 }
 
 // "peers": names of servers, or "all"; "clients": addresses, or "all".
-void setPartition(const Place &place, const Json &fault, bool cut)
+void setPartition(const FaultTarget &target, const Json &fault, bool partitioned)
 {
     const Json peers = fault.value("peers", Json::array());
-    for (const auto &other : place.group->servers()) {
-        const bool named = peers == "all"
+    for (const auto &other : target.group->servers()) {
+        const bool selected = peers == "all"
             || (peers.is_array()
                 && std::find(peers.begin(), peers.end(), other->name()) != peers.end());
-        if (named && other.get() != place.server)
-            place.group->setCut(place.server->name(), other->name(), cut);
+        if (selected && other.get() != target.server)
+            target.group->setPartitioned(target.server->name(), other->name(), partitioned);
     }
     const Json clients = fault.value("clients", Json::array());
-    place.server->callAndWait([&](DatabaseServer &server) {
+    target.server->callAndWait([&](DatabaseServer &server) {
         if (clients == "all")
-            server.setAllClientsCut(cut);
+            server.setAllClientsPartitioned(partitioned);
         for (const Json &address : clients)
             if (clients.is_array())
-                server.setClientCut(address.get<std::string>(), cut);
+                server.setClientPartitioned(address.get<std::string>(), partitioned);
     });
 }
 
-std::string applyTo(const Place &place, const std::string &name, const Json &fault)
+std::string applyToServer(const FaultTarget &target, const std::string &name, const Json &fault)
 {
     if (name == "partition" || name == "heal") {
-        setPartition(place, fault, name == "partition");
+        setPartition(target, fault, name == "partition");
         return {};
     }
     std::string problem;
-    place.server->callAndWait([&](DatabaseServer &server) {
+    target.server->callAndWait([&](DatabaseServer &server) {
         try {
             if (name == "kill")
                 server.kill(fault.value("keep-state", true));
@@ -131,10 +131,10 @@
     try {
         const Json fault = Json::parse(body);
         const auto serverName = fault.at("server").get<std::string>();
-        const Place place = findServer(groups, serverName);
-        if (place.server == nullptr)
+        const FaultTarget target = findServer(groups, serverName);
+        if (target.server == nullptr)
             return "unknown server " + serverName;
-        return applyTo(place, fault.at("fault").get<std::string>(), fault);
+        return applyToServer(target, fault.at("fault").get<std::string>(), fault);
     } catch (const std::exception &error) {
         return error.what();
     }
--- a/src/standin/grouplog.h
+++ b/src/standin/grouplog.h
@@ -25,14 +25,14 @@
 using RecordPtr = std::shared_ptr<const Record>;
 
 // A term and the offset at which it began.
-struct TermBegin
+struct TermStart
 {
     Term term = 0;
     LogOffset start = 0;
 };
 
 // Records of one term that follow each other in a log.
-struct TermRun
+struct TermRange
 {
     Term term = 0;
     LogOffset first = 0;
@@ -47,7 +47,7 @@
     Position end() const { return positionAt(records_.size()); }
     Position positionAt(LogOffset offset) const;
     const RecordPtr &record(LogOffset offset) const { return records_[offset - 1]; }
-    const std::vector<TermRun> &runs() const { return runs_; }
+    const std::vector<TermRange> &termRanges() const { return termRanges_; }
 
     // The record's offset must be the next one.
     void append(RecordPtr record);
@@ -55,11 +55,11 @@
     void truncate(LogOffset offset);
 
     // Newest offset up to which both logs hold the same records.
-    LogOffset commonWith(const std::vector<TermRun> &other) const;
+    LogOffset commonOffset(const std::vector<TermRange> &other) const;
 
 private:
     std::vector<RecordPtr> records_;
-    std::vector<TermRun> runs_;
+    std::vector<TermRange> termRanges_;
 };
 
 } // namespace kelptally::standin
--- a/src/standin/node.cpp
+++ b/src/standin/node.cpp
@@ -10,12 +10,12 @@
 
 constexpr Term firstTerm = 1;
 // Records in one answer to a fetch; chosen, not measured.
-constexpr std::size_t maxFetchedRecords = 2000;
+constexpr std::size_t maxRecordsPerFetch = 2000;
 // A replica that has not asked for so long gets no records pushed; chosen, not measured.
-constexpr Duration replicaSilence = std::chrono::seconds(2);
+constexpr Duration replicaTimeout = std::chrono::seconds(2);
 
 // Tables and views that each server has. The views show the state that fact() gives.
-constexpr const char *ownSchema = R"sql(
+constexpr const char *systemSchema = R"sql(
 CREATE TABLE kelptally_fence(epoch BIGINT);
 INSERT INTO kelptally_fence VALUES (0);
 CREATE TABLE kelptally_request(key TEXT PRIMARY KEY, digest TEXT, outcome TEXT, attempt BIGINT,
@@ -31,7 +31,7 @@
     FROM json_each(kelptally_fact('history'));
 )sql";
 
-SqlError superseded(const std::string &message)
+SqlError staleTermError(const std::string &message)
 {
     return {"KT001", message};
 }
@@ -40,80 +40,81 @@
 
 Node::Node(ServerName name, std::string schema, TimerService &timers, PeerNetwork &network)
     : name_(std::move(name)), schema_(std::move(schema)), timers_(timers), network_(network),
-      writerLock_(timers), lagLine_(timers)
+      writerLock_(timers), applyQueue_(timers)
 {
     resetDatabases();
 }
 
 void Node::resetDatabases()
 {
-    committed_ = std::make_unique<SqliteDatabase>();
-    writing_ = std::make_unique<SqliteDatabase>();
-    for (SqliteDatabase *database : {committed_.get(), writing_.get()})
-        database->setFacts([this](std::string_view name) { return fact(name); });
+    committedDatabase_ = std::make_unique<SqliteDatabase>();
+    writerDatabase_ = std::make_unique<SqliteDatabase>();
+    for (SqliteDatabase *database : {committedDatabase_.get(), writerDatabase_.get()})
+        database->setStateLookup([this](std::string_view name) { return stateValue(name); });
     SqlError error;
-    CHECK(committed_->executeScript(ownSchema, error)) << error.message;
-    if (!committed_->executeScript(schema_, error))
+    CHECK(committedDatabase_->executeScript(systemSchema, error)) << error.message;
+    if (!committedDatabase_->executeScript(schema_, error))
         LOG(ERROR) << "event=schema-failed server=" << name_ << " cause=\"" << error.message
                    << "\"";
     applied_ = 0;
 }
 
-void Node::install(const ServerName &firstPrimary)
+void Node::install(const ServerName &initialPrimary)
 {
-    prepared_ = firstTerm;
+    preparedTerm_ = firstTerm;
     term_ = firstTerm;
     history_ = {{firstTerm, 1}};
-    primary_ = firstPrimary == name_;
+    primary_ = initialPrimary == name_;
     if (primary_)
-        writing_->copyFrom(*committed_);
+        writerDatabase_->copyFrom(*committedDatabase_);
     else
-        followed_ = Followed {firstPrimary, firstTerm, false};
+        replicationSource_ = ReplicationSource {initialPrimary, firstTerm, false};
 }
 
-void Node::loseState()
+void Node::eraseState()
 {
-    stopWriting();
-    lagLine_.clear();
+    stopWriter();
+    applyQueue_.clear();
     log_ = {};
     history_.clear();
     term_ = 0;
-    prepared_ = 0;
+    preparedTerm_ = 0;
     primary_ = false;
-    followed_.reset();
+    replicationSource_.reset();
     replicas_.clear();
     resetDatabases();
 }
 
 void Node::restart()
 {
-    stopWriting();
+    stopWriter();
     replicas_.clear();
 }
 
 bool Node::prepare(Term term, SqlError &error)
 {
-    if (term < prepared_ || (term <= term_ && term != prepared_)) {
-        error = superseded("term " + std::to_string(std::max(prepared_, term_))
-                           + " is prepared already");
+    if (term < preparedTerm_ || (term <= term_ && term != preparedTerm_)) {
+        error = staleTermError("term " + std::to_string(std::max(preparedTerm_, term_))
+                               + " is prepared already");
         return false;
     }
-    prepared_ = term;
-    if (primary_ && !takesWrites())
-        stopWriting();
+    preparedTerm_ = term;
+    if (primary_ && !acceptsWrites())
+        stopWriter();
     return true;
 }
 
 bool Node::promote(Term term, SqlError &error)
 {
-    if (primary_ && term_ == term && takesWrites())
+    if (primary_ && term_ == term && acceptsWrites())
         return true;
-    if (term != prepared_ || term <= term_ || (followed_ && followed_->term == term)) {
-        error = superseded("term " + std::to_string(term) + " is not prepared here");
+    if (term != preparedTerm_ || term <= term_
+        || (replicationSource_ && replicationSource_->term == term)) {
+        error = staleTermError("term " + std::to_string(term) + " is not prepared here");
         return false;
     }
     // 1. Readers see all that was received.
-    lagLine_.clear();
+    applyQueue_.clear();
     applyUpTo(endOffset());
     // 2. The new term begins after it; terms that began later are not part of our log.
     const LogOffset start = endOffset() + 1;
@@ -127,10 +128,10 @@
     log_.append(first);
     applyUpTo(start);
     // 4. Take writes.
-    writing_->copyFrom(*committed_);
+    writerDatabase_->copyFrom(*committedDatabase_);
     term_ = term;
     primary_ = true;
-    followed_.reset();
+    replicationSource_.reset();
     replicas_.clear();
     LOG(INFO) << "event=promoted server=" << name_ << " term=" << term << " start=" << start;
     return true;
@@ -138,17 +139,18 @@
 
 bool Node::follow(const ServerName &primary, Term term, SqlError &error)
 {
-    const bool leadsIt = primary_ && term == term_;
-    if (term < prepared_ || term < term_ || leadsIt || primary == name_) {
-        error = superseded("cannot follow " + primary + " in term " + std::to_string(term));
+    const bool leadsTerm = primary_ && term == term_;
+    if (term < preparedTerm_ || term < term_ || leadsTerm || primary == name_) {
+        error = staleTermError("cannot follow " + primary + " in term " + std::to_string(term));
         return false;
     }
-    if (followed_ && followed_->primary == primary && followed_->term == term)
+    if (replicationSource_ && replicationSource_->primary == primary
+        && replicationSource_->term == term)
         return true;
-    stopWriting();
-    prepared_ = term;
+    stopWriter();
+    preparedTerm_ = term;
     primary_ = false;
-    followed_ = Followed {primary, term, false};
+    replicationSource_ = ReplicationSource {primary, term, false};
     fetch();
     return true;
 }
@@ -167,39 +169,39 @@
     return epoch;
 }
 
-void Node::beginWriting()
+void Node::beginWriterTransaction()
 {
     SqlError error;
-    CHECK(writing_->execute("BEGIN", {}, error)) << error.message;
-    writingOpen_ = true;
+    CHECK(writerDatabase_->execute("BEGIN", {}, error)) << error.message;
+    writerTransactionOpen_ = true;
 }
 
-void Node::abandonWriting()
+void Node::rollBackWriterTransaction()
 {
-    if (!writingOpen_)
+    if (!writerTransactionOpen_)
         return;
     SqlError error;
-    writing_->execute("ROLLBACK", {}, error);
-    writingOpen_ = false;
+    writerDatabase_->execute("ROLLBACK", {}, error);
+    writerTransactionOpen_ = false;
 }
 
-void Node::stopWriting()
+void Node::stopWriter()
 {
-    abandonWriting();
+    rollBackWriterTransaction();
     writerLock_.revoke();
 }
 
-bool Node::commitWriting(std::vector<LoggedStatement> statements, SqlError &error)
+bool Node::commitWriterTransaction(std::vector<LoggedStatement> statements, SqlError &error)
 {
     if (statements.empty()) {
-        abandonWriting();
+        rollBackWriterTransaction();
         return true;
     }
-    if (!writing_->execute("COMMIT", {}, error)) {
-        abandonWriting();
+    if (!writerDatabase_->execute("COMMIT", {}, error)) {
+        rollBackWriterTransaction();
         return false;
     }
-    writingOpen_ = false;
+    writerTransactionOpen_ = false;
     const Position before = log_.end();
     auto record = std::make_shared<Record>();
     record->position = {term_, before.offset + 1};
@@ -213,8 +215,8 @@
 void Node::pushToReplicas(const RecordPtr &record, Position before)
 {
     const Instant now = timers_.now();
-    for (const auto &[replica, asked] : replicas_) {
-        if (now - asked > replicaSilence)
+    for (const auto &[replica, lastFetch] : replicas_) {
+        if (now - lastFetch > replicaTimeout)
             continue;
         AppendMessage message {term_, before, {record}, {}, std::nullopt};
         network_.send(replica, [message](Node &node) { node.onAppend(message); });
@@ -230,9 +232,9 @@
     answer.term = term_;
     answer.history = history_;
     answer.fetchedEnd = message.end;
-    const LogOffset common = log_.commonWith(message.runs);
+    const LogOffset common = log_.commonOffset(message.termRanges);
     answer.common = log_.positionAt(common);
-    const LogOffset last = std::min<LogOffset>(endOffset(), common + maxFetchedRecords);
+    const LogOffset last = std::min<LogOffset>(endOffset(), common + maxRecordsPerFetch);
     for (LogOffset offset = common + 1; offset <= last; ++offset)
         answer.records.push_back(log_.record(offset));
     network_.send(message.replica, [answer](Node &node) { node.onAppend(answer); });
@@ -240,14 +242,15 @@
 
 void Node::onAppend(const AppendMessage &message)
 {
-    if (!followed_ || message.term != followed_->term || message.term < prepared_)
+    if (!replicationSource_ || message.term != replicationSource_->term
+        || message.term < preparedTerm_)
         return;
     if (message.fetchedEnd && *message.fetchedEnd == log_.end()) {
         if (message.common.offset < endOffset())
             truncate(message.common.offset);
-        followed_->matched = true;
+        replicationSource_->logsMatch = true;
     }
-    if (!followed_->matched || log_.positionAt(message.common.offset) != message.common)
+    if (!replicationSource_->logsMatch || log_.positionAt(message.common.offset) != message.common)
         return;
     term_ = message.term;
     if (!message.history.empty())
@@ -262,7 +265,7 @@
 {
     const LogOffset offset = record->position.offset;
     log_.append(record);
-    lagLine_.push(timers_.now() + lag_, [this, offset] { applyUpTo(offset); });
+    applyQueue_.push(timers_.now() + replicationLag_, [this, offset] { applyUpTo(offset); });
 }
 
 void Node::applyUpTo(LogOffset offset)
@@ -275,22 +278,22 @@
 void Node::applyRecord(const Record &record)
 {
     SqlError error;
-    bool good = committed_->execute("BEGIN", {}, error);
+    bool good = committedDatabase_->execute("BEGIN", {}, error);
     for (const LoggedStatement &statement : record.statements)
-        good = good && committed_->execute(statement.sql, statement.parameters, error);
-    good = good && committed_->execute("COMMIT", {}, error);
+        good = good && committedDatabase_->execute(statement.sql, statement.parameters, error);
+    good = good && committedDatabase_->execute("COMMIT", {}, error);
     if (good)
         return;
     LOG(ERROR) << "event=apply-failed server=" << name_ << " offset=" << record.position.offset
                << " cause=\"" << error.message << "\"";
-    committed_->execute("ROLLBACK", {}, error);
+    committedDatabase_->execute("ROLLBACK", {}, error);
 }
 
 void Node::truncate(LogOffset offset)
 {
     LOG(INFO) << "event=records-dropped server=" << name_ << " from=" << endOffset()
               << " to=" << offset;
-    lagLine_.clear();
+    applyQueue_.clear();
     log_.truncate(offset);
     if (applied_ > offset)
         resetDatabases();
@@ -299,22 +302,22 @@
 
 void Node::onTick()
 {
-    if (followed_)
+    if (replicationSource_)
         fetch();
 }
 
 void Node::fetch()
 {
-    FetchMessage message {name_, followed_->term, log_.end(), log_.runs()};
-    network_.send(followed_->primary, [message](Node &node) { node.onFetch(message); });
+    FetchMessage message {name_, replicationSource_->term, log_.end(), log_.termRanges()};
+    network_.send(replicationSource_->primary, [message](Node &node) { node.onFetch(message); });
 }
 
-std::string Node::fact(std::string_view name) const
+std::string Node::stateValue(std::string_view name) const
 {
     if (name == "term")
-        return std::to_string(std::max(prepared_, term_));
+        return std::to_string(std::max(preparedTerm_, term_));
     if (name == "role")
-        return takesWrites() ? "primary" : "replica";
+        return acceptsWrites() ? "primary" : "replica";
     if (name == "received")
         return std::to_string(endOffset());
     if (name == "applied")
@@ -331,9 +334,9 @@
 std::string Node::historyJson() const
 {
     std::string text = "[";
-    for (const TermBegin &begin : history_) {
+    for (const TermStart &termStart : history_) {
         text += text.size() > 1 ? "," : "";
-        text += "[" + std::to_string(begin.term) + "," + std::to_string(begin.start) + "]";
+        text += "[" + std::to_string(termStart.term) + "," + std::to_string(termStart.start) + "]";
     }
     return text + "]";
 }
--- a/src/standin/node.h
+++ b/src/standin/node.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/timerservice.h"
-#include "standin/delayline.h"
+#include "standin/delayqueue.h"
 #include "standin/grouplog.h"
 #include "standin/writerlock.h"
 
@@ -32,7 +32,7 @@
     ServerName replica;
     Term term = 0;
     Position end;
-    std::vector<TermRun> runs;
+    std::vector<TermRange> termRanges;
 };
 
 // The primary's records after a position that both logs hold.
@@ -41,7 +41,7 @@
     Term term = 0;
     Position common;
     std::vector<RecordPtr> records;
-    std::vector<TermBegin> history;
+    std::vector<TermStart> history;
     // Set in the answer to a fetch: the replica's end as it was asked with. Only then may the
     // replica drop what lies after the common position.
     std::optional<Position> fetchedEnd;
@@ -56,14 +56,14 @@
     Node(ServerName name, std::string schema, TimerService &timers, PeerNetwork &network);
 
     // The state of a new installation: empty, as the primary or a replica of the first term.
-    void install(const ServerName &firstPrimary);
+    void install(const ServerName &initialPrimary);
     // Loses everything, as a server whose storage was lost.
-    void loseState();
+    void eraseState();
     // Forgets what a restarted process would not know: open transactions, the replicas' requests.
     void restart();
 
-    SqliteDatabase &committed() { return *committed_; }
-    SqliteDatabase &writing() { return *writing_; }
+    SqliteDatabase &committedDatabase() { return *committedDatabase_; }
+    SqliteDatabase &writerDatabase() { return *writerDatabase_; }
 
     // Control functions. Each gives false and sets the error when refused.
     bool prepare(Term term, SqlError &error);
@@ -73,17 +73,17 @@
     LogOffset endOffset() const { return log_.end().offset; }
     LogOffset applied() const { return applied_; }
     Term term() const { return term_; }
-    bool takesWrites() const { return primary_ && prepared_ <= term_; }
+    bool acceptsWrites() const { return primary_ && preparedTerm_ <= term_; }
 
     // The writer's transaction. Begin when the lock was just acquired.
     WriterLock &writerLock() { return writerLock_; }
-    void beginWriting();
-    void abandonWriting();
+    void beginWriterTransaction();
+    void rollBackWriterTransaction();
     // Commits the writer's transaction and logs its statements.
-    bool commitWriting(std::vector<LoggedStatement> statements, SqlError &error);
+    bool commitWriterTransaction(std::vector<LoggedStatement> statements, SqlError &error);
 
-    void setLag(Duration lag) { lag_ = lag; }
-    Duration lag() const { return lag_; }
+    void setReplicationLag(Duration replicationLag) { replicationLag_ = replicationLag; }
+    Duration replicationLag() const { return replicationLag_; }
 
     // Messages of the peers.
     void onFetch(const FetchMessage &message);
@@ -92,22 +92,22 @@
     void onTick();
 
     // Names as in the columns of kelptally_status, and "history" as JSON.
-    std::string fact(std::string_view name) const;
+    std::string stateValue(std::string_view name) const;
     const ServerName &name() const { return name_; }
 
     static constexpr Duration fetchPeriod = std::chrono::milliseconds(20);
 
 private:
-    struct Followed
+    struct ReplicationSource
     {
         ServerName primary;
         Term term = 0;
         // Our log is a beginning of the primary's.
-        bool matched = false;
+        bool logsMatch = false;
     };
 
     void resetDatabases();
-    void stopWriting();
+    void stopWriter();
     void fetch();
     void receive(const RecordPtr &record);
     void applyUpTo(LogOffset offset);
@@ -120,23 +120,23 @@
     const std::string schema_;
     TimerService &timers_;
     PeerNetwork &network_;
-    std::unique_ptr<SqliteDatabase> committed_;
-    std::unique_ptr<SqliteDatabase> writing_;
+    std::unique_ptr<SqliteDatabase> committedDatabase_;
+    std::unique_ptr<SqliteDatabase> writerDatabase_;
     WriterLock writerLock_;
-    bool writingOpen_ = false;
+    bool writerTransactionOpen_ = false;
 
     GroupLog log_;
     LogOffset applied_ = 0;
-    std::vector<TermBegin> history_;
+    std::vector<TermStart> history_;
     Term term_ = 0;
-    Term prepared_ = 0;
+    Term preparedTerm_ = 0;
     bool primary_ = false;
-    std::optional<Followed> followed_;
+    std::optional<ReplicationSource> replicationSource_;
     // Replicas that asked us lately, at a primary.
     std::map<ServerName, Instant> replicas_;
 
-    Duration lag_ {0};
-    DelayLine lagLine_;
+    Duration replicationLag_ {0};
+    DelayQueue applyQueue_;
 };
 
 } // namespace kelptally::standin
--- a/src/standin/platformstandin.cpp
+++ b/src/standin/platformstandin.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::uint64_t maxRequestBytes = 16u << 20;
 
-PlatformRequest requestOf(http::request<http::string_body> &message)
+PlatformRequest toPlatformRequest(http::request<http::string_body> &message)
 {
     PlatformRequest request;
     request.method = std::string(message.method_string());
@@ -52,7 +52,7 @@
     {
         keepAlive_ = parser_->get().keep_alive();
         const bool isWrite = parser_->get().method() != http::verb::get;
-        const PlatformRequest request = requestOf(parser_->get());
+        const PlatformRequest request = toPlatformRequest(parser_->get());
         const PlatformService service = PlatformState::serviceOf(request.target);
         state_->count(service, isWrite);
         const PlatformFaults &faults = state_->faults(service);
@@ -60,20 +60,20 @@
             return reset();
         if (faults.outage == Outage::Refuse)
             return write({503, "", "{}"});
-        if (faults.slow == Duration(0))
-            return carryOut(request, service, isWrite);
-        thread_.timers().subscribeAfter(faults.slow,
+        if (faults.delay == Duration(0))
+            return execute(request, service, isWrite);
+        thread_.timers().subscribeAfter(faults.delay,
                                         [self = shared_from_this(), request, service, isWrite] {
-                                            self->carryOut(request, service, isWrite);
+                                            self->execute(request, service, isWrite);
                                         });
     }
 
-    void carryOut(const PlatformRequest &request, PlatformService service, bool isWrite)
+    void execute(const PlatformRequest &request, PlatformService service, bool isWrite)
     {
         PlatformResponse response = state_->handle(thread_.timers().now(), request);
-        int &loseAnswers = state_->faults(service).loseAnswers;
-        if (isWrite && response.status == 200 && loseAnswers > 0) {
-            --loseAnswers;
+        int &lostResponses = state_->faults(service).lostResponses;
+        if (isWrite && response.status == 200 && lostResponses > 0) {
+            --lostResponses;
             return reset();
         }
         write(std::move(response));
--- a/src/standin/platformstate.cpp
+++ b/src/standin/platformstate.cpp
@@ -12,9 +12,9 @@
                                                                     "control"};
 const std::array<std::string, 3> outageNames = {"none", "reset", "refuse"};
 
-PlatformResponse failure(int status, const std::string &why)
+PlatformResponse failure(int status, const std::string &title)
 {
-    return {status, "", Json {{"title", why}, {"status", status}}.dump()};
+    return {status, "", Json {{"title", title}, {"status", status}}.dump()};
 }
 
 PlatformResponse success(const Json &json, const std::string &etag = {})
@@ -69,10 +69,10 @@
 Target parseTarget(std::string_view text)
 {
     Target target;
-    const auto question = std::min(text.find('?'), text.size());
-    if (question < text.size())
-        target.query = std::string(text.substr(question + 1));
-    std::string_view path = text.substr(0, question);
+    const auto queryStart = std::min(text.find('?'), text.size());
+    if (queryStart < text.size())
+        target.query = std::string(text.substr(queryStart + 1));
+    std::string_view path = text.substr(0, queryStart);
     while (!path.empty()) {
         path.remove_prefix(1);
         const auto end = std::min(path.find('/'), path.size());
@@ -209,20 +209,20 @@
     for (const RowWrite &write : *writes) {
         const Items &items = tables_[write.table];
         const auto found = items.find(write.key);
-        const bool holds = write.expectedEtag
+        const bool conditionMet = write.expectedEtag
             ? found != items.end() && found->second.etag == *write.expectedEtag
             : found == items.end();
-        if (!holds)
+        if (!conditionMet)
             return failure(412,
                            "the condition on " + write.table + "/" + write.key + " does not hold");
     }
-    Json tags = Json::array();
+    Json newEtags = Json::array();
     for (const RowWrite &write : *writes) {
-        const std::string tag = nextTag();
-        tables_[write.table][write.key] = {write.value, tag};
-        tags.push_back(tag);
+        const std::string newEtag = nextEtag();
+        tables_[write.table][write.key] = {write.value, newEtag};
+        newEtags.push_back(newEtag);
     }
-    return success({{"etags", tags}});
+    return success({{"etags", newEtags}});
 }
 
 PlatformResponse PlatformState::getObject(const std::string &key) const
@@ -239,24 +239,24 @@
     const bool exists = found != objects_.end();
     if (request.ifMatch.empty() && !request.ifNoneMatch)
         return failure(428, "If-Match or If-None-Match: * is required");
-    const bool holds = request.ifNoneMatch
+    const bool conditionMet = request.ifNoneMatch
         ? !exists
         : exists && "\"" + found->second.etag + "\"" == request.ifMatch;
-    if (!holds)
+    if (!conditionMet)
         return failure(412, "the condition does not hold");
-    const std::string tag = nextTag();
-    objects_[key] = {request.body, tag};
-    return success(Json::object(), tag);
+    const std::string newEtag = nextEtag();
+    objects_[key] = {request.body, newEtag};
+    return success(Json::object(), newEtag);
 }
 
 PlatformResponse PlatformState::listHosts(Instant now)
 {
     // All but the newest visible list are of no use any more.
-    while (hosts_.size() > 1 && hosts_[1].visibleFrom <= now)
-        hosts_.erase(hosts_.begin());
+    while (hostVersions_.size() > 1 && hostVersions_[1].visibleFrom <= now)
+        hostVersions_.erase(hostVersions_.begin());
     Json hosts = Json::array();
-    if (!hosts_.empty() && hosts_[0].visibleFrom <= now)
-        for (const auto &host : hosts_[0].hosts)
+    if (!hostVersions_.empty() && hostVersions_[0].visibleFrom <= now)
+        for (const auto &host : hostVersions_[0].hosts)
             hosts.push_back(
                 {{"name", host.name},
                  {"address", host.address},
@@ -277,9 +277,9 @@
 void PlatformState::setHosts(Instant visibleFrom, std::vector<services::ListedHost> hosts)
 {
     // A change with a shorter lag does not overtake an earlier one.
-    if (!hosts_.empty())
-        visibleFrom = std::max(visibleFrom, hosts_.back().visibleFrom);
-    hosts_.push_back({visibleFrom, std::move(hosts)});
+    if (!hostVersions_.empty())
+        visibleFrom = std::max(visibleFrom, hostVersions_.back().visibleFrom);
+    hostVersions_.push_back({visibleFrom, std::move(hosts)});
 }
 
 PlatformResponse PlatformState::setFaults(const std::string &body)
@@ -301,9 +301,9 @@
         PlatformFaults &faults = faults_[i];
         if (outage)
             faults.outage = static_cast<Outage>(outageAt - outageNames.begin());
-        if (const auto slow = countMember(json, "slowMs"))
-            faults.slow = std::chrono::milliseconds(*slow);
-        faults.loseAnswers = countMember(json, "loseAnswers").value_or(faults.loseAnswers);
+        if (const auto delay = countMember(json, "slowMs"))
+            faults.delay = std::chrono::milliseconds(*delay);
+        faults.lostResponses = countMember(json, "loseAnswers").value_or(faults.lostResponses);
     }
     if (const auto lag = countMember(json, "hostLagMs"))
         hostLag_ = std::chrono::milliseconds(*lag);
@@ -319,9 +319,9 @@
     return success(json);
 }
 
-std::string PlatformState::nextTag()
+std::string PlatformState::nextEtag()
 {
-    return "v" + std::to_string(++lastTag_);
+    return "v" + std::to_string(++lastEtag_);
 }
 
 } // namespace kelptally::standin
--- a/src/standin/platformstate.h
+++ b/src/standin/platformstate.h
@@ -53,9 +53,9 @@
 {
     Outage outage = Outage::None;
     // Wait before the effect.
-    Duration slow {0};
+    Duration delay {0};
     // So many of the next successful writes take effect and get no answer.
-    int loseAnswers = 0;
+    int lostResponses = 0;
 };
 
 struct PlatformCounters
@@ -102,13 +102,13 @@
     PlatformResponse putHosts(Instant now, const std::string &body);
     PlatformResponse setFaults(const std::string &body);
     PlatformResponse showCounters() const;
-    std::string nextTag();
+    std::string nextEtag();
 
     std::map<std::string, Items> tables_;
     Items objects_;
-    std::vector<HostsVersion> hosts_;
+    std::vector<HostsVersion> hostVersions_;
     Duration hostLag_ {0};
-    std::uint64_t lastTag_ = 0;
+    std::uint64_t lastEtag_ = 0;
     std::array<PlatformFaults, platformServiceCount> faults_;
     std::array<PlatformCounters, platformServiceCount> counters_;
 };
--- a/src/standin/sqlitedatabase.cpp
+++ b/src/standin/sqlitedatabase.cpp
@@ -59,11 +59,11 @@
     return (extendedCode & 0xff) == SQLITE_ERROR ? "42000" : "XX000";
 }
 
-void callFact(sqlite3_context *context, int, sqlite3_value **arguments)
+void callStateLookup(sqlite3_context *context, int, sqlite3_value **arguments)
 {
     const auto *database = static_cast<const SqliteDatabase *>(sqlite3_user_data(context));
     const auto *name = reinterpret_cast<const char *>(sqlite3_value_text(arguments[0]));
-    const std::string value = database->facts()(name ? name : "");
+    const std::string value = database->stateLookup()(name ? name : "");
     const bool number = !value.empty()
         && std::all_of(value.begin(), value.end(), [](char c) { return c >= '0' && c <= '9'; });
     if (number)
@@ -82,7 +82,7 @@
         // SQLite takes "$1::text" as one name: only its number counts.
         const char *name = sqlite3_bind_parameter_name(statement, i);
         const int number = name ? std::atoi(name + 1) : 0;
-        numbers_.push_back(number);
+        parameterNumbers_.push_back(number);
         parameterCount_ = std::max(parameterCount_, number);
     }
 }
@@ -109,8 +109,8 @@
         | SQLITE_OPEN_NOMUTEX | SQLITE_OPEN_PRIVATECACHE;
     CHECK_EQ(sqlite3_open_v2(":memory:", &database_, flags, nullptr), SQLITE_OK);
     sqlite3_extended_result_codes(database_, 1);
-    sqlite3_create_function(database_, "kelptally_fact", 1, SQLITE_UTF8, this, callFact, nullptr,
-                            nullptr);
+    sqlite3_create_function(database_, "kelptally_fact", 1, SQLITE_UTF8, this, callStateLookup,
+                            nullptr, nullptr);
 }
 
 SqliteDatabase::~SqliteDatabase()
@@ -143,9 +143,9 @@
 
 void SqliteDatabase::bind(SqlStatement &statement, const std::vector<Parameter> &parameters)
 {
-    for (std::size_t i = 0; i < statement.numbers_.size(); ++i) {
+    for (std::size_t i = 0; i < statement.parameterNumbers_.size(); ++i) {
         const int index = int(i) + 1;
-        const std::size_t number = std::size_t(statement.numbers_[i]);
+        const std::size_t number = std::size_t(statement.parameterNumbers_[i]);
         if (number == 0 || number > parameters.size() || !parameters[number - 1].value) {
             sqlite3_bind_null(statement.statement_, index);
             continue;
@@ -221,9 +221,9 @@
     sqlite3_backup_finish(backup);
 }
 
-void SqliteDatabase::setFacts(FactFunction facts)
+void SqliteDatabase::setStateLookup(StateLookup stateLookup)
 {
-    facts_ = std::move(facts);
+    stateLookup_ = std::move(stateLookup);
 }
 
 SqlError SqliteDatabase::lastError() const
--- a/src/standin/sqlitedatabase.h
+++ b/src/standin/sqlitedatabase.h
@@ -66,7 +66,7 @@
     const bool readOnly_;
     int parameterCount_ = 0;
     // For each parameter of SQLite the number n of its $n.
-    std::vector<int> numbers_;
+    std::vector<int> parameterNumbers_;
 };
 
 // One in-memory SQLite database that takes PostgreSQL's $n parameters. Used on one thread.
@@ -94,16 +94,16 @@
     void copyFrom(const SqliteDatabase &other);
 
     // A function kelptally_fact(name) for the views of the server's own state.
-    using FactFunction = std::function<std::string(std::string_view)>;
-    void setFacts(FactFunction facts);
-    const FactFunction &facts() const { return facts_; }
+    using StateLookup = std::function<std::string(std::string_view)>;
+    void setStateLookup(StateLookup stateLookup);
+    const StateLookup &stateLookup() const { return stateLookup_; }
 
 private:
     void bind(SqlStatement &statement, const std::vector<Parameter> &parameters);
     SqlError lastError() const;
 
     sqlite3 *database_ = nullptr;
-    FactFunction facts_;
+    StateLookup stateLookup_;
     std::unordered_map<std::string, std::unique_ptr<SqlStatement>> statements_;
     std::vector<std::optional<std::string_view>> row_;
 };
--- a/src/standin/sqlsession.cpp
+++ b/src/standin/sqlsession.cpp
@@ -19,7 +19,7 @@
     return index < arguments.size() ? std::strtoull(arguments[index].c_str(), nullptr, 10) : 0;
 }
 
-std::string tagOf(const std::string &verb, std::size_t affected)
+std::string commandTag(const std::string &verb, std::size_t affected)
 {
     if (verb == "INSERT" || verb == "REPLACE")
         return "INSERT 0 " + std::to_string(affected);
@@ -30,8 +30,8 @@
     return "SELECT " + std::to_string(affected);
 }
 
-std::vector<std::string> argumentsOf(const ParsedStatement &statement,
-                                     const std::vector<Parameter> &parameters)
+std::vector<std::string> evaluateArguments(const ParsedStatement &statement,
+                                           const std::vector<Parameter> &parameters)
 {
     std::vector<std::string> values;
     for (const ControlArgument &argument : statement.arguments) {
@@ -48,7 +48,7 @@
 
 SqlSession::SqlSession(Node &node, std::function<void()> wake) : node_(node)
 {
-    lockUser_.wake = std::move(wake);
+    lockRequester_.wake = std::move(wake);
 }
 
 SqlSession::~SqlSession() = default;
@@ -66,37 +66,37 @@
     return 'I';
 }
 
-Progress SqlSession::describe(const ParsedStatement &statement, std::vector<Column> &columns,
-                              SqlError &error)
+StepStatus SqlSession::describe(const ParsedStatement &statement, std::vector<Column> &columns,
+                                SqlError &error)
 {
     columns.clear();
     if (statement.kind == StatementKind::Control || statement.kind == StatementKind::Show) {
         columns.push_back({statement.name, 25});
-        return Progress::Done;
+        return StepStatus::Done;
     }
     if (statement.kind != StatementKind::Query)
-        return Progress::Done;
+        return StepStatus::Done;
     SqlStatement *compiled = database().prepare(statement.sql, error);
     if (compiled == nullptr)
-        return Progress::Failed;
+        return StepStatus::Failed;
     columns = compiled->columns();
-    return Progress::Done;
+    return StepStatus::Done;
 }
 
-Progress SqlSession::execute(const ParsedStatement &statement,
-                             const std::vector<Parameter> &parameters, const RowSink &sink,
-                             std::string &tag, SqlError &error)
+StepStatus SqlSession::execute(const ParsedStatement &statement,
+                               const std::vector<Parameter> &parameters, const RowSink &sink,
+                               std::string &tag, SqlError &error)
 {
     tag = statement.verb;
-    const bool ends =
+    const bool endsTransaction =
         statement.kind == StatementKind::Commit || statement.kind == StatementKind::Rollback;
-    if (state_ == State::Failed && !ends) {
+    if (state_ == State::Failed && !endsTransaction) {
         error = {"25P02", "current transaction is aborted, commands ignored until end of block"};
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
     switch (statement.kind) {
     case StatementKind::Empty:
-        return Progress::Done;
+        return StepStatus::Done;
     case StatementKind::Query:
         return executeQuery(statement, parameters, sink, tag, error);
     case StatementKind::Control:
@@ -115,90 +115,90 @@
             settings_.clear();
         else
             settings_.erase(statement.name);
-        return Progress::Done;
+        return StepStatus::Done;
     case StatementKind::Show:
         sink({std::string_view(settings_[statement.name])});
-        return Progress::Done;
+        return StepStatus::Done;
     case StatementKind::Discard:
         settings_.clear();
         tag = "DISCARD ALL";
-        return Progress::Done;
+        return StepStatus::Done;
     case StatementKind::Unsupported:
         error = {"0A000", "the stand-in does not support " + statement.verb + " of this kind"};
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
-    return Progress::Done;
+    return StepStatus::Done;
 }
 
-Progress SqlSession::executeQuery(const ParsedStatement &statement,
-                                  const std::vector<Parameter> &parameters, const RowSink &sink,
-                                  std::string &tag, SqlError &error)
+StepStatus SqlSession::executeQuery(const ParsedStatement &statement,
+                                    const std::vector<Parameter> &parameters, const RowSink &sink,
+                                    std::string &tag, SqlError &error)
 {
-    if (lockUser_.revoked) {
+    if (lockRequester_.revoked) {
         error = readOnlyError(statement.verb);
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
     SqlStatement *compiled = database().prepare(statement.sql, error);
     if (compiled == nullptr)
-        return Progress::Failed;
+        return StepStatus::Failed;
     const bool writes = !compiled->readOnly();
     if (writes) {
-        const Progress locked = lockForWriting(statement.verb, error);
-        if (locked != Progress::Done)
+        const StepStatus locked = lockForWriting(statement.verb, error);
+        if (locked != StepStatus::Done)
             return locked;
         compiled = database().prepare(statement.sql, error);
         if (compiled == nullptr)
-            return Progress::Failed;
+            return StepStatus::Failed;
     }
     std::size_t affected = 0;
     if (!database().run(*compiled, parameters, sink, affected, error))
-        return Progress::Failed;
+        return StepStatus::Failed;
     if (writes)
         statements_.push_back({statement.sql, parameters});
-    tag = tagOf(statement.verb, affected);
-    return Progress::Done;
+    tag = commandTag(statement.verb, affected);
+    return StepStatus::Done;
 }
 
-Progress SqlSession::lockForWriting(const std::string &verb, SqlError &error)
+StepStatus SqlSession::lockForWriting(const std::string &verb, SqlError &error)
 {
-    if (!node_.takesWrites() || readOnly_ || lockUser_.revoked) {
+    if (!node_.acceptsWrites() || readOnly_ || lockRequester_.revoked) {
         error = readOnlyError(verb);
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
-    if (lockUser_.timedOut) {
-        lockUser_.timedOut = false;
+    if (lockRequester_.timedOut) {
+        lockRequester_.timedOut = false;
         error = {"55P03", "canceling statement due to lock timeout"};
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
-    if (!node_.writerLock().acquire(lockUser_, lockTimeout_))
-        return Progress::Waits;
-    if (!begun_)
-        node_.beginWriting();
-    begun_ = true;
-    return Progress::Done;
+    if (!node_.writerLock().acquire(lockRequester_, lockTimeout_))
+        return StepStatus::Pending;
+    if (!transactionBegun_)
+        node_.beginWriterTransaction();
+    transactionBegun_ = true;
+    return StepStatus::Done;
 }
 
-Progress SqlSession::executeControl(const ParsedStatement &statement,
-                                    const std::vector<Parameter> &parameters, const RowSink &sink,
-                                    SqlError &error)
+StepStatus SqlSession::executeControl(const ParsedStatement &statement,
+                                      const std::vector<Parameter> &parameters, const RowSink &sink,
+                                      SqlError &error)
 {
     std::string result;
-    const Progress progress =
-        callControl(statement, argumentsOf(statement, parameters), result, error);
-    if (progress == Progress::Done)
+    const StepStatus status =
+        callControlFunction(statement, evaluateArguments(statement, parameters), result, error);
+    if (status == StepStatus::Done)
         sink({std::string_view(result)});
-    return progress;
+    return status;
 }
 
-Progress SqlSession::callControl(const ParsedStatement &statement,
-                                 const std::vector<std::string> &arguments, std::string &result,
-                                 SqlError &error)
+StepStatus SqlSession::callControlFunction(const ParsedStatement &statement,
+                                           const std::vector<std::string> &arguments,
+                                           std::string &result, SqlError &error)
 {
     const std::string &name = statement.name;
     result = arguments.empty() ? std::string() : arguments.back();
     if (name == "kelptally_write_offset") {
         result = std::to_string(node_.endOffset() + (statements_.empty() ? 0 : 1));
-        return Progress::Done;
+        return StepStatus::Done;
     }
     if (name == "kelptally_check_fence")
         return checkFence(toNumber(arguments, 0), error);
@@ -213,91 +213,92 @@
         good = node_.follow(arguments[0], toNumber(arguments, 1), error);
     else
         error = {"42883", name + " takes two arguments"};
-    return good ? Progress::Done : Progress::Failed;
+    return good ? StepStatus::Done : StepStatus::Failed;
 }
 
 // On a primary the check takes the writer lock, so that the fence stays as it is until the
 // transaction ends.
-Progress SqlSession::checkFence(OwnerEpoch epoch, SqlError &error)
+StepStatus SqlSession::checkFence(OwnerEpoch epoch, SqlError &error)
 {
-    if (node_.takesWrites() && !readOnly_) {
-        const Progress locked = lockForWriting("SELECT", error);
-        if (locked != Progress::Done)
+    if (node_.acceptsWrites() && !readOnly_) {
+        const StepStatus locked = lockForWriting("SELECT", error);
+        if (locked != StepStatus::Done)
             return locked;
     }
     const OwnerEpoch fence = node_.fence(database());
     if (fence <= epoch)
-        return Progress::Done;
+        return StepStatus::Done;
     error = fencedError(fence);
-    return Progress::Failed;
+    return StepStatus::Failed;
 }
 
-Progress SqlSession::raiseFence(OwnerEpoch epoch, SqlError &error)
+StepStatus SqlSession::raiseFence(OwnerEpoch epoch, SqlError &error)
 {
-    const Progress locked = lockForWriting("kelptally_raise_fence", error);
-    if (locked != Progress::Done)
+    const StepStatus locked = lockForWriting("kelptally_raise_fence", error);
+    if (locked != StepStatus::Done)
         return locked;
     const OwnerEpoch fence = node_.fence(database());
     if (fence > epoch) {
         error = fencedError(fence);
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
     if (fence == epoch)
-        return Progress::Done;
+        return StepStatus::Done;
     const LoggedStatement update {"UPDATE kelptally_fence SET epoch = $1",
                                   {{std::to_string(epoch), ParameterType::Integer}}};
     if (!database().execute(update.sql, update.parameters, error))
-        return Progress::Failed;
+        return StepStatus::Failed;
     statements_.push_back(update);
-    return Progress::Done;
+    return StepStatus::Done;
 }
 
-Progress SqlSession::begin(const ParsedStatement &statement)
+StepStatus SqlSession::begin(const ParsedStatement &statement)
 {
     state_ = State::Explicit;
     readOnly_ = statement.readOnly;
-    return Progress::Done;
+    return StepStatus::Done;
 }
 
-Progress SqlSession::end(bool commitIt, std::string &tag, SqlError &error)
+StepStatus SqlSession::end(bool commitRequested, std::string &tag, SqlError &error)
 {
-    tag = commitIt && state_ != State::Failed ? "COMMIT" : "ROLLBACK";
+    tag = commitRequested && state_ != State::Failed ? "COMMIT" : "ROLLBACK";
     const bool commits = tag == "COMMIT";
-    const Progress progress = commits ? commit(error) : Progress::Done;
+    const StepStatus status = commits ? commit(error) : StepStatus::Done;
     rollBack();
     state_ = State::Idle;
     readOnly_ = false;
-    return progress;
+    return status;
 }
 
-Progress SqlSession::sync(SqlError &error)
+StepStatus SqlSession::sync(SqlError &error)
 {
     if (state_ != State::Idle)
-        return Progress::Done;
-    const Progress progress = commit(error);
+        return StepStatus::Done;
+    const StepStatus status = commit(error);
     rollBack();
-    return progress;
+    return status;
 }
 
-Progress SqlSession::commit(SqlError &error)
+StepStatus SqlSession::commit(SqlError &error)
 {
-    if (lockUser_.revoked || (!statements_.empty() && !node_.takesWrites())) {
+    if (lockRequester_.revoked || (!statements_.empty() && !node_.acceptsWrites())) {
         error = readOnlyError("COMMIT");
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
-    if (!writing())
-        return Progress::Done;
-    return node_.commitWriting(std::move(statements_), error) ? Progress::Done : Progress::Failed;
+    if (!holdsWriterLock())
+        return StepStatus::Done;
+    return node_.commitWriterTransaction(std::move(statements_), error) ? StepStatus::Done
+                                                                        : StepStatus::Failed;
 }
 
 void SqlSession::rollBack()
 {
-    if (writing() && begun_)
-        node_.abandonWriting();
-    node_.writerLock().release(lockUser_);
-    lockUser_.revoked = false;
-    lockUser_.timedOut = false;
-    begun_ = false;
+    if (holdsWriterLock() && transactionBegun_)
+        node_.rollBackWriterTransaction();
+    node_.writerLock().release(lockRequester_);
+    lockRequester_.revoked = false;
+    lockRequester_.timedOut = false;
+    transactionBegun_ = false;
     statements_.clear();
 }
 
@@ -308,7 +309,7 @@
         state_ = State::Failed;
 }
 
-void SqlSession::abandon()
+void SqlSession::onClientDisconnected()
 {
     rollBack();
     state_ = State::Idle;
--- a/src/standin/sqlsession.h
+++ b/src/standin/sqlsession.h
@@ -11,9 +11,9 @@
 namespace kelptally::standin {
 
 // Whether a step is finished. One that waits is given again after the wake function was called.
-enum class Progress {
+enum class StepStatus {
     Done,
-    Waits,
+    Pending,
     Failed,
 };
 
@@ -28,17 +28,17 @@
     ~SqlSession();
 
     // Columns that the statement will return; Failed when it does not compile.
-    Progress describe(const ParsedStatement &statement, std::vector<Column> &columns,
-                      SqlError &error);
+    StepStatus describe(const ParsedStatement &statement, std::vector<Column> &columns,
+                        SqlError &error);
     // Runs one statement. The tag is that of CommandComplete, empty for an empty statement.
-    Progress execute(const ParsedStatement &statement, const std::vector<Parameter> &parameters,
-                     const RowSink &sink, std::string &tag, SqlError &error);
+    StepStatus execute(const ParsedStatement &statement, const std::vector<Parameter> &parameters,
+                       const RowSink &sink, std::string &tag, SqlError &error);
     // Ends an implicit transaction: commits it.
-    Progress sync(SqlError &error);
+    StepStatus sync(SqlError &error);
     // After any error: rolls back; an explicit transaction stays failed until it is ended.
     void fail();
     // The client is gone.
-    void abandon();
+    void onClientDisconnected();
 
     // As in ReadyForQuery: 'I' idle, 'T' in a transaction, 'E' in a failed one.
     char transactionStatus() const;
@@ -52,33 +52,36 @@
         Failed,
     };
 
-    Progress executeQuery(const ParsedStatement &statement,
-                          const std::vector<Parameter> &parameters, const RowSink &sink,
-                          std::string &tag, SqlError &error);
-    Progress executeControl(const ParsedStatement &statement,
+    StepStatus executeQuery(const ParsedStatement &statement,
                             const std::vector<Parameter> &parameters, const RowSink &sink,
-                            SqlError &error);
-    Progress callControl(const ParsedStatement &statement,
-                         const std::vector<std::string> &arguments, std::string &result,
-                         SqlError &error);
-    Progress raiseFence(OwnerEpoch epoch, SqlError &error);
-    Progress checkFence(OwnerEpoch epoch, SqlError &error);
-    Progress begin(const ParsedStatement &statement);
-    Progress end(bool commit, std::string &tag, SqlError &error);
-    Progress commit(SqlError &error);
+                            std::string &tag, SqlError &error);
+    StepStatus executeControl(const ParsedStatement &statement,
+                              const std::vector<Parameter> &parameters, const RowSink &sink,
+                              SqlError &error);
+    StepStatus callControlFunction(const ParsedStatement &statement,
+                                   const std::vector<std::string> &arguments, std::string &result,
+                                   SqlError &error);
+    StepStatus raiseFence(OwnerEpoch epoch, SqlError &error);
+    StepStatus checkFence(OwnerEpoch epoch, SqlError &error);
+    StepStatus begin(const ParsedStatement &statement);
+    StepStatus end(bool commit, std::string &tag, SqlError &error);
+    StepStatus commit(SqlError &error);
     // Makes this session the writer.
-    Progress lockForWriting(const std::string &verb, SqlError &error);
-    bool writing() const { return node_.writerLock().heldBy(lockUser_); }
-    SqliteDatabase &database() { return writing() ? node_.writing() : node_.committed(); }
+    StepStatus lockForWriting(const std::string &verb, SqlError &error);
+    bool holdsWriterLock() const { return node_.writerLock().isHeldBy(lockRequester_); }
+    SqliteDatabase &database()
+    {
+        return holdsWriterLock() ? node_.writerDatabase() : node_.committedDatabase();
+    }
     void rollBack();
 
     Node &node_;
-    WriterLock::User lockUser_;
+    WriterLock::Requester lockRequester_;
     Duration lockTimeout_ {std::chrono::seconds(5)};
     State state_ = State::Idle;
     bool readOnly_ = false;
     // The writer's transaction was begun for this session.
-    bool begun_ = false;
+    bool transactionBegun_ = false;
     std::vector<LoggedStatement> statements_;
     std::map<std::string, std::string> settings_;
 };
--- a/src/standin/standinsettings.cpp
+++ b/src/standin/standinsettings.cpp
@@ -28,22 +28,22 @@
 
 ServerLimits readLimits(SectionReader &reader, ServerLimits limits)
 {
-    const auto time = [&reader](const char *key, Duration &value) {
+    const auto readDuration = [&reader](const char *key, Duration &value) {
         value = reader.duration(key, timeRange, value);
     };
     limits.slots = reader.number("slots", slotRange, limits.slots);
     limits.connections = reader.number("connections", connectionRange, limits.connections);
-    time("connection-cost", limits.connectionCost);
-    time("service-time", limits.serviceTime);
-    time("client-delay", limits.clientDelay);
-    time("replication-delay", limits.replicationDelay);
-    time("replication-lag", limits.replicationLag);
-    time("lock-timeout", limits.lockTimeout);
+    readDuration("connection-cost", limits.connectionCost);
+    readDuration("service-time", limits.serviceTime);
+    readDuration("client-delay", limits.clientDelay);
+    readDuration("replication-delay", limits.replicationDelay);
+    readDuration("replication-lag", limits.replicationLag);
+    readDuration("lock-timeout", limits.lockTimeout);
     return limits;
 }
 
 // A group and the limits that its servers start from.
-struct ReadGroup
+struct ParsedGroup
 {
     DatabaseGroupSettings group;
     ServerLimits limits;
@@ -59,11 +59,11 @@
     {
         for (const IniSection &section : sections)
             readSection(section);
-        for (ReadGroup &read : groups_) {
-            if (read.group.servers.empty())
-                findings_.add(file_, read.line, "group " + read.group.name,
+        for (ParsedGroup &parsed : groups_) {
+            if (parsed.group.servers.empty())
+                findings_.add(file_, parsed.line, "group " + parsed.group.name,
                               "the group has no server");
-            result_.groups.push_back(std::move(read.group));
+            result_.groups.push_back(std::move(parsed.group));
         }
         findings_.sort();
         return std::move(result_);
@@ -92,20 +92,20 @@
 
     void readGroup(const IniSection &section, SectionReader &reader)
     {
-        ReadGroup read;
-        read.line = section.line;
-        read.group.name = section.name;
-        read.group.schema = reader.text("schema", "");
-        read.limits = readLimits(reader, {});
-        groups_.push_back(std::move(read));
+        ParsedGroup parsed;
+        parsed.line = section.line;
+        parsed.group.name = section.name;
+        parsed.group.schema = reader.text("schema", "");
+        parsed.limits = readLimits(reader, {});
+        groups_.push_back(std::move(parsed));
     }
 
     void readServer(const IniSection &section, SectionReader &reader)
     {
         const std::string groupName = reader.name("group");
-        const auto group = std::find_if(groups_.begin(), groups_.end(), [&](const ReadGroup &read) {
-            return read.group.name == groupName;
-        });
+        const auto group =
+            std::find_if(groups_.begin(), groups_.end(),
+                         [&](const ParsedGroup &parsed) { return parsed.group.name == groupName; });
         if (group == groups_.end() && !groupName.empty())
             reader.add("group", "no group of this name stands above");
         reader.text("zone", "");
@@ -120,7 +120,7 @@
 
     const std::string &file_;
     Findings &findings_;
-    std::vector<ReadGroup> groups_;
+    std::vector<ParsedGroup> groups_;
     StandinSettings result_;
 };
 
--- a/src/standin/statement.cpp
+++ b/src/standin/statement.cpp
@@ -54,22 +54,22 @@
     void skipBlanks()
     {
         while (position_ < text_.size()) {
-            const std::string_view ahead = text_.substr(position_);
-            if (std::isspace(static_cast<unsigned char>(ahead[0])) != 0)
+            const std::string_view remaining = text_.substr(position_);
+            if (std::isspace(static_cast<unsigned char>(remaining[0])) != 0)
                 ++position_;
-            else if (ahead.substr(0, 2) == "--")
+            else if (remaining.substr(0, 2) == "--")
                 skipPast("\n");
-            else if (ahead.substr(0, 2) == "/*")
+            else if (remaining.substr(0, 2) == "/*")
                 skipPast("*/");
             else
                 return;
         }
     }
 
-    void skipPast(std::string_view mark)
+    void skipPast(std::string_view delimiter)
     {
-        const std::size_t found = text_.find(mark, position_);
-        position_ = found == std::string_view::npos ? text_.size() : found + mark.size();
+        const std::size_t found = text_.find(delimiter, position_);
+        position_ = found == std::string_view::npos ? text_.size() : found + delimiter.size();
     }
 
     std::string_view text_;
@@ -188,9 +188,9 @@
     default:
         break;
     }
-    const bool ownView = sql.find("kelptally_status") != std::string::npos
+    const bool isServerView = sql.find("kelptally_status") != std::string::npos
         || sql.find("kelptally_history") != std::string::npos;
-    statement->costsService = statement->kind == StatementKind::Query && !ownView;
+    statement->usesServiceTime = statement->kind == StatementKind::Query && !isServerView;
     return statement;
 }
 
--- a/src/standin/statement.h
+++ b/src/standin/statement.h
@@ -40,7 +40,7 @@
     // BEGIN ... READ ONLY.
     bool readOnly = false;
     // Whether it takes the server's service time; the server's own functions and views do not.
-    bool costsService = false;
+    bool usesServiceTime = false;
     // Function of a control statement, setting of SET and SHOW.
     std::string name;
     // Value of SET.
--- a/src/standin/wire.cpp
+++ b/src/standin/wire.cpp
@@ -68,7 +68,7 @@
     buffer_.push_back('\0');
 }
 
-std::size_t WireWriter::begin(char type)
+std::size_t WireWriter::beginMessage(char type)
 {
     buffer_.push_back(type);
     const std::size_t start = buffer_.size();
@@ -76,7 +76,7 @@
     return start;
 }
 
-void WireWriter::end(std::size_t start)
+void WireWriter::endMessage(std::size_t start)
 {
     const std::size_t length = buffer_.size() - start;
     for (int i = 0; i < 4; ++i)
@@ -85,52 +85,52 @@
 
 void WireWriter::empty(char type)
 {
-    end(begin(type));
+    endMessage(beginMessage(type));
 }
 
 void WireWriter::authenticationOk()
 {
-    const std::size_t start = begin('R');
+    const std::size_t start = beginMessage('R');
     int32(0);
-    end(start);
+    endMessage(start);
 }
 
 void WireWriter::parameterStatus(std::string_view name, std::string_view value)
 {
-    const std::size_t start = begin('S');
+    const std::size_t start = beginMessage('S');
     string(name);
     string(value);
-    end(start);
+    endMessage(start);
 }
 
 void WireWriter::backendKeyData(std::uint32_t processId, std::uint32_t secret)
 {
-    const std::size_t start = begin('K');
+    const std::size_t start = beginMessage('K');
     int32(processId);
     int32(secret);
-    end(start);
+    endMessage(start);
 }
 
 void WireWriter::readyForQuery(char transactionStatus)
 {
-    const std::size_t start = begin('Z');
+    const std::size_t start = beginMessage('Z');
     buffer_.push_back(transactionStatus);
-    end(start);
+    endMessage(start);
 }
 
 void WireWriter::parameterDescription(const std::vector<int> &typeOids)
 {
-    const std::size_t start = begin('t');
+    const std::size_t start = beginMessage('t');
     int16(typeOids.size());
     for (int oid : typeOids)
         int32(std::uint32_t(oid));
-    end(start);
+    endMessage(start);
 }
 
 void WireWriter::rowDescription(const std::vector<Column> &columns)
 {
     constexpr std::uint32_t noTypeModifier = 0xffffffff;
-    const std::size_t start = begin('T');
+    const std::size_t start = beginMessage('T');
     int16(columns.size());
     for (const Column &column : columns) {
         string(column.name);
@@ -141,32 +141,32 @@
         int32(noTypeModifier);
         int16(0); // text format
     }
-    end(start);
+    endMessage(start);
 }
 
 void WireWriter::dataRow(const std::vector<std::optional<std::string_view>> &values)
 {
     constexpr std::uint32_t nullLength = 0xffffffff;
-    const std::size_t start = begin('D');
+    const std::size_t start = beginMessage('D');
     int16(values.size());
     for (const auto &value : values) {
         int32(value ? std::uint32_t(value->size()) : nullLength);
         if (value)
             buffer_.append(*value);
     }
-    end(start);
+    endMessage(start);
 }
 
 void WireWriter::commandComplete(std::string_view tag)
 {
-    const std::size_t start = begin('C');
+    const std::size_t start = beginMessage('C');
     string(tag);
-    end(start);
+    endMessage(start);
 }
 
 void WireWriter::errorResponse(std::string_view severity, const SqlError &error)
 {
-    const std::size_t start = begin('E');
+    const std::size_t start = beginMessage('E');
     for (const auto &[field, text] : {std::pair<char, std::string_view> {'S', severity},
                                       {'V', severity},
                                       {'C', error.sqlState},
@@ -175,7 +175,7 @@
         string(text);
     }
     buffer_.push_back('\0');
-    end(start);
+    endMessage(start);
 }
 
 } // namespace kelptally::standin
--- a/src/standin/wire.h
+++ b/src/standin/wire.h
@@ -66,8 +66,8 @@
 
 private:
     void empty(char type);
-    std::size_t begin(char type);
-    void end(std::size_t start);
+    std::size_t beginMessage(char type);
+    void endMessage(std::size_t start);
     void int16(std::size_t value);
     void int32(std::uint32_t value);
     void string(std::string_view text);
--- a/src/standin/wiremessages.cpp
+++ b/src/standin/wiremessages.cpp
@@ -28,30 +28,30 @@
 
 } // namespace
 
-Progress WireSession::handle(char type, std::string_view body)
+StepStatus WireSession::handle(char type, std::string_view body)
 {
     SqlError error;
-    Progress progress = Progress::Done;
+    StepStatus status = StepStatus::Done;
     if (canceled_ && type != 'S' && type != 'X' && type != 'Q') {
         canceled_ = false;
         error = canceledError;
-        progress = Progress::Failed;
+        status = StepStatus::Failed;
     } else {
         switch (type) {
         case 'P':
-            progress = handleParse(body, error);
+            status = handleParse(body, error);
             break;
         case 'B':
-            progress = handleBind(body, error);
+            status = handleBind(body, error);
             break;
         case 'D':
-            progress = handleDescribe(body, error);
+            status = handleDescribe(body, error);
             break;
         case 'E':
-            progress = handleExecute(body, error);
+            status = handleExecute(body, error);
             break;
         case 'C':
-            progress = handleClose(body, error);
+            status = handleClose(body, error);
             break;
         case 'H':
             break;
@@ -61,52 +61,52 @@
             return handleSimpleQuery(body);
         case 'X':
             closeWhenSent_ = true;
-            return Progress::Done;
+            return StepStatus::Done;
         default:
-            fatal(protocolError);
-            return Progress::Done;
+            sendFatalError(protocolError);
+            return StepStatus::Done;
         }
     }
-    if (progress == Progress::Failed) {
-        out_.errorResponse("ERROR", error);
+    if (status == StepStatus::Failed) {
+        writer_.errorResponse("ERROR", error);
         sql_.fail();
         skipToSync_ = true;
     }
-    return progress;
+    return status;
 }
 
-Progress WireSession::handleParse(std::string_view body, SqlError &error)
+StepStatus WireSession::handleParse(std::string_view body, SqlError &error)
 {
     WireReader reader(body);
     const std::string name(reader.readString());
     const std::string sql(reader.readString());
-    Prepared prepared;
+    PreparedStatement prepared;
     const std::size_t count = reader.readInt16();
     for (std::size_t i = 0; i < count && reader.good(); ++i)
         prepared.typeOids.push_back(int(reader.readInt32()));
     if (!reader.good()) {
         error = protocolError;
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
     prepared.statement = server_.parse(sql);
-    const bool compiles = sql_.transactionStatus() != 'E';
+    const bool shouldDescribe = sql_.transactionStatus() != 'E';
     std::vector<Column> columns;
-    if (compiles && sql_.describe(*prepared.statement, columns, error) == Progress::Failed)
-        return Progress::Failed;
-    prepared_[name] = std::move(prepared);
-    out_.parseComplete();
-    return Progress::Done;
+    if (shouldDescribe && sql_.describe(*prepared.statement, columns, error) == StepStatus::Failed)
+        return StepStatus::Failed;
+    preparedStatements_[name] = std::move(prepared);
+    writer_.parseComplete();
+    return StepStatus::Done;
 }
 
-Progress WireSession::handleBind(std::string_view body, SqlError &error)
+StepStatus WireSession::handleBind(std::string_view body, SqlError &error)
 {
     WireReader reader(body);
     const std::string portalName(reader.readString());
     const std::string_view statementName = reader.readString();
-    const auto found = prepared_.find(statementName);
-    if (found == prepared_.end()) {
+    const auto found = preparedStatements_.find(statementName);
+    if (found == preparedStatements_.end()) {
         error = {"26000", "prepared statement does not exist"};
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
     bool binary = false;
     const std::size_t formats = reader.readInt16();
@@ -130,191 +130,193 @@
     if (!reader.good() || binary) {
         error =
             binary ? SqlError {"0A000", "the stand-in knows the text format only"} : protocolError;
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
     portals_[portalName] = std::move(portal);
-    out_.bindComplete();
-    return Progress::Done;
+    writer_.bindComplete();
+    return StepStatus::Done;
 }
 
-Progress WireSession::handleDescribe(std::string_view body, SqlError &error)
+StepStatus WireSession::handleDescribe(std::string_view body, SqlError &error)
 {
     WireReader reader(body);
-    const char what = char(reader.readByte());
+    const char objectKind = char(reader.readByte());
     const std::string_view name = reader.readString();
     ParsedStatementPtr statement;
-    if (what == 'S') {
-        const auto found = prepared_.find(name);
-        if (found != prepared_.end()) {
+    if (objectKind == 'S') {
+        const auto found = preparedStatements_.find(name);
+        if (found != preparedStatements_.end()) {
             statement = found->second.statement;
-            out_.parameterDescription(found->second.typeOids);
+            writer_.parameterDescription(found->second.typeOids);
         }
     } else if (const auto found = portals_.find(name); found != portals_.end()) {
         statement = found->second.statement;
     }
     if (!statement) {
-        error = {what == 'S' ? "26000" : "34000", "nothing of this name to describe"};
-        return Progress::Failed;
+        error = {objectKind == 'S' ? "26000" : "34000", "nothing of this name to describe"};
+        return StepStatus::Failed;
     }
     std::vector<Column> columns;
-    if (sql_.describe(*statement, columns, error) == Progress::Failed)
-        return Progress::Failed;
+    if (sql_.describe(*statement, columns, error) == StepStatus::Failed)
+        return StepStatus::Failed;
     if (columns.empty())
-        out_.noData();
+        writer_.noData();
     else
-        out_.rowDescription(columns);
-    return Progress::Done;
+        writer_.rowDescription(columns);
+    return StepStatus::Done;
 }
 
-Progress WireSession::handleExecute(std::string_view body, SqlError &error)
+StepStatus WireSession::handleExecute(std::string_view body, SqlError &error)
 {
     WireReader reader(body);
     const auto found = portals_.find(reader.readString());
     if (found == portals_.end()) {
         error = {"34000", "portal does not exist"};
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
     return runStatement(*found->second.statement, found->second.parameters, error);
 }
 
-Progress WireSession::runStatement(const ParsedStatement &statement,
-                                   const std::vector<Parameter> &parameters, SqlError &error)
+StepStatus WireSession::runStatement(const ParsedStatement &statement,
+                                     const std::vector<Parameter> &parameters, SqlError &error)
 {
-    if (payForService(statement) == Progress::Waits)
-        return Progress::Waits;
+    if (reserveServiceTime(statement) == StepStatus::Pending)
+        return StepStatus::Pending;
     std::string tag;
-    const RowSink sink = [this](const auto &row) { out_.dataRow(row); };
-    const Progress progress = sql_.execute(statement, parameters, sink, tag, error);
-    if (progress == Progress::Waits)
-        return progress;
-    if (statement.costsService)
-        paid_ = std::max(0, paid_ - 1);
-    if (progress == Progress::Failed)
-        return progress;
+    const RowSink sink = [this](const auto &row) { writer_.dataRow(row); };
+    const StepStatus status = sql_.execute(statement, parameters, sink, tag, error);
+    if (status == StepStatus::Pending)
+        return status;
+    if (statement.usesServiceTime)
+        reservedStatements_ = std::max(0, reservedStatements_ - 1);
+    if (status == StepStatus::Failed)
+        return status;
     if (tag.empty())
-        out_.emptyQueryResponse();
+        writer_.emptyQueryResponse();
     else
-        out_.commandComplete(tag);
-    return Progress::Done;
+        writer_.commandComplete(tag);
+    return StepStatus::Done;
 }
 
 // The statements up to the next sync are paid for in one go, before the first of them runs: so none
 // of them holds the writer lock during its service time, unless an explicit transaction does.
-Progress WireSession::payForService(const ParsedStatement &statement)
+StepStatus WireSession::reserveServiceTime(const ParsedStatement &statement)
 {
     const Duration service = server_.limits().serviceTime;
-    if (service.count() == 0 || paid_ > 0 || !statement.costsService)
-        return Progress::Done;
-    paid_ = simpleRunning_ ? int(simpleParts_.size() - simpleNext_) : executesAhead();
-    server_.occupySlot(service * paid_, wakeFunction());
-    return Progress::Waits;
+    if (service.count() == 0 || reservedStatements_ > 0 || !statement.usesServiceTime)
+        return StepStatus::Done;
+    reservedStatements_ = simpleQueryActive_ ? int(simpleStatements_.size() - nextSimpleStatement_)
+                                             : countBufferedStatements();
+    server_.occupySlot(service * reservedStatements_, wakeFunction());
+    return StepStatus::Pending;
 }
 
 // Statements up to the next sync that cost service time, from this one on.
-int WireSession::executesAhead() const
+int WireSession::countBufferedStatements() const
 {
     int count = 1;
     std::map<std::string_view, ParsedStatementPtr> parsed;
     ParsedStatementPtr bound;
-    std::string_view ahead = std::string_view(in_).substr(consumed_);
-    std::size_t length = firstInt32(ahead.substr(1)) + 1;
-    while (length < ahead.size()) {
-        ahead.remove_prefix(length);
-        if (ahead.size() < 5 || ahead[0] == 'S')
+    std::string_view remaining = std::string_view(inputBuffer_).substr(consumedBytes_);
+    std::size_t length = firstInt32(remaining.substr(1)) + 1;
+    while (length < remaining.size()) {
+        remaining.remove_prefix(length);
+        if (remaining.size() < 5 || remaining[0] == 'S')
             break;
-        length = firstInt32(ahead.substr(1)) + 1;
-        WireReader reader(ahead.substr(5));
+        length = firstInt32(remaining.substr(1)) + 1;
+        WireReader reader(remaining.substr(5));
         const std::string_view first = reader.readString();
-        if (ahead[0] == 'P') {
+        if (remaining[0] == 'P') {
             parsed[first] = server_.parse(std::string(reader.readString()));
-        } else if (ahead[0] == 'B') {
+        } else if (remaining[0] == 'B') {
             const std::string_view name = reader.readString();
-            const auto known = prepared_.find(name);
-            bound = parsed.count(name) != 0 ? parsed[name]
-                : known != prepared_.end()  ? known->second.statement
-                                            : nullptr;
-        } else if (ahead[0] == 'E' && bound && bound->costsService) {
+            const auto known = preparedStatements_.find(name);
+            bound = parsed.count(name) != 0          ? parsed[name]
+                : known != preparedStatements_.end() ? known->second.statement
+                                                     : nullptr;
+        } else if (remaining[0] == 'E' && bound && bound->usesServiceTime) {
             ++count;
         }
     }
     return count;
 }
 
-Progress WireSession::handleClose(std::string_view body, SqlError &error)
+StepStatus WireSession::handleClose(std::string_view body, SqlError &error)
 {
     WireReader reader(body);
-    const char what = char(reader.readByte());
+    const char objectKind = char(reader.readByte());
     const std::string name(reader.readString());
     if (!reader.good()) {
         error = protocolError;
-        return Progress::Failed;
+        return StepStatus::Failed;
     }
-    if (what == 'S')
-        prepared_.erase(name);
+    if (objectKind == 'S')
+        preparedStatements_.erase(name);
     else
         portals_.erase(name);
-    out_.closeComplete();
-    return Progress::Done;
+    writer_.closeComplete();
+    return StepStatus::Done;
 }
 
-Progress WireSession::handleSync()
+StepStatus WireSession::handleSync()
 {
     SqlError error;
-    if (!skipToSync_ && sql_.sync(error) == Progress::Failed)
-        out_.errorResponse("ERROR", error);
+    if (!skipToSync_ && sql_.sync(error) == StepStatus::Failed)
+        writer_.errorResponse("ERROR", error);
     skipToSync_ = false;
     canceled_ = false;
-    paid_ = 0;
+    reservedStatements_ = 0;
     if (sql_.transactionStatus() == 'I')
         portals_.clear();
-    out_.readyForQuery(sql_.transactionStatus());
-    return Progress::Done;
+    writer_.readyForQuery(sql_.transactionStatus());
+    return StepStatus::Done;
 }
 
 // A simple query runs its statements in one implicit transaction, as if each were parsed, bound
 // and executed, with a sync at the end.
-Progress WireSession::handleSimpleQuery(std::string_view body)
+StepStatus WireSession::handleSimpleQuery(std::string_view body)
 {
-    if (!simpleRunning_) {
-        simpleParts_ = splitStatements(WireReader(body).readString());
-        simpleNext_ = 0;
-        simpleRunning_ = true;
-        if (simpleParts_.empty())
-            out_.emptyQueryResponse();
+    if (!simpleQueryActive_) {
+        simpleStatements_ = splitStatements(WireReader(body).readString());
+        nextSimpleStatement_ = 0;
+        simpleQueryActive_ = true;
+        if (simpleStatements_.empty())
+            writer_.emptyQueryResponse();
     }
     SqlError error;
-    Progress progress = Progress::Done;
-    while (simpleNext_ < simpleParts_.size() && progress == Progress::Done) {
-        progress = canceled_ ? Progress::Failed : runSimple(simpleParts_[simpleNext_], error);
-        if (progress == Progress::Waits)
-            return progress;
-        ++simpleNext_;
+    StepStatus status = StepStatus::Done;
+    while (nextSimpleStatement_ < simpleStatements_.size() && status == StepStatus::Done) {
+        status = canceled_ ? StepStatus::Failed
+                           : runSimpleStatement(simpleStatements_[nextSimpleStatement_], error);
+        if (status == StepStatus::Pending)
+            return status;
+        ++nextSimpleStatement_;
     }
-    if (progress == Progress::Failed) {
-        out_.errorResponse("ERROR", canceled_ ? canceledError : error);
+    if (status == StepStatus::Failed) {
+        writer_.errorResponse("ERROR", canceled_ ? canceledError : error);
         sql_.fail();
         skipToSync_ = true;
     }
-    simpleRunning_ = false;
+    simpleQueryActive_ = false;
     return handleSync();
 }
 
-Progress WireSession::runSimple(const std::string &sql, SqlError &error)
+StepStatus WireSession::runSimpleStatement(const std::string &sql, SqlError &error)
 {
     const ParsedStatementPtr statement = server_.parse(sql);
-    if (payForService(*statement) == Progress::Waits)
-        return Progress::Waits;
+    if (reserveServiceTime(*statement) == StepStatus::Pending)
+        return StepStatus::Pending;
     std::vector<Column> columns;
-    const bool compiles = sql_.transactionStatus() != 'E';
-    if (compiles && sql_.describe(*statement, columns, error) == Progress::Failed)
-        return Progress::Failed;
-    const std::size_t before = out_.buffer().size();
+    const bool shouldDescribe = sql_.transactionStatus() != 'E';
+    if (shouldDescribe && sql_.describe(*statement, columns, error) == StepStatus::Failed)
+        return StepStatus::Failed;
+    const std::size_t before = writer_.buffer().size();
     if (!columns.empty())
-        out_.rowDescription(columns);
-    const Progress progress = runStatement(*statement, {}, error);
-    if (progress != Progress::Done)
-        out_.buffer().resize(before);
-    return progress;
+        writer_.rowDescription(columns);
+    const StepStatus status = runStatement(*statement, {}, error);
+    if (status != StepStatus::Done)
+        writer_.buffer().resize(before);
+    return status;
 }
 
 } // namespace kelptally::standin
--- a/src/standin/wiresession.cpp
+++ b/src/standin/wiresession.cpp
@@ -17,8 +17,8 @@
 WireSession::WireSession(DatabaseServer &server, boost::asio::ip::tcp::socket socket,
                          std::uint32_t id, std::uint32_t secret)
     : server_(server), socket_(std::move(socket)), id_(id), secret_(secret),
-      sql_(server.node(), [this] { wakeFunction()(); }), inward_(server.timers()),
-      outward_(server.timers())
+      sql_(server.node(), [this] { wakeFunction()(); }), inboundQueue_(server.timers()),
+      outboundQueue_(server.timers())
 {
     boost::system::error_code error;
     clientAddress_ = socket_.remote_endpoint(error).address().to_string();
@@ -36,9 +36,9 @@
     if (closed_)
         return;
     closed_ = true;
-    sql_.abandon();
-    inward_.clear();
-    outward_.clear();
+    sql_.onClientDisconnected();
+    inboundQueue_.clear();
+    outboundQueue_.clear();
     boost::system::error_code ignored;
     socket_.close(ignored);
     server_.onSessionClosed(*this);
@@ -83,16 +83,17 @@
 
 void WireSession::read()
 {
-    if (closed_ || reading_ || server_.isCutOff(clientAddress_) || in_.size() > maxBuffered)
+    if (closed_ || reading_ || server_.isPartitionedFrom(clientAddress_)
+        || inputBuffer_.size() > maxBuffered)
         return;
     reading_ = true;
     socket_.async_read_some(
-        boost::asio::buffer(chunk_),
+        boost::asio::buffer(readBuffer_),
         [self = shared_from_this()](const boost::system::error_code &error, std::size_t count) {
             self->reading_ = false;
             if (error)
                 return self->close();
-            self->onBytes(std::string(self->chunk_.data(), count));
+            self->onBytes(std::string(self->readBuffer_.data(), count));
         });
 }
 
@@ -102,11 +103,11 @@
         return;
     const Duration delay = server_.limits().clientDelay;
     if (delay.count() == 0) {
-        in_ += bytes;
+        inputBuffer_ += bytes;
         process();
     } else {
-        inward_.push(server_.timers().now() + delay, [this, bytes = std::move(bytes)] {
-            in_ += bytes;
+        inboundQueue_.push(server_.timers().now() + delay, [this, bytes = std::move(bytes)] {
+            inputBuffer_ += bytes;
             process();
         });
     }
@@ -120,8 +121,8 @@
         if (!step())
             break;
     }
-    in_.erase(0, consumed_);
-    consumed_ = 0;
+    inputBuffer_.erase(0, consumedBytes_);
+    consumedBytes_ = 0;
     flush();
 }
 
@@ -131,7 +132,7 @@
     case Phase::Startup:
         return processStartup();
     case Phase::Connecting:
-        return greet();
+        return completeStartup();
     case Phase::Ready:
         return processMessage();
     }
@@ -140,25 +141,25 @@
 
 bool WireSession::processStartup()
 {
-    const std::string_view ahead = std::string_view(in_).substr(consumed_);
-    if (ahead.size() < 8)
+    const std::string_view remaining = std::string_view(inputBuffer_).substr(consumedBytes_);
+    if (remaining.size() < 8)
         return false;
-    const std::uint32_t length = firstInt32(ahead);
+    const std::uint32_t length = firstInt32(remaining);
     if (length < 8 || length > 10000) {
         close();
         return false;
     }
-    if (ahead.size() < length)
+    if (remaining.size() < length)
         return false;
-    consumed_ += length;
-    const std::uint32_t code = firstInt32(ahead.substr(4));
+    consumedBytes_ += length;
+    const std::uint32_t code = firstInt32(remaining.substr(4));
     if (code == sslRequestCode || code == gssRequestCode) {
-        out_.rawByte('N');
+        writer_.rawByte('N');
     } else if (code == cancelRequestCode && length == 16) {
-        server_.cancel(firstInt32(ahead.substr(8)), firstInt32(ahead.substr(12)));
+        server_.cancel(firstInt32(remaining.substr(8)), firstInt32(remaining.substr(12)));
         close();
     } else if (code >> 16 != protocolVersion >> 16) {
-        fatal({"0A000", "unsupported frontend protocol"});
+        sendFatalError({"0A000", "unsupported frontend protocol"});
     } else {
         authenticate();
     }
@@ -169,7 +170,7 @@
 void WireSession::authenticate()
 {
     if (!server_.admit()) {
-        fatal({"53300", "sorry, too many clients already"});
+        sendFatalError({"53300", "sorry, too many clients already"});
         return;
     }
     admitted_ = true;
@@ -178,45 +179,45 @@
         waitFor(server_.limits().connectionCost);
 }
 
-bool WireSession::greet()
+bool WireSession::completeStartup()
 {
     phase_ = Phase::Ready;
-    out_.authenticationOk();
-    out_.parameterStatus("server_version", "15.0");
-    out_.parameterStatus("server_encoding", "UTF8");
-    out_.parameterStatus("client_encoding", "UTF8");
-    out_.parameterStatus("standard_conforming_strings", "on");
-    out_.parameterStatus("integer_datetimes", "on");
-    out_.backendKeyData(id_, secret_);
-    out_.readyForQuery('I');
+    writer_.authenticationOk();
+    writer_.parameterStatus("server_version", "15.0");
+    writer_.parameterStatus("server_encoding", "UTF8");
+    writer_.parameterStatus("client_encoding", "UTF8");
+    writer_.parameterStatus("standard_conforming_strings", "on");
+    writer_.parameterStatus("integer_datetimes", "on");
+    writer_.backendKeyData(id_, secret_);
+    writer_.readyForQuery('I');
     return true;
 }
 
 bool WireSession::processMessage()
 {
-    const std::string_view ahead = std::string_view(in_).substr(consumed_);
-    if (ahead.size() < 5)
+    const std::string_view remaining = std::string_view(inputBuffer_).substr(consumedBytes_);
+    if (remaining.size() < 5)
         return false;
-    const std::uint32_t length = firstInt32(ahead.substr(1));
+    const std::uint32_t length = firstInt32(remaining.substr(1));
     if (length < 4 || length > maxBuffered) {
-        fatal(protocolError);
+        sendFatalError(protocolError);
         return false;
     }
-    if (ahead.size() < length + 1)
+    if (remaining.size() < length + 1)
         return false;
-    const char type = ahead[0];
+    const char type = remaining[0];
     const bool skipped = skipToSync_ && type != 'S' && type != 'X';
-    if (!skipped && handle(type, ahead.substr(5, length - 4)) == Progress::Waits) {
+    if (!skipped && handle(type, remaining.substr(5, length - 4)) == StepStatus::Pending) {
         waiting_ = true;
         return false;
     }
-    consumed_ += length + 1;
+    consumedBytes_ += length + 1;
     return true;
 }
 
-void WireSession::fatal(const SqlError &error)
+void WireSession::sendFatalError(const SqlError &error)
 {
-    out_.errorResponse("FATAL", error);
+    writer_.errorResponse("FATAL", error);
     closeWhenSent_ = true;
 }
 
@@ -225,33 +226,33 @@
     if (closed_)
         return;
     std::string bytes;
-    bytes.swap(out_.buffer());
+    bytes.swap(writer_.buffer());
     const Duration delay = server_.limits().clientDelay;
     if (delay.count() == 0 || bytes.empty()) {
-        ready_ += bytes;
+        pendingOutput_ += bytes;
         write();
         return;
     }
-    outward_.push(server_.timers().now() + delay, [this, bytes = std::move(bytes)] {
-        ready_ += bytes;
+    outboundQueue_.push(server_.timers().now() + delay, [this, bytes = std::move(bytes)] {
+        pendingOutput_ += bytes;
         write();
     });
 }
 
 void WireSession::write()
 {
-    if (closed_ || !sending_.empty() || server_.isCutOff(clientAddress_))
+    if (closed_ || !sendBuffer_.empty() || server_.isPartitionedFrom(clientAddress_))
         return;
-    if (ready_.empty()) {
-        if (closeWhenSent_ && out_.buffer().empty())
+    if (pendingOutput_.empty()) {
+        if (closeWhenSent_ && writer_.buffer().empty())
             close();
         return;
     }
-    sending_.swap(ready_);
+    sendBuffer_.swap(pendingOutput_);
     boost::asio::async_write(
-        socket_, boost::asio::buffer(sending_),
+        socket_, boost::asio::buffer(sendBuffer_),
         [self = shared_from_this()](const boost::system::error_code &error, std::size_t) {
-            self->sending_.clear();
+            self->sendBuffer_.clear();
             if (error)
                 return self->close();
             self->write();
--- a/src/standin/wiresession.h
+++ b/src/standin/wiresession.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "standin/delayline.h"
+#include "standin/delayqueue.h"
 #include "standin/sqlsession.h"
 #include "standin/wire.h"
 
@@ -40,7 +40,7 @@
         Connecting,
         Ready,
     };
-    struct Prepared
+    struct PreparedStatement
     {
         ParsedStatementPtr statement;
         std::vector<int> typeOids;
@@ -58,27 +58,27 @@
     // One step each; false when the message is not whole or has to wait.
     bool step();
     bool processStartup();
-    bool greet();
+    bool completeStartup();
     bool processMessage();
     void authenticate();
 
-    // Each handles one message; Waits means: call again with the same message.
-    Progress handle(char type, std::string_view body);
-    Progress handleParse(std::string_view body, SqlError &error);
-    Progress handleBind(std::string_view body, SqlError &error);
-    Progress handleDescribe(std::string_view body, SqlError &error);
-    Progress handleExecute(std::string_view body, SqlError &error);
-    Progress handleClose(std::string_view body, SqlError &error);
-    Progress handleSync();
-    Progress handleSimpleQuery(std::string_view body);
-    Progress runSimple(const std::string &sql, SqlError &error);
-    Progress runStatement(const ParsedStatement &statement,
-                          const std::vector<Parameter> &parameters, SqlError &error);
-    // Takes a slot for the service time of the statements that are here; Waits while it lasts.
-    Progress payForService(const ParsedStatement &statement);
-    int executesAhead() const;
-
-    void fatal(const SqlError &error);
+    // Each handles one message; Pending means: call again with the same message.
+    StepStatus handle(char type, std::string_view body);
+    StepStatus handleParse(std::string_view body, SqlError &error);
+    StepStatus handleBind(std::string_view body, SqlError &error);
+    StepStatus handleDescribe(std::string_view body, SqlError &error);
+    StepStatus handleExecute(std::string_view body, SqlError &error);
+    StepStatus handleClose(std::string_view body, SqlError &error);
+    StepStatus handleSync();
+    StepStatus handleSimpleQuery(std::string_view body);
+    StepStatus runSimpleStatement(const std::string &sql, SqlError &error);
+    StepStatus runStatement(const ParsedStatement &statement,
+                            const std::vector<Parameter> &parameters, SqlError &error);
+    // Takes a slot for the service time of the statements that are here; Pending while it lasts.
+    StepStatus reserveServiceTime(const ParsedStatement &statement);
+    int countBufferedStatements() const;
+
+    void sendFatalError(const SqlError &error);
     void waitFor(Duration delay);
     std::function<void()> wakeFunction();
     void flush();
@@ -91,14 +91,14 @@
     std::string clientAddress_;
     SqlSession sql_;
 
-    std::array<char, 16384> chunk_;
-    DelayLine inward_;
-    DelayLine outward_;
-    std::string in_;
-    std::size_t consumed_ = 0;
-    WireWriter out_;
-    std::string sending_;
-    std::string ready_;
+    std::array<char, 16384> readBuffer_;
+    DelayQueue inboundQueue_;
+    DelayQueue outboundQueue_;
+    std::string inputBuffer_;
+    std::size_t consumedBytes_ = 0;
+    WireWriter writer_;
+    std::string sendBuffer_;
+    std::string pendingOutput_;
     bool reading_ = false;
 
     Phase phase_ = Phase::Startup;
@@ -110,13 +110,13 @@
     bool closed_ = false;
     bool closeWhenSent_ = false;
     // Statements whose service time has passed already.
-    int paid_ = 0;
+    int reservedStatements_ = 0;
 
-    std::map<std::string, Prepared, std::less<>> prepared_;
+    std::map<std::string, PreparedStatement, std::less<>> preparedStatements_;
     std::map<std::string, Portal, std::less<>> portals_;
-    std::vector<std::string> simpleParts_;
-    std::size_t simpleNext_ = 0;
-    bool simpleRunning_ = false;
+    std::vector<std::string> simpleStatements_;
+    std::size_t nextSimpleStatement_ = 0;
+    bool simpleQueryActive_ = false;
 };
 
 } // namespace kelptally::standin
--- a/src/standin/writerlock.cpp
+++ b/src/standin/writerlock.cpp
@@ -4,28 +4,29 @@
 
 namespace kelptally::standin {
 
-bool WriterLock::acquire(User &user, Duration timeout)
+bool WriterLock::acquire(Requester &requester, Duration timeout)
 {
-    if (holder_ == &user)
+    if (holder_ == &requester)
         return true;
     if (holder_ == nullptr && waiters_.empty()) {
-        holder_ = &user;
+        holder_ = &requester;
         return true;
     }
-    const TimerId timer = timers_.subscribeAfter(timeout, [this, &user] { expire(&user); });
-    waiters_.push_back({&user, timer});
+    const TimerId timer =
+        timers_.subscribeAfter(timeout, [this, &requester] { expire(&requester); });
+    waiters_.push_back({&requester, timer});
     return false;
 }
 
-void WriterLock::release(User &user)
+void WriterLock::release(Requester &requester)
 {
-    if (holder_ == &user) {
+    if (holder_ == &requester) {
         holder_ = nullptr;
         grantNext();
         return;
     }
     const auto waiter = std::find_if(waiters_.begin(), waiters_.end(),
-                                     [&](const Waiter &w) { return w.user == &user; });
+                                     [&](const Waiter &w) { return w.requester == &requester; });
     if (waiter == waiters_.end())
         return;
     timers_.cancel(waiter->timer);
@@ -41,7 +42,7 @@
     waiters_.clear();
     for (const Waiter &waiter : waiters) {
         timers_.cancel(waiter.timer);
-        waiter.user->wake();
+        waiter.requester->wake();
     }
 }
 
@@ -52,15 +53,15 @@
     const Waiter next = waiters_.front();
     waiters_.pop_front();
     timers_.cancel(next.timer);
-    holder_ = next.user;
+    holder_ = next.requester;
     holder_->wake();
 }
 
-void WriterLock::expire(User *user)
+void WriterLock::expire(Requester *requester)
 {
-    release(*user);
-    user->timedOut = true;
-    user->wake();
+    release(*requester);
+    requester->timedOut = true;
+    requester->wake();
 }
 
 } // namespace kelptally::standin
--- a/src/standin/writerlock.h
+++ b/src/standin/writerlock.h
@@ -12,7 +12,7 @@
 {
 public:
     // One that wants the lock. Its address is its identity.
-    struct User
+    struct Requester
     {
         // The lock was granted, revoked while waiting, or not granted in time.
         std::function<void()> wake;
@@ -23,24 +23,24 @@
     explicit WriterLock(TimerService &timers) : timers_(timers) { }
 
     // True when held; otherwise the user waits and is woken.
-    bool acquire(User &user, Duration timeout);
-    bool heldBy(const User &user) const { return holder_ == &user; }
+    bool acquire(Requester &requester, Duration timeout);
+    bool isHeldBy(const Requester &requester) const { return holder_ == &requester; }
     // Gives the lock up or ends the waiting.
-    void release(User &user);
+    void release(Requester &requester);
     // Takes the lock from its holder and wakes all who wait.
     void revoke();
 
 private:
     struct Waiter
     {
-        User *user;
+        Requester *requester;
         TimerId timer;
     };
     void grantNext();
-    void expire(User *user);
+    void expire(Requester *requester);
 
     TimerService &timers_;
-    User *holder_ = nullptr;
+    Requester *holder_ = nullptr;
     std::deque<Waiter> waiters_;
 };
 
--- a/tests/standin/group_test.cpp
+++ b/tests/standin/group_test.cpp
@@ -23,7 +23,7 @@
 }
 
 template <typename Function>
-void at(TestGroup &group, const ServerName &server, Function function)
+void runOnServer(TestGroup &group, const ServerName &server, Function function)
 {
     group.server(server).callAndWait([&](DatabaseServer &s) { function(s); });
 }
@@ -33,10 +33,10 @@
 TEST_CASE("Replicas apply each committed transaction and refuse writes", "[standin]")
 {
     TestGroup group;
-    CHECK(group.run("a", insert("x")).good());
-    CHECK(group.run("a", "BEGIN; " + insert("y") + "; " + insert("z") + "; COMMIT").good());
+    CHECK(group.run("a", insert("x")).succeeded());
+    CHECK(group.run("a", "BEGIN; " + insert("y") + "; " + insert("z") + "; COMMIT").succeeded());
     for (const char *replica : {"b", "c"}) {
-        CHECK(group.reaches(replica, applied, "2"));
+        CHECK(group.eventuallyReads(replica, applied, "2"));
         CHECK(group.read(replica, idList) == "x,y,z");
         CHECK(group.run(replica, insert("w")).sqlState == "25006");
         CHECK(group.run(replica, "SELECT kelptally_raise_fence(9)").sqlState == "25006");
@@ -45,11 +45,11 @@
 
 TEST_CASE("A lagging replica has received what it has not applied", "[standin]")
 {
-    ServerLimits limits = TestGroup::noCost();
+    ServerLimits limits = TestGroup::zeroConnectionCost();
     limits.replicationLag = std::chrono::hours(1);
     TestGroup group(limits);
     group.run("a", insert("x"));
-    CHECK(group.reaches("b", received, "1"));
+    CHECK(group.eventuallyReads("b", received, "1"));
     CHECK(group.read("b", applied) == "0");
     CHECK(group.read("b", idList) == "NULL");
 
@@ -65,14 +65,14 @@
 TEST_CASE("A prepared server refuses lower terms", "[standin]")
 {
     TestGroup group;
-    CHECK(group.run("b", "SELECT kelptally_prepare(5)").good());
-    CHECK(group.run("b", "SELECT kelptally_prepare(5)").good());
+    CHECK(group.run("b", "SELECT kelptally_prepare(5)").succeeded());
+    CHECK(group.run("b", "SELECT kelptally_prepare(5)").succeeded());
     CHECK(group.read("b", term) == "5");
     CHECK(group.run("b", "SELECT kelptally_prepare(4)").sqlState == "KT001");
     CHECK(group.run("b", "SELECT kelptally_promote(4)").sqlState == "KT001");
     CHECK(group.run("b", "SELECT kelptally_follow('a', 4)").sqlState == "KT001");
     group.run("a", insert("x"));
-    CHECK(group.reaches("c", received, "1"));
+    CHECK(group.eventuallyReads("c", received, "1"));
     CHECK(group.read("b", received) == "0");
 }
 
@@ -81,8 +81,8 @@
     TestGroup group;
     TestClient open(group.port("a"));
     open.query("BEGIN");
-    CHECK(open.query(insert("x")).good());
-    CHECK(group.run("a", "SELECT kelptally_prepare(5)").good());
+    CHECK(open.query(insert("x")).succeeded());
+    CHECK(group.run("a", "SELECT kelptally_prepare(5)").succeeded());
     CHECK(open.query("COMMIT").sqlState == "25006");
     CHECK(group.run("a", insert("y")).sqlState == "25006");
     CHECK(group.read("a", role) == "replica");
@@ -93,15 +93,15 @@
 {
     TestGroup group;
     group.run("a", insert("x"));
-    CHECK(group.reaches("b", applied, "1"));
-    CHECK(group.reaches("c", applied, "1"));
+    CHECK(group.eventuallyReads("b", applied, "1"));
+    CHECK(group.eventuallyReads("c", applied, "1"));
     group.promote("b", "c", 5);
     CHECK(group.read("b", role) == "primary");
     CHECK(group.read("b", "SELECT term, start FROM kelptally_history WHERE start = 2") == "5");
-    CHECK(group.run("b", "SELECT kelptally_promote(5)").good());
+    CHECK(group.run("b", "SELECT kelptally_promote(5)").succeeded());
     CHECK(group.run("c", "SELECT kelptally_promote(5)").sqlState == "KT001");
-    CHECK(group.run("b", insert("y")).good());
-    CHECK(group.reaches("c", idList, "x,y"));
+    CHECK(group.run("b", insert("y")).succeeded());
+    CHECK(group.eventuallyReads("c", idList, "x,y"));
     CHECK(group.read("c", "SELECT applied_term FROM kelptally_status") == "5");
     CHECK(group.read("c", "SELECT received_term FROM kelptally_status") == "5");
 }
@@ -110,41 +110,41 @@
 {
     TestGroup group;
     group.run("a", insert("x"));
-    CHECK(group.reaches("b", received, "1"));
-    CHECK(group.reaches("c", received, "1"));
+    CHECK(group.eventuallyReads("b", received, "1"));
+    CHECK(group.eventuallyReads("c", received, "1"));
     for (const char *replica : {"b", "c"})
-        group.group().setCut("a", replica, true);
+        group.group().setPartitioned("a", replica, true);
     // 1. The old primary goes on alone while the others move to a new term.
-    CHECK(group.run("a", insert("lost1")).good());
-    CHECK(group.run("a", insert("lost2")).good());
+    CHECK(group.run("a", insert("lost1")).succeeded());
+    CHECK(group.run("a", insert("lost2")).succeeded());
     group.promote("b", "c", 5);
-    CHECK(group.run("b", insert("y")).good());
+    CHECK(group.run("b", insert("y")).succeeded());
     // 2. Told to follow, it takes no older log, and does not claim to hold the new term's before
     // the logs were compared.
-    CHECK(group.run("a", "SELECT kelptally_follow('b', 5)").good());
+    CHECK(group.run("a", "SELECT kelptally_follow('b', 5)").succeeded());
     CHECK(group.read("a", term) == "5");
     CHECK(group.read("a", receivedTerm) == "1");
     CHECK(group.run("a", insert("z")).sqlState == "25006");
     // 3. Once it hears the new primary it holds the same log.
     for (const char *replica : {"b", "c"})
-        group.group().setCut("a", replica, false);
-    CHECK(group.reaches("a", receivedTerm, "5"));
-    CHECK(group.reaches("a", received, "3"));
-    CHECK(group.reaches("a", idList, "x,y"));
+        group.group().setPartitioned("a", replica, false);
+    CHECK(group.eventuallyReads("a", receivedTerm, "5"));
+    CHECK(group.eventuallyReads("a", received, "3"));
+    CHECK(group.eventuallyReads("a", idList, "x,y"));
 }
 
 TEST_CASE("The fence only goes up, is replicated, and stops lower epochs", "[standin]")
 {
     TestGroup group;
-    CHECK(group.run("a", "SELECT kelptally_raise_fence(3)").good());
-    CHECK(group.run("a", "SELECT kelptally_raise_fence(3)").good());
+    CHECK(group.run("a", "SELECT kelptally_raise_fence(3)").succeeded());
+    CHECK(group.run("a", "SELECT kelptally_raise_fence(3)").succeeded());
     CHECK(group.run("a", "SELECT kelptally_raise_fence(2)").sqlState == "KF001");
-    CHECK(group.run("a", "SELECT kelptally_check_fence(3)").good());
-    CHECK(group.reaches("b", "SELECT fence FROM kelptally_status", "3"));
+    CHECK(group.run("a", "SELECT kelptally_check_fence(3)").succeeded());
+    CHECK(group.eventuallyReads("b", "SELECT fence FROM kelptally_status", "3"));
     TestClient client(group.port("a"));
-    const auto answers = client.pipeline({"SELECT kelptally_check_fence(2)", insert("x")});
-    REQUIRE(answers.size() == 3);
-    CHECK(answers[0].sqlState == "KF001");
+    const auto results = client.pipeline({"SELECT kelptally_check_fence(2)", insert("x")});
+    REQUIRE(results.size() == 3);
+    CHECK(results[0].sqlState == "KF001");
     CHECK(client.query(idList).value() == "NULL");
 }
 
@@ -154,11 +154,11 @@
     TestClient writer(group.port("a"));
     TestClient owner(group.port("a"));
     writer.query("BEGIN");
-    CHECK(writer.query("SELECT kelptally_check_fence(1)").good());
+    CHECK(writer.query("SELECT kelptally_check_fence(1)").succeeded());
     owner.send("SELECT kelptally_raise_fence(2)");
-    CHECK(writer.query(insert("x")).good());
+    CHECK(writer.query(insert("x")).succeeded());
     CHECK(writer.query("COMMIT").tag == "COMMIT");
-    CHECK(owner.finish().good());
+    CHECK(owner.receive().succeeded());
     CHECK(owner.query(received).value() == "2");
 }
 
@@ -166,21 +166,21 @@
 {
     TestGroup group;
     group.run("a", insert("x"));
-    CHECK(group.reaches("b", applied, "1"));
+    CHECK(group.eventuallyReads("b", applied, "1"));
     TestClient client(group.port("b"));
     const bool keepState = GENERATE(true, false);
-    at(group, "b", [&](DatabaseServer &s) { s.kill(keepState); });
+    runOnServer(group, "b", [&](DatabaseServer &s) { s.kill(keepState); });
     CHECK(client.query("SELECT 1").sqlState == "lost");
     CHECK_FALSE(TestClient(group.port("b")).connected());
     group.run("a", insert("y"));
-    at(group, "b", [](DatabaseServer &s) { s.restart(); });
+    runOnServer(group, "b", [](DatabaseServer &s) { s.restart(); });
     if (keepState) {
-        CHECK(group.reaches("b", idList, "x,y"));
+        CHECK(group.eventuallyReads("b", idList, "x,y"));
     } else {
         CHECK(group.read("b", idList) == "NULL");
         CHECK(group.read("b", term) == "0");
-        CHECK(group.run("b", "SELECT kelptally_follow('a', 1)").good());
-        CHECK(group.reaches("b", idList, "x,y"));
+        CHECK(group.run("b", "SELECT kelptally_follow('a', 1)").succeeded());
+        CHECK(group.eventuallyReads("b", idList, "x,y"));
     }
 }
 
@@ -188,29 +188,29 @@
 {
     TestGroup group;
     TestClient client(group.port("a"));
-    at(group, "a", [](DatabaseServer &s) { s.setPaused(true); });
+    runOnServer(group, "a", [](DatabaseServer &s) { s.setPaused(true); });
     client.send(insert("x"));
-    at(group, "a", [](DatabaseServer &s) { CHECK(s.node().endOffset() == 0); });
-    at(group, "a", [](DatabaseServer &s) { s.setPaused(false); });
-    CHECK(client.finish().tag == "INSERT 0 1");
+    runOnServer(group, "a", [](DatabaseServer &s) { CHECK(s.node().endOffset() == 0); });
+    runOnServer(group, "a", [](DatabaseServer &s) { s.setPaused(false); });
+    CHECK(client.receive().tag == "INSERT 0 1");
 }
 
 TEST_CASE("Clients that are cut off hear nothing until the network heals", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
-    at(group, "a", [](DatabaseServer &s) { s.setClientCut("127.0.0.1", true); });
+    runOnServer(group, "a", [](DatabaseServer &s) { s.setClientPartitioned("127.0.0.1", true); });
     client.send(insert("x"));
     group.run("b", "SELECT 1");
     PQconsumeInput(client.raw());
     CHECK(PQisBusy(client.raw()) == 1);
-    at(group, "a", [](DatabaseServer &s) { s.setClientCut("127.0.0.1", false); });
-    CHECK(client.finish().tag == "INSERT 0 1");
+    runOnServer(group, "a", [](DatabaseServer &s) { s.setClientPartitioned("127.0.0.1", false); });
+    CHECK(client.receive().tag == "INSERT 0 1");
 }
 
 TEST_CASE("Statements with a service time take turns in the slots", "[standin]")
 {
-    ServerLimits limits = TestGroup::noCost();
+    ServerLimits limits = TestGroup::zeroConnectionCost();
     limits.slots = 1;
     limits.serviceTime = std::chrono::milliseconds(20);
     TestGroup group(limits);
@@ -221,7 +221,7 @@
         clients.back()->send("SELECT 1");
     }
     for (const auto &client : clients)
-        CHECK(client->finish().value() == "1");
+        CHECK(client->receive().value() == "1");
     CHECK(std::chrono::steady_clock::now() - start >= 4 * limits.serviceTime);
 }
 
@@ -230,7 +230,7 @@
     DatabaseGroups groups;
     DatabaseGroupSettings settings {"offers", "", {}};
     for (const char *name : {"a", "b"})
-        settings.servers.push_back({name, {}, TestGroup::noCost()});
+        settings.servers.push_back({name, {}, TestGroup::zeroConnectionCost()});
     groups.push_back(std::make_unique<DatabaseGroup>(settings));
     groups[0]->start();
     DatabaseServer &server = *groups[0]->find("a");
@@ -242,7 +242,7 @@
     CHECK(applyFault(groups, R"({"fault":"set","server":"a","replication-lag-ms":1.5})").empty());
     CHECK(server.limits().replicationLag == std::chrono::microseconds(1500));
     CHECK(applyFault(groups, R"({"fault":"partition","server":"a","clients":"all"})").empty());
-    server.callAndWait([](DatabaseServer &s) { CHECK(s.isCutOff("127.0.0.1")); });
+    server.callAndWait([](DatabaseServer &s) { CHECK(s.isPartitionedFrom("127.0.0.1")); });
     CHECK(applyFault(groups, R"({"fault":"heal","server":"a","clients":"all"})").empty());
     CHECK(applyFault(groups, R"({"fault":"kill","server":"a"})").empty());
     CHECK(stateDocument(groups).find("\"running\": false") != std::string::npos);
--- a/tests/standin/testclient.cpp
+++ b/tests/standin/testclient.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-Answer toAnswer(PGresult *result)
+QueryResult toQueryResult(PGresult *result)
 {
-    Answer answer;
+    QueryResult queryResult;
     const ExecStatusType status = PQresultStatus(result);
     if (status == PGRES_PIPELINE_ABORTED) {
-        answer.sqlState = "aborted";
+        queryResult.sqlState = "aborted";
     } else if (status == PGRES_FATAL_ERROR || result == nullptr) {
         const char *state = PQresultErrorField(result, PG_DIAG_SQLSTATE);
-        answer.sqlState = state ? state : "lost";
+        queryResult.sqlState = state ? state : "lost";
     }
-    answer.tag = result ? PQcmdStatus(result) : "";
-    answer.rows = PQntuples(result);
-    for (int i = 0; answer.rows > 0 && i < PQnfields(result); ++i)
-        answer.row.push_back(PQgetisnull(result, 0, i) ? "NULL" : PQgetvalue(result, 0, i));
+    queryResult.tag = result ? PQcmdStatus(result) : "";
+    queryResult.rows = PQntuples(result);
+    for (int i = 0; queryResult.rows > 0 && i < PQnfields(result); ++i)
+        queryResult.row.push_back(PQgetisnull(result, 0, i) ? "NULL" : PQgetvalue(result, 0, i));
     PQclear(result);
-    return answer;
+    return queryResult;
 }
 
 } // namespace
@@ -63,38 +63,38 @@
     }
 }
 
-Answer TestClient::query(const std::string &sql)
+QueryResult TestClient::query(const std::string &sql)
 {
-    return toAnswer(PQexec(connection_, sql.c_str()));
+    return toQueryResult(PQexec(connection_, sql.c_str()));
 }
 
-Answer TestClient::query(const std::string &sql, const std::vector<std::string> &parameters)
+QueryResult TestClient::query(const std::string &sql, const std::vector<std::string> &parameters)
 {
     std::vector<const char *> values;
     for (const std::string &parameter : parameters)
         values.push_back(parameter.c_str());
-    return toAnswer(PQexecParams(connection_, sql.c_str(), int(values.size()), nullptr,
-                                 values.data(), nullptr, nullptr, 0));
+    return toQueryResult(PQexecParams(connection_, sql.c_str(), int(values.size()), nullptr,
+                                      values.data(), nullptr, nullptr, 0));
 }
 
-std::vector<Answer> TestClient::pipeline(const std::vector<std::string> &statements)
+std::vector<QueryResult> TestClient::pipeline(const std::vector<std::string> &statements)
 {
     PQenterPipelineMode(connection_);
     for (const std::string &sql : statements)
         PQsendQueryParams(connection_, sql.c_str(), 0, nullptr, nullptr, nullptr, nullptr, 0);
     PQpipelineSync(connection_);
-    std::vector<Answer> answers;
+    std::vector<QueryResult> results;
     while (true) {
         PGresult *result = PQgetResult(connection_);
         const ExecStatusType status = PQresultStatus(result);
         const bool isLost = result == nullptr && PQstatus(connection_) != CONNECTION_OK;
         if (result != nullptr || isLost)
-            answers.push_back(toAnswer(result));
+            results.push_back(toQueryResult(result));
         if (status == PGRES_PIPELINE_SYNC || isLost)
             break;
     }
     PQexitPipelineMode(connection_);
-    return answers;
+    return results;
 }
 
 void TestClient::send(const std::string &sql)
@@ -102,12 +102,12 @@
     PQsendQuery(connection_, sql.c_str());
 }
 
-Answer TestClient::finish()
+QueryResult TestClient::receive()
 {
-    Answer answer = toAnswer(PQgetResult(connection_));
+    QueryResult queryResult = toQueryResult(PQgetResult(connection_));
     while (PGresult *rest = PQgetResult(connection_))
         PQclear(rest);
-    return answer;
+    return queryResult;
 }
 
 bool eventually(const std::function<bool()> &condition)
--- a/tests/standin/testclient.h
+++ b/tests/standin/testclient.h
@@ -9,7 +9,7 @@
 // A plain libpq client for the tests of the database stand-in.
 namespace kelptally::standin {
 
-struct Answer
+struct QueryResult
 {
     // "" when the statement succeeded.
     std::string sqlState;
@@ -18,7 +18,7 @@
     std::vector<std::string> row;
     int rows = 0;
 
-    bool good() const { return sqlState.empty(); }
+    bool succeeded() const { return sqlState.empty(); }
     std::string value() const { return row.empty() ? "" : row[0]; }
 };
 
@@ -35,15 +35,15 @@
     char transactionStatus() const;
 
     // A simple query.
-    Answer query(const std::string &sql);
+    QueryResult query(const std::string &sql);
     // Through parse, bind and execute.
-    Answer query(const std::string &sql, const std::vector<std::string> &parameters);
+    QueryResult query(const std::string &sql, const std::vector<std::string> &parameters);
     // All statements before one sync; an answer for each, where "aborted" stands as the SQLSTATE of
     // those that were skipped. The last answer is that of the sync.
-    std::vector<Answer> pipeline(const std::vector<std::string> &statements);
+    std::vector<QueryResult> pipeline(const std::vector<std::string> &statements);
     // Sends a simple query without waiting; finish() gives its answer.
     void send(const std::string &sql);
-    Answer finish();
+    QueryResult receive();
 
     PGconn *raw() { return connection_; }
 
--- a/tests/standin/testgroup.h
+++ b/tests/standin/testgroup.h
@@ -9,12 +9,12 @@
 class TestGroup
 {
 public:
-    explicit TestGroup(const ServerLimits &limits = noCost()) : group_(settings(limits))
+    explicit TestGroup(const ServerLimits &limits = zeroConnectionCost()) : group_(settings(limits))
     {
         group_.start();
     }
 
-    static ServerLimits noCost()
+    static ServerLimits zeroConnectionCost()
     {
         ServerLimits limits;
         limits.connectionCost = Duration(0);
@@ -31,7 +31,7 @@
         return TestClient(port(name)).query(sql).value();
     }
 
-    Answer run(const ServerName &name, const std::string &sql)
+    QueryResult run(const ServerName &name, const std::string &sql)
     {
         return TestClient(port(name)).query(sql);
     }
@@ -46,7 +46,7 @@
         run(replica, "SELECT kelptally_follow('" + primary + "', " + number + ")");
     }
 
-    bool reaches(const ServerName &name, const std::string &sql, const std::string &value)
+    bool eventuallyReads(const ServerName &name, const std::string &sql, const std::string &value)
     {
         return eventually([&] { return read(name, sql) == value; });
     }
--- a/tests/standin/wire_test.cpp
+++ b/tests/standin/wire_test.cpp
@@ -18,11 +18,11 @@
     REQUIRE(client.connected());
     CHECK(client.query("INSERT INTO offers VALUES ('x', 5), ('y', 6)").tag == "INSERT 0 2");
     CHECK(client.query("UPDATE offers SET amount = 7 WHERE id = 'x'").tag == "UPDATE 1");
-    const Answer read = client.query("SELECT id, amount, NULL FROM offers ORDER BY id");
+    const QueryResult read = client.query("SELECT id, amount, NULL FROM offers ORDER BY id");
     CHECK(read.tag == "SELECT 2");
     CHECK(read.row == std::vector<std::string> {"x", "7", "NULL"});
     CHECK(client.query("DELETE FROM offers").tag == "DELETE 2");
-    CHECK(client.query("").good());
+    CHECK(client.query("").succeeded());
     CHECK(client.query("SELECT 1; SELECT 'a;b' -- c;").value() == "a;b");
 }
 
@@ -45,7 +45,7 @@
     TestGroup group;
     TestClient client(group.port("a"));
     CHECK(client.query("INSERT INTO offers VALUES ($2, $1)", {"12", "x'\";"}).tag == "INSERT 0 1");
-    const Answer read =
+    const QueryResult read =
         client.query("SELECT id FROM offers WHERE amount = $1 LIMIT $2", {"12", "1"});
     CHECK(read.value() == "x'\";");
 }
@@ -58,16 +58,16 @@
         client.pipeline({"INSERT INTO offers VALUES ('x', 1)", "INSERT INTO offers VALUES ('x', 2)",
                          "INSERT INTO offers VALUES ('y', 3)"});
     REQUIRE(failed.size() == 4);
-    CHECK(failed[0].good());
+    CHECK(failed[0].succeeded());
     CHECK(failed[1].sqlState == "23505");
     CHECK(failed[2].sqlState == "aborted");
     CHECK(client.query(countOffers).value() == "0");
 
-    const auto good = client.pipeline(
+    const auto succeeded = client.pipeline(
         {"INSERT INTO offers VALUES ('x', 1)", countOffers, "SELECT kelptally_write_offset()"});
-    REQUIRE(good.size() == 4);
-    CHECK(good[1].value() == "1");
-    CHECK(good[2].value() == "1");
+    REQUIRE(succeeded.size() == 4);
+    CHECK(succeeded[1].value() == "1");
+    CHECK(succeeded[2].value() == "1");
     CHECK(group.read("a", "SELECT received FROM kelptally_status") == "1");
 }
 
@@ -76,10 +76,10 @@
     TestGroup group;
     TestClient client(group.port("a"));
     const std::vector<std::string> statements(1000, "SELECT 1");
-    const auto answers = client.pipeline(statements);
-    REQUIRE(answers.size() == 1001);
+    const auto results = client.pipeline(statements);
+    REQUIRE(results.size() == 1001);
     for (std::size_t i = 0; i < statements.size(); ++i)
-        REQUIRE(answers[i].value() == "1");
+        REQUIRE(results[i].value() == "1");
 }
 
 TEST_CASE("A transaction block sees its own work and others do not", "[standin]")
@@ -89,7 +89,7 @@
     TestClient other(group.port("a"));
     CHECK(client.query("BEGIN").tag == "BEGIN");
     CHECK(other.query("BEGIN").tag == "BEGIN");
-    CHECK(client.query("INSERT INTO offers VALUES ('x', 1)").good());
+    CHECK(client.query("INSERT INTO offers VALUES ('x', 1)").succeeded());
     CHECK(client.transactionStatus() == 'T');
     CHECK(client.query(countOffers).value() == "1");
     CHECK(other.query(countOffers).value() == "0");
@@ -118,16 +118,16 @@
     {
         TestClient client(group.port("a"));
         client.query("BEGIN");
-        CHECK(client.query("INSERT INTO offers VALUES ('x', 1)").good());
+        CHECK(client.query("INSERT INTO offers VALUES ('x', 1)").succeeded());
     }
     TestClient next(group.port("a"));
-    CHECK(next.query("INSERT INTO offers VALUES ('y', 1)").good());
+    CHECK(next.query("INSERT INTO offers VALUES ('y', 1)").succeeded());
     CHECK(next.query("SELECT id FROM offers").value() == "y");
 }
 
 TEST_CASE("A second writer waits, and gives up at its time limit", "[standin]")
 {
-    ServerLimits limits = TestGroup::noCost();
+    ServerLimits limits = TestGroup::zeroConnectionCost();
     limits.lockTimeout = std::chrono::milliseconds(50);
     TestGroup group(limits);
     TestClient first(group.port("a"));
@@ -141,7 +141,7 @@
     TestClient third(group.port("a"));
     third.send("INSERT INTO offers VALUES ('z', 1)");
     CHECK(first.query("COMMIT").tag == "COMMIT");
-    CHECK(third.finish().tag == "INSERT 0 1");
+    CHECK(third.receive().tag == "INSERT 0 1");
     CHECK(third.query(countOffers).value() == "2");
 }
 
@@ -163,7 +163,7 @@
     });
     PQfreeCancel(cancel);
     REQUIRE(cancelled);
-    CHECK(second.finish().sqlState == "57014");
+    CHECK(second.receive().sqlState == "57014");
     CHECK(first.query("COMMIT").tag == "COMMIT");
     CHECK(second.query(countOffers).value() == "1");
 }
@@ -202,7 +202,7 @@
 
 TEST_CASE("Connections beyond the limit are refused", "[standin]")
 {
-    ServerLimits limits = TestGroup::noCost();
+    ServerLimits limits = TestGroup::zeroConnectionCost();
     limits.connections = 2;
     TestGroup group(limits);
     auto first = std::make_unique<TestClient>(group.port("a"));
