--- a/src/standin/databasegroup.cpp
+++ b/src/standin/databasegroup.cpp
@@ -2,7 +2,7 @@
 
 namespace kelptally::standin {
 
-// The network as one server sees it. Messages are held back by the sender's replication delay.
+// Outgoing network of one server. Delays messages by the sender's replication delay.
 class DatabaseGroup::Link : public PeerNetwork
 {
 public:
--- a/src/standin/databasegroup.h
+++ b/src/standin/databasegroup.h
@@ -20,7 +20,7 @@
     const GroupName &name() const { return name_; }
     const std::vector<std::unique_ptr<DatabaseServer>> &servers() const { return servers_; }
     DatabaseServer *find(const ServerName &name) const;
-    // Cuts or heals the network between two servers, in both directions.
+    // Partitions or heals the network between two servers, in both directions.
     void setPartitioned(const ServerName &a, const ServerName &b, bool partitioned);
 
 private:
--- a/src/standin/databaseserver.cpp
+++ b/src/standin/databaseserver.cpp
@@ -16,9 +16,9 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// Texts whose parse is kept; all are dropped when there are more.
+// Limit of the parse cache; the cache is cleared when it is reached.
 constexpr std::size_t maxCachedParses = 1000;
-// Names of threads have 15 characters at most.
+// Linux limits thread names to 15 characters.
 constexpr std::size_t maxThreadNameLength = 15;
 
 } // namespace
@@ -49,7 +49,7 @@
 void DatabaseServer::stop()
 {
     thread_.stop();
-    // The sessions go while the server is whole: closing one reports to it.
+    // Closes the sessions before the members are destroyed, as each calls onSessionClosed().
     const auto sessions = std::move(sessions_);
     sessions_.clear();
     for (const auto &[id, session] : sessions)
--- a/src/standin/databaseserver.h
+++ b/src/standin/databaseserver.h
@@ -20,7 +20,7 @@
 
 class WireSession;
 
-// What GET /state shows of a server.
+// State of one server as reported by GET /state.
 struct ServerState
 {
     ServerName name;
@@ -37,9 +37,9 @@
     ServerLimits limits;
 };
 
-// One server of a database group: a listening port, the sessions of its clients, its node, and the
-// faults that it is told to have. All of it runs on the server's own thread; the methods of the
-// first block may be called from any other thread.
+// One server of a database group: its listening port, client sessions, replicated state (Node) and
+// injected faults. Runs on its own thread; only the methods of the first block may be called from
+// other threads.
 class DatabaseServer
 {
 public:
@@ -47,17 +47,18 @@
                    PeerNetwork &network);
     ~DatabaseServer();
 
-    // Listens; the port is known afterwards. Throws boost::system::system_error when it can't.
+    // Starts listening and sets port(). Throws boost::system::system_error on failure.
     void start(const ServerName &initialPrimary);
     void stop();
     int port() const { return port_; }
     const ServerName &name() const { return settings_.name; }
-    // Runs a message of a peer after the delay, unless it is lost on the way.
+    // Runs a peer's message after the delay. Drops it if the server is down or partitioned from the
+    // peer.
     void deliver(const ServerName &from, Duration delay, std::function<void(Node &)> message);
-    // Runs a function on the server's thread and waits for it.
+    // Runs the function on the server's thread and blocks until it has returned.
     void callAndWait(const std::function<void(DatabaseServer &)> &function);
 
-    // Faults, on the server's thread.
+    // Fault injection, on the server's thread.
     void kill(bool keepState);
     void restart();
     void setPaused(bool paused);
@@ -67,17 +68,17 @@
     void setLimits(const ServerLimits &limits);
     ServerState state();
 
-    // For the sessions.
+    // Used by the sessions.
     Node &node() { return node_; }
     TimerService &timers() { return thread_.timers(); }
     const ServerLimits &limits() const { return settings_.limits; }
     bool paused() const { return paused_; }
     bool isPartitionedFrom(const std::string &clientAddress) const;
     ParsedStatementPtr parse(const std::string &sql);
-    // Counts a new connection; false when there are too many.
+    // Counts a new connection. Returns false if the connection limit is reached.
     bool admit();
     void cancel(std::uint32_t sessionId, std::uint32_t secret);
-    // Calls back when a slot was free and then held for the time.
+    // Waits for a free slot, occupies it for `time` and then calls `done`.
     void occupySlot(Duration time, std::function<void()> done);
     void onSessionClosed(WireSession &session);
 
@@ -104,7 +105,7 @@
 
     bool running_ = false;
     bool paused_ = false;
-    // Goes up with each kill, so that what was under way is lost.
+    // Incremented by each kill, so that timers of an earlier run are ignored.
     std::uint64_t incarnation_ = 0;
     std::set<ServerName> partitionedPeers_;
     std::set<std::string> partitionedClients_;
--- a/src/standin/delayqueue.cpp
+++ b/src/standin/delayqueue.cpp
@@ -23,7 +23,7 @@
 
 void DelayQueue::runDue()
 {
-    // While work runs the timer counts as armed, so that work which pushes keeps its place.
+    // timer_ stays set during the loop, so that a nested push() doesn't subscribe a second timer.
     const Instant now = timers_.now();
     while (!items_.empty() && items_.front().due <= now) {
         const auto work = std::move(items_.front().work);
--- a/src/standin/delayqueue.h
+++ b/src/standin/delayqueue.h
@@ -7,7 +7,7 @@
 
 namespace kelptally::standin {
 
-// Runs what is pushed after a delay, in the order of pushing. Used on one thread.
+// Runs queued work at its due time, in FIFO order. Used on one thread only.
 class DelayQueue
 {
 public:
@@ -16,7 +16,7 @@
     DelayQueue(const DelayQueue &) = delete;
     DelayQueue &operator=(const DelayQueue &) = delete;
 
-    // Runs at once when nothing waits and the time has come.
+    // Runs the work immediately if the queue is empty and `due` has passed.
     void push(Instant due, std::function<void()> work);
     void clear();
 
--- a/src/standin/faultcontrol.cpp
+++ b/src/standin/faultcontrol.cpp
@@ -12,7 +12,7 @@
 namespace http = beast::http;
 using asio::ip::tcp;
 
-// One connection to the control port; answers requests one after another.
+// One connection to the control port. Handles requests sequentially.
 class ControlSession : public std::enable_shared_from_this<ControlSession>
 {
 public:
--- a/src/standin/faultcontrol.h
+++ b/src/standin/faultcontrol.h
@@ -11,14 +11,15 @@
 
 using DatabaseGroups = std::vector<std::unique_ptr<DatabaseGroup>>;
 
-// Faults and state of the database stand-ins by HTTP and JSON, as docs/STANDIN.md describes.
+// HTTP server that injects faults into the database stand-ins and reports their state; see
+// docs/STANDIN.md.
 class FaultControl
 {
 public:
     FaultControl(ListenAddress listen, DatabaseGroups &groups);
     ~FaultControl();
 
-    // Throws boost::system::system_error when it can't listen.
+    // Starts listening. Throws boost::system::system_error on failure.
     void start();
     void stop();
     int port() const;
@@ -28,10 +29,10 @@
     std::unique_ptr<Private> d_;
 };
 
-// What POST /faults does with its body. Gives the problem, or nothing when it is done.
+// Applies the body of POST /faults. Returns an error message, or an empty string on success.
 std::string applyFault(DatabaseGroups &groups, const std::string &body);
 
-// The body of GET /state.
+// Returns the response body of GET /state.
 std::string stateDocument(const DatabaseGroups &groups);
 
 } // namespace kelptally::standin
--- a/src/standin/faults.cpp
+++ b/src/standin/faults.cpp
@@ -46,7 +46,7 @@
     server.setLimits(limits);
 }
 
-// "peers": names of servers, or "all"; "clients": addresses, or "all".
+// "peers" is an array of server names or "all", "clients" an array of addresses or "all".
 void setPartition(const FaultTarget &target, const Json &fault, bool partitioned)
 {
     const Json peers = fault.value("peers", Json::array());
--- a/src/standin/grouplog.cpp
+++ b/src/standin/grouplog.cpp
@@ -32,8 +32,8 @@
         termRanges_.back().last = std::min(termRanges_.back().last, offset);
 }
 
-// A term has one primary, which only appends: equal (term, offset) means equal records, and equal
-// records before them.
+// Each term has one primary, which only appends. So logs with the same (term, offset) are equal up
+// to that offset.
 LogOffset GroupLog::commonOffset(const std::vector<TermRange> &other) const
 {
     LogOffset common = 0;
--- a/src/standin/grouplog.h
+++ b/src/standin/grouplog.h
@@ -9,14 +9,14 @@
 
 namespace kelptally::standin {
 
-// A write statement as it is run again on the replicas.
+// A write statement as repeated on the replicas.
 struct LoggedStatement
 {
     std::string sql;
     std::vector<Parameter> parameters;
 };
 
-// What one transaction wrote.
+// Log record with the write statements of one transaction.
 struct Record
 {
     Position position;
@@ -24,14 +24,14 @@
 };
 using RecordPtr = std::shared_ptr<const Record>;
 
-// A term and the offset at which it began.
+// A term and the offset of its first record.
 struct TermStart
 {
     Term term = 0;
     LogOffset start = 0;
 };
 
-// Records of one term that follow each other in a log.
+// Consecutive records of one term in a log; both offsets are inclusive.
 struct TermRange
 {
     Term term = 0;
@@ -39,22 +39,22 @@
     LogOffset last = 0;
 };
 
-// The log of one server: records at offsets 1, 2, 3, ... across all terms.
+// The log of one server. Offsets start at 1 and are consecutive across all terms.
 class GroupLog
 {
 public:
-    // Term and offset of the newest record; {0, 0} when there is none.
+    // Position of the newest record; {0, 0} if the log is empty.
     Position end() const { return positionAt(records_.size()); }
     Position positionAt(LogOffset offset) const;
     const RecordPtr &record(LogOffset offset) const { return records_[offset - 1]; }
     const std::vector<TermRange> &termRanges() const { return termRanges_; }
 
-    // The record's offset must be the next one.
+    // The record's offset must be end().offset + 1.
     void append(RecordPtr record);
-    // Drops the records after this offset.
+    // Removes the records after this offset.
     void truncate(LogOffset offset);
 
-    // Newest offset up to which both logs hold the same records.
+    // Returns the highest offset up to which both logs are equal.
     LogOffset commonOffset(const std::vector<TermRange> &other) const;
 
 private:
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -9,15 +9,15 @@
 #include <csignal>
 #include <iostream>
 
-// kelptally-standin: database groups and the platform's services in one process, for demos, tests
-// and measurements.
+// kelptally-standin: runs stand-ins for database groups and platform services in one process, for
+// demos, tests and benchmarks.
 
 using namespace kelptally;
 using namespace kelptally::standin;
 
 namespace {
 
-// Waits for SIGINT or SIGTERM, which main blocked before it started any thread.
+// Waits for SIGINT or SIGTERM; both must be blocked in all threads.
 void waitForSignal(const sigset_t &signals)
 {
     int signal = 0;
--- a/src/standin/node.cpp
+++ b/src/standin/node.cpp
@@ -9,12 +9,11 @@
 namespace {
 
 constexpr Term firstTerm = 1;
-// Records in one answer to a fetch; chosen, not measured.
 constexpr std::size_t maxRecordsPerFetch = 2000;
-// A replica that has not asked for so long gets no records pushed; chosen, not measured.
+// Records are not pushed to a replica whose last fetch is older than this.
 constexpr Duration replicaTimeout = std::chrono::seconds(2);
 
-// Tables and views that each server has. The views show the state that fact() gives.
+// System tables and views of each server. The views show the values of stateValue().
 constexpr const char *systemSchema = R"sql(
 CREATE TABLE kelptally_fence(epoch BIGINT);
 INSERT INTO kelptally_fence VALUES (0);
@@ -95,7 +94,7 @@
 {
     if (term < preparedTerm_ || (term <= term_ && term != preparedTerm_)) {
         error = staleTermError("term " + std::to_string(std::max(preparedTerm_, term_))
-                               + " is prepared already");
+                               + " is already prepared");
         return false;
     }
     preparedTerm_ = term;
@@ -113,21 +112,21 @@
         error = staleTermError("term " + std::to_string(term) + " is not prepared here");
         return false;
     }
-    // 1. Readers see all that was received.
+    // 1. Apply all received records.
     applyQueue_.clear();
     applyUpTo(endOffset());
-    // 2. The new term begins after it; terms that began later are not part of our log.
+    // 2. Start the new term after them. Terms that start later are not in this log.
     const LogOffset start = endOffset() + 1;
     while (!history_.empty() && history_.back().start > start)
         history_.pop_back();
     history_.push_back({term, start});
-    // 3. Its first record is empty: a replica that holds it holds all that came before the term,
-    // also when nobody writes.
+    // 3. Append an empty first record: a replica that holds it also holds all records of earlier
+    // terms, even without further writes.
     auto first = std::make_shared<Record>();
     first->position = {term, start};
     log_.append(first);
     applyUpTo(start);
-    // 4. Take writes.
+    // 4. Accept writes.
     writerDatabase_->copyFrom(*committedDatabase_);
     term_ = term;
     primary_ = true;
--- a/src/standin/node.h
+++ b/src/standin/node.h
@@ -22,11 +22,11 @@
 public:
     virtual ~PeerNetwork() = default;
 
-    // Runs the message at the other server, on its thread, unless it is lost.
+    // Runs the message on the receiver's thread, unless the message is lost.
     virtual void send(const ServerName &to, std::function<void(Node &)> message) = 0;
 };
 
-// A replica asks its primary for the records after its own.
+// Request of a replica for the primary's records that follow its own log.
 struct FetchMessage
 {
     ServerName replica;
@@ -35,37 +35,37 @@
     std::vector<TermRange> termRanges;
 };
 
-// The primary's records after a position that both logs hold.
+// Records of the primary that follow a position common to both logs.
 struct AppendMessage
 {
     Term term = 0;
     Position common;
     std::vector<RecordPtr> records;
     std::vector<TermStart> history;
-    // Set in the answer to a fetch: the replica's end as it was asked with. Only then may the
-    // replica drop what lies after the common position.
+    // The end of the replica's log as in the fetch that this message answers; unset in pushed
+    // messages. The replica truncates its log only if its end is still the same.
     std::optional<Position> fetchedEnd;
 };
 
-// The state of one server of a database group: its databases, log, term and role. Reads see the
-// committed database. A transaction that writes works on a second database, one at a time; its
-// statements run again on the committed database when it commits, as they do on each replica.
+// Replicated state of one server of a database group: its databases, log, term and role. Reads use
+// the committed database. At most one writing transaction at a time uses the writer database; on
+// commit its statements are repeated on the committed database, as on each replica.
 class Node
 {
 public:
     Node(ServerName name, std::string schema, TimerService &timers, PeerNetwork &network);
 
-    // The state of a new installation: empty, as the primary or a replica of the first term.
+    // Initialises a new server as the primary or a replica of the first term.
     void install(const ServerName &initialPrimary);
-    // Loses everything, as a server whose storage was lost.
+    // Erases all state, as after a loss of the storage.
     void eraseState();
-    // Forgets what a restarted process would not know: open transactions, the replicas' requests.
+    // Drops the state that a process restart loses: open transactions and known replicas.
     void restart();
 
     SqliteDatabase &committedDatabase() { return *committedDatabase_; }
     SqliteDatabase &writerDatabase() { return *writerDatabase_; }
 
-    // Control functions. Each gives false and sets the error when refused.
+    // Control functions. Each returns false and sets `error` if refused.
     bool prepare(Term term, SqlError &error);
     bool promote(Term term, SqlError &error);
     bool follow(const ServerName &primary, Term term, SqlError &error);
@@ -75,23 +75,23 @@
     Term term() const { return term_; }
     bool acceptsWrites() const { return primary_ && preparedTerm_ <= term_; }
 
-    // The writer's transaction. Begin when the lock was just acquired.
+    // Writer transaction. Call beginWriterTransaction() after the writer lock was acquired.
     WriterLock &writerLock() { return writerLock_; }
     void beginWriterTransaction();
     void rollBackWriterTransaction();
-    // Commits the writer's transaction and logs its statements.
+    // Commits the writer transaction, appends its statements to the log and replicates them.
     bool commitWriterTransaction(std::vector<LoggedStatement> statements, SqlError &error);
 
     void setReplicationLag(Duration replicationLag) { replicationLag_ = replicationLag; }
     Duration replicationLag() const { return replicationLag_; }
 
-    // Messages of the peers.
+    // Messages from peers.
     void onFetch(const FetchMessage &message);
     void onAppend(const AppendMessage &message);
-    // Asks the primary again; call it each fetchPeriod.
+    // Fetches from the primary on a replica. Call it every fetchPeriod.
     void onTick();
 
-    // Names as in the columns of kelptally_status, and "history" as JSON.
+    // Returns a column of kelptally_status, or the term history as JSON for "history".
     std::string stateValue(std::string_view name) const;
     const ServerName &name() const { return name_; }
 
@@ -102,7 +102,7 @@
     {
         ServerName primary;
         Term term = 0;
-        // Our log is a beginning of the primary's.
+        // Whether the local log is a prefix of the primary's.
         bool logsMatch = false;
     };
 
@@ -132,7 +132,7 @@
     Term preparedTerm_ = 0;
     bool primary_ = false;
     std::optional<ReplicationSource> replicationSource_;
-    // Replicas that asked us lately, at a primary.
+    // On a primary: time of the last fetch of each replica.
     std::map<ServerName, Instant> replicas_;
 
     Duration replicationLag_ {0};
--- a/src/standin/platformsettings.cpp
+++ b/src/standin/platformsettings.cpp
@@ -16,7 +16,7 @@
 {
     const settings::Endpoint endpoint = reader.endpoint("listen");
     if (endpoint.port != 0 && endpoint.address != loopback)
-        reader.add("listen", "the platform's stand-in listens on 127.0.0.1 only");
+        reader.add("listen", "the platform stand-in listens only on 127.0.0.1");
     result.port = endpoint.port;
     result.hostLag = reader.duration("host-lag", lagRange, result.hostLag);
 }
@@ -38,7 +38,7 @@
                                        settings::Findings &findings)
 {
     PlatformSettings result;
-    // Mistakes of the document as a whole are reported by the reader of the other sections.
+    // Syntax errors of the document are reported by parseStandinSettings().
     settings::Findings reportedElsewhere;
     for (const settings::IniSection &section : parseIni(file, text, reportedElsewhere)) {
         SectionReader reader(file, section, findings);
--- a/src/standin/platformsettings.h
+++ b/src/standin/platformsettings.h
@@ -10,19 +10,19 @@
 
 namespace kelptally::standin {
 
-// The platform's part of the stand-in's settings.
+// Settings of the platform stand-in.
 struct PlatformSettings
 {
-    // Port on 127.0.0.1; nothing when there is no [platform] section.
+    // Port on 127.0.0.1; unset without a [platform] section.
     std::optional<int> port;
-    // Until a change of the host list shows.
+    // Delay until a change of the host list becomes visible.
     Duration hostLag {0};
-    // The host list at start.
+    // Initial host list.
     std::vector<services::ListedHost> hosts;
 };
 
-// Reads the sections [platform] and [host NAME] of the INI document described in docs/STANDIN.md
-// and leaves the others alone. Use the result only without findings.
+// Parses the sections [platform] and [host NAME] of the INI document described in docs/STANDIN.md
+// and ignores all others. The result is valid only if no findings were added.
 PlatformSettings parsePlatformSettings(const std::string &file, const std::string &text,
                                        settings::Findings &findings);
 
--- a/src/standin/platformstandin.cpp
+++ b/src/standin/platformstandin.cpp
@@ -28,7 +28,7 @@
     return request;
 }
 
-// One connection of a client.
+// One client connection. Handles requests sequentially.
 class Session : public std::enable_shared_from_this<Session>
 {
 public:
@@ -95,7 +95,7 @@
                           });
     }
 
-    // Closes with RST, as a host that dies does.
+    // Closes the connection with a TCP reset.
     void reset()
     {
         Error ignored;
--- a/src/standin/platformstandin.h
+++ b/src/standin/platformstandin.h
@@ -8,20 +8,21 @@
 
 namespace kelptally::standin {
 
-// A small stand-in of the platform on one port of 127.0.0.1: table service, object store and the
-// lagging host list, all in memory, with faults that are set over the same port. docs/STANDIN.md
-// gives the protocol.
+// In-memory stand-in for the platform's services on one port of 127.0.0.1: table service, object
+// store and delayed host list, with fault injection over the same port. The protocol is in
+// docs/STANDIN.md.
 class PlatformStandin
 {
 public:
-    // Port 0 takes a free one. Throws boost::system::system_error when the port cannot be had. The
-    // thread outlives it; it is destroyed while the thread does not run, or on it.
+    // Port 0 selects a free port. Throws boost::system::system_error if the port can't be bound.
+    // The thread must outlive the object. Destroy it on the thread or while the thread isn't
+    // running.
     PlatformStandin(DutyThread &thread, int port);
     ~PlatformStandin();
 
     int port() const;
 
-    // The list at start, and the lag of later changes. Called before the thread runs.
+    // Sets the initial host list and the lag of later changes. Call it before the thread runs.
     void setHosts(std::vector<services::ListedHost> hosts, Duration lag);
 
 private:
--- a/src/standin/platformstate.cpp
+++ b/src/standin/platformstate.cpp
@@ -59,7 +59,7 @@
     return decoded;
 }
 
-// A target's decoded path segments and its query.
+// Decoded path segments and raw query of a request target.
 struct Target
 {
     std::vector<std::string> path;
@@ -82,7 +82,7 @@
     return target;
 }
 
-// One write of a transaction as the request gives it.
+// One conditional write of a transaction; without `expectedEtag` the row must be absent.
 struct RowWrite
 {
     std::string table;
@@ -177,14 +177,14 @@
         return setFaults(request.body);
     if (route == "GET counters" && path.size() == 1)
         return showCounters();
-    return failure(404, "there is no such path");
+    return failure(404, "path not found");
 }
 
 PlatformResponse PlatformState::readRow(const std::string &table, const std::string &key) const
 {
     const auto items = tables_.find(table);
     if (items == tables_.end() || items->second.count(key) == 0)
-        return failure(404, "there is no such row");
+        return failure(404, "row not found");
     const Item &item = items->second.at(key);
     return success({{"key", key}, {"value", item.value}}, item.etag);
 }
@@ -205,7 +205,7 @@
 {
     const auto writes = parseWrites(body);
     if (!writes)
-        return failure(400, "not a list of conditional writes");
+        return failure(400, "the body is not a list of conditional writes");
     for (const RowWrite &write : *writes) {
         const Items &items = tables_[write.table];
         const auto found = items.find(write.key);
@@ -213,8 +213,7 @@
             ? found != items.end() && found->second.etag == *write.expectedEtag
             : found == items.end();
         if (!conditionMet)
-            return failure(412,
-                           "the condition on " + write.table + "/" + write.key + " does not hold");
+            return failure(412, "the precondition on " + write.table + "/" + write.key + " failed");
     }
     Json newEtags = Json::array();
     for (const RowWrite &write : *writes) {
@@ -229,7 +228,7 @@
 {
     const auto found = objects_.find(key);
     if (found == objects_.end())
-        return failure(404, "there is no such object");
+        return failure(404, "object not found");
     return {200, found->second.etag, found->second.value};
 }
 
@@ -243,7 +242,7 @@
         ? !exists
         : exists && "\"" + found->second.etag + "\"" == request.ifMatch;
     if (!conditionMet)
-        return failure(412, "the condition does not hold");
+        return failure(412, "the precondition failed");
     const std::string newEtag = nextEtag();
     objects_[key] = {request.body, newEtag};
     return success(Json::object(), newEtag);
@@ -251,7 +250,7 @@
 
 PlatformResponse PlatformState::listHosts(Instant now)
 {
-    // All but the newest visible list are of no use any more.
+    // Remove versions that a newer visible one replaces.
     while (hostVersions_.size() > 1 && hostVersions_[1].visibleFrom <= now)
         hostVersions_.erase(hostVersions_.begin());
     Json hosts = Json::array();
@@ -269,14 +268,14 @@
 {
     auto hosts = parseHosts(body);
     if (!hosts)
-        return failure(400, "not a list of hosts");
+        return failure(400, "the body is not a list of hosts");
     setHosts(now + hostLag_, *std::move(hosts));
     return success(Json::object());
 }
 
 void PlatformState::setHosts(Instant visibleFrom, std::vector<services::ListedHost> hosts)
 {
-    // A change with a shorter lag does not overtake an earlier one.
+    // Keep changes in order even if the lag was shortened.
     if (!hostVersions_.empty())
         visibleFrom = std::max(visibleFrom, hostVersions_.back().visibleFrom);
     hostVersions_.push_back({visibleFrom, std::move(hosts)});
@@ -286,13 +285,13 @@
 {
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object())
-        return failure(400, "not a JSON object");
+        return failure(400, "the body is not a JSON object");
     const auto service = textMember(json, "service");
     const auto outage = textMember(json, "outage");
     const auto outageAt =
         std::find(outageNames.begin(), outageNames.end(), outage.value_or("none"));
     if (outageAt == outageNames.end())
-        return failure(400, "outage is one of none, reset, refuse");
+        return failure(400, "outage must be one of none, reset, refuse");
     bool found = false;
     for (std::size_t i = 0; i < platformServiceCount - 1; ++i) {
         if (service && *service != serviceNames[i])
@@ -308,7 +307,7 @@
     if (const auto lag = countMember(json, "hostLagMs"))
         hostLag_ = std::chrono::milliseconds(*lag);
     return found ? success(Json::object())
-                 : failure(400, "service is one of tables, objects, hosts");
+                 : failure(400, "service must be one of tables, objects, hosts");
 }
 
 PlatformResponse PlatformState::showCounters() const
--- a/src/standin/platformstate.h
+++ b/src/standin/platformstate.h
@@ -13,13 +13,13 @@
 
 namespace kelptally::standin {
 
-// A request as the stand-in understands it.
+// The parts of an HTTP request that the stand-in uses.
 struct PlatformRequest
 {
     std::string method;
     std::string target;
     std::string body;
-    // As in the header, with quotes; empty: none.
+    // Value of If-Match with its quotes; empty if absent.
     std::string ifMatch;
     bool ifNoneMatch = false;
 };
@@ -27,7 +27,7 @@
 struct PlatformResponse
 {
     int status = 200;
-    // Without quotes; empty: none.
+    // ETag without quotes; empty if there is none.
     std::string etag;
     std::string body;
 };
@@ -36,25 +36,25 @@
     Tables,
     Objects,
     Hosts,
-    // Faults and counters themselves.
+    // Fault injection and request counters.
     Control,
 };
 constexpr std::size_t platformServiceCount = 4;
 
 enum class Outage {
     None,
-    // The connection is reset before the request has an effect.
+    // Reset the connection before executing the request.
     Reset,
-    // 503 before the request has an effect.
+    // Respond with 503 without executing the request.
     Refuse,
 };
 
 struct PlatformFaults
 {
     Outage outage = Outage::None;
-    // Wait before the effect.
+    // Delay before executing a request.
     Duration delay {0};
-    // So many of the next successful writes take effect and get no answer.
+    // Number of successful writes to execute next without sending a response.
     int lostResponses = 0;
 };
 
@@ -64,19 +64,19 @@
     std::uint64_t writes = 0;
 };
 
-// What the stand-in of the platform holds and how it answers, without its network.
+// Data and request handling of the platform stand-in, independent of the network.
 class PlatformState
 {
 public:
     static PlatformService serviceOf(std::string_view target);
 
-    // Carries the request out and answers it.
+    // Executes the request and returns its response.
     PlatformResponse handle(Instant now, const PlatformRequest &request);
 
     void count(PlatformService service, bool isWrite);
     PlatformFaults &faults(PlatformService service);
 
-    // Of changes from now on.
+    // Sets the lag of subsequent changes of the host list.
     void setHostLag(Duration lag) { hostLag_ = lag; }
     void setHosts(Instant visibleFrom, std::vector<services::ListedHost> hosts);
 
--- a/src/standin/sqlitedatabase.cpp
+++ b/src/standin/sqlitedatabase.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-// Compiled statements kept for each database; all are dropped when there are more.
+// Limit of the statement cache; the cache is cleared when it is reached.
 constexpr std::size_t maxCachedStatements = 1000;
 
-// Object ids of types in PostgreSQL's catalogue (pg_type).
+// PostgreSQL type OIDs (pg_type).
 constexpr int int8Oid = 20;
 constexpr int textOid = 25;
 constexpr int float8Oid = 701;
@@ -31,7 +31,7 @@
     return textOid;
 }
 
-// SQLSTATE codes as in appendix A of PostgreSQL's documentation.
+// Maps an SQLite error to an SQLSTATE code of PostgreSQL (appendix A of its documentation).
 std::string sqlStateOf(int extendedCode, std::string_view message)
 {
     switch (extendedCode) {
@@ -79,7 +79,7 @@
 {
     const int count = sqlite3_bind_parameter_count(statement);
     for (int i = 1; i <= count; ++i) {
-        // SQLite takes "$1::text" as one name: only its number counts.
+        // SQLite reads "$1::text" as one parameter name; atoi() stops after the number.
         const char *name = sqlite3_bind_parameter_name(statement, i);
         const int number = name ? std::atoi(name + 1) : 0;
         parameterNumbers_.push_back(number);
@@ -133,7 +133,7 @@
         return nullptr;
     }
     if (statement == nullptr) {
-        error = {"42601", "no statement"};
+        error = {"42601", "the text contains no statement"};
         return nullptr;
     }
     if (statements_.size() >= maxCachedStatements)
--- a/src/standin/sqlitedatabase.h
+++ b/src/standin/sqlitedatabase.h
@@ -15,14 +15,14 @@
 
 namespace kelptally::standin {
 
-// An error as PostgreSQL's protocol reports it: a five-letter SQLSTATE and a message.
+// An error of a statement: five-character SQLSTATE and message.
 struct SqlError
 {
     std::string sqlState;
     std::string message;
 };
 
-// How the text of a parameter is bound; other types of PostgreSQL are bound as text.
+// SQLite type that a parameter's text is bound as. All other PostgreSQL types are bound as text.
 enum class ParameterType {
     Text,
     Integer,
@@ -35,17 +35,17 @@
     ParameterType type = ParameterType::Text;
 };
 
-// One column of a result, with the type's object id in PostgreSQL.
+// A result column with its PostgreSQL type OID.
 struct Column
 {
     std::string name;
     int typeOid = 0;
 };
 
-// Receives the values of one row, valid during the call only.
+// Receives one row. The values are valid only during the call.
 using RowSink = std::function<void(const std::vector<std::optional<std::string_view>> &)>;
 
-// A compiled statement, kept by its database.
+// A compiled statement, owned by its database.
 class SqlStatement
 {
 public:
@@ -55,7 +55,7 @@
     SqlStatement &operator=(const SqlStatement &) = delete;
 
     bool readOnly() const { return readOnly_; }
-    // Number of the highest $n.
+    // Highest n of the parameters $n.
     int parameterCount() const { return parameterCount_; }
     std::vector<Column> columns() const;
 
@@ -65,11 +65,11 @@
     sqlite3_stmt *const statement_;
     const bool readOnly_;
     int parameterCount_ = 0;
-    // For each parameter of SQLite the number n of its $n.
+    // Maps each SQLite parameter index (from 0) to the n of its $n.
     std::vector<int> parameterNumbers_;
 };
 
-// One in-memory SQLite database that takes PostgreSQL's $n parameters. Used on one thread.
+// In-memory SQLite database that accepts PostgreSQL's $n parameters. Used on one thread only.
 class SqliteDatabase
 {
 public:
@@ -78,22 +78,23 @@
     SqliteDatabase(const SqliteDatabase &) = delete;
     SqliteDatabase &operator=(const SqliteDatabase &) = delete;
 
-    // Gives nothing, and sets the error, when the text is not a statement for this schema.
+    // Returns the compiled statement, or nullptr and sets `error` if it doesn't compile. The
+    // pointer is valid until the next prepare() or copyFrom().
     SqlStatement *prepare(const std::string &sql, SqlError &error);
 
-    // Runs to the end. The changed rows are counted in `affected`.
+    // Runs the statement to completion. `affected` is the number of returned or changed rows.
     bool run(SqlStatement &statement, const std::vector<Parameter> &parameters, const RowSink &sink,
              std::size_t &affected, SqlError &error);
 
-    // Prepares and runs, without rows.
+    // Prepares and runs a statement, and ignores its rows.
     bool execute(const std::string &sql, const std::vector<Parameter> &parameters, SqlError &error);
-    // Several statements without parameters.
+    // Runs several statements without parameters.
     bool executeScript(const std::string &sql, SqlError &error);
 
-    // Becomes a copy of the other database.
+    // Replaces the content by a copy of the other database.
     void copyFrom(const SqliteDatabase &other);
 
-    // A function kelptally_fact(name) for the views of the server's own state.
+    // Implements the SQL function kelptally_fact(name), which the views of the server state use.
     using StateLookup = std::function<std::string(std::string_view)>;
     void setStateLookup(StateLookup stateLookup);
     const StateLookup &stateLookup() const { return stateLookup_; }
--- a/src/standin/sqlsession.cpp
+++ b/src/standin/sqlsession.cpp
@@ -11,7 +11,7 @@
 
 SqlError fencedError(OwnerEpoch fence)
 {
-    return {"KF001", "the fence is at epoch " + std::to_string(fence)};
+    return {"KF001", "stale fencing token: the fence is at epoch " + std::to_string(fence)};
 }
 
 std::uint64_t toNumber(const std::vector<std::string> &arguments, std::size_t index)
@@ -124,7 +124,7 @@
         tag = "DISCARD ALL";
         return StepStatus::Done;
     case StatementKind::Unsupported:
-        error = {"0A000", "the stand-in does not support " + statement.verb + " of this kind"};
+        error = {"0A000", "the stand-in does not support " + statement.verb + " in this form"};
         return StepStatus::Failed;
     }
     return StepStatus::Done;
@@ -216,7 +216,7 @@
     return good ? StepStatus::Done : StepStatus::Failed;
 }
 
-// On a primary the check takes the writer lock, so that the fence stays as it is until the
+// On a primary the check acquires the writer lock, so that the fence can't be raised before the
 // transaction ends.
 StepStatus SqlSession::checkFence(OwnerEpoch epoch, SqlError &error)
 {
--- a/src/standin/sqlsession.h
+++ b/src/standin/sqlsession.h
@@ -10,37 +10,37 @@
 
 namespace kelptally::standin {
 
-// Whether a step is finished. One that waits is given again after the wake function was called.
+// Result of a step. A pending step is repeated after the wake callback was called.
 enum class StepStatus {
     Done,
     Pending,
     Failed,
 };
 
-// The transaction and settings of one client of one server, apart from the wire. Reads see what is
-// committed (read committed); from its first write on a transaction holds the server's writer lock
-// and sees its own work.
+// Transaction and settings of one client, independent of the wire protocol. Isolation is read
+// committed; from its first write on, a transaction holds the server's writer lock and sees its own
+// changes.
 class SqlSession
 {
 public:
-    // The wake function must not call back into the session at once.
+    // `wake` must not call the session synchronously.
     SqlSession(Node &node, std::function<void()> wake);
     ~SqlSession();
 
-    // Columns that the statement will return; Failed when it does not compile.
+    // Gives the result columns of the statement. Fails if it doesn't compile.
     StepStatus describe(const ParsedStatement &statement, std::vector<Column> &columns,
                         SqlError &error);
-    // Runs one statement. The tag is that of CommandComplete, empty for an empty statement.
+    // Runs one statement. `tag` is the tag for CommandComplete, empty for an empty statement.
     StepStatus execute(const ParsedStatement &statement, const std::vector<Parameter> &parameters,
                        const RowSink &sink, std::string &tag, SqlError &error);
-    // Ends an implicit transaction: commits it.
+    // Commits the implicit transaction, if there is one.
     StepStatus sync(SqlError &error);
-    // After any error: rolls back; an explicit transaction stays failed until it is ended.
+    // Rolls back after an error. An explicit transaction stays failed until it is ended.
     void fail();
-    // The client is gone.
+    // Rolls back any transaction.
     void onClientDisconnected();
 
-    // As in ReadyForQuery: 'I' idle, 'T' in a transaction, 'E' in a failed one.
+    // Status for ReadyForQuery: 'I' idle, 'T' in a transaction, 'E' in a failed transaction.
     char transactionStatus() const;
 
     void setLockTimeout(Duration timeout) { lockTimeout_ = timeout; }
@@ -66,7 +66,7 @@
     StepStatus begin(const ParsedStatement &statement);
     StepStatus end(bool commit, std::string &tag, SqlError &error);
     StepStatus commit(SqlError &error);
-    // Makes this session the writer.
+    // Acquires the writer lock and begins the writer transaction.
     StepStatus lockForWriting(const std::string &verb, SqlError &error);
     bool holdsWriterLock() const { return node_.writerLock().isHeldBy(lockRequester_); }
     SqliteDatabase &database()
@@ -80,7 +80,7 @@
     Duration lockTimeout_ {std::chrono::seconds(5)};
     State state_ = State::Idle;
     bool readOnly_ = false;
-    // The writer's transaction was begun for this session.
+    // Whether this session has begun the writer transaction.
     bool transactionBegun_ = false;
     std::vector<LoggedStatement> statements_;
     std::map<std::string, std::string> settings_;
--- a/src/standin/standinsettings.cpp
+++ b/src/standin/standinsettings.cpp
@@ -42,7 +42,7 @@
     return limits;
 }
 
-// A group and the limits that its servers start from.
+// A group and the default limits of its servers.
 struct ParsedGroup
 {
     DatabaseGroupSettings group;
@@ -80,7 +80,8 @@
         } else if (section.type == "server") {
             readServer(section, reader);
         } else {
-            // A broken section has its finding already; the platform's are read by its part.
+            // Malformed sections are already reported; the platform's sections are parsed by
+            // parsePlatformSettings().
             if (!section.type.empty() && section.type != "platform" && section.type != "host")
                 findings_.add(file_, section.line, section.title(),
                               "unknown section; allowed are control, group NAME, server NAME,"
@@ -107,7 +108,7 @@
             std::find_if(groups_.begin(), groups_.end(),
                          [&](const ParsedGroup &parsed) { return parsed.group.name == groupName; });
         if (group == groups_.end() && !groupName.empty())
-            reader.add("group", "no group of this name stands above");
+            reader.add("group", "no group of this name is defined above this section");
         reader.text("zone", "");
         DatabaseServerSettings server;
         server.name = section.name;
--- a/src/standin/standinsettings.h
+++ b/src/standin/standinsettings.h
@@ -9,29 +9,30 @@
 
 namespace kelptally::standin {
 
-// Where something listens.
 struct ListenAddress
 {
     std::string address = "127.0.0.1";
     int port = 0;
 };
 
-// What a database server costs and allows. Each can be changed while the server runs.
+// Capacity limits and simulated delays of a database server. All can be changed at run time.
 struct ServerLimits
 {
-    // Statements that run at the same time, for their service time.
+    // Number of statements that can use service time concurrently.
     int slots = 3;
-    // Further connections are refused with SQLSTATE 53300.
+    // Maximum number of connections; further ones are refused with SQLSTATE 53300.
     int connections = 25;
+    // Delay of each connection's startup.
     Duration connectionCost {std::chrono::milliseconds(12)};
+    // Time for which a statement occupies a slot.
     Duration serviceTime {0};
-    // One way between the server and its clients.
+    // One-way network delay between the server and its clients.
     Duration clientDelay {0};
-    // From this server to the others of its group.
+    // One-way network delay to the other servers of the group.
     Duration replicationDelay {0};
-    // From receiving a record to applying it.
+    // Delay between receiving a record and applying it.
     Duration replicationLag {0};
-    // Waiting for the writer lock longer ends in SQLSTATE 55P03.
+    // Limit of the wait for the writer lock, after which a statement fails with SQLSTATE 55P03.
     Duration lockTimeout {std::chrono::seconds(5)};
 };
 
@@ -45,9 +46,9 @@
 struct DatabaseGroupSettings
 {
     GroupName name;
-    // SQL that each server runs at its installation.
+    // SQL script that creates the schema on each server.
     std::string schema;
-    // The first is the primary of the first term.
+    // The first server is the primary of the first term.
     std::vector<DatabaseServerSettings> servers;
 };
 
@@ -57,8 +58,8 @@
     std::vector<DatabaseGroupSettings> groups;
 };
 
-// Reads the INI document described in docs/STANDIN.md. Sections of the platform's stand-ins are
-// left to them. Use the result only without findings.
+// Parses the INI document described in docs/STANDIN.md. Ignores the sections of the platform
+// stand-in. The result is valid only if no findings were added.
 StandinSettings parseStandinSettings(const std::string &file, const std::string &text,
                                      settings::Findings &findings);
 
--- a/src/standin/statement.cpp
+++ b/src/standin/statement.cpp
@@ -13,7 +13,7 @@
     return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '_' || c == '.';
 }
 
-// Takes a statement's text apart into words, quoted texts and single signs.
+// Splits SQL text into words, quoted strings and single characters; skips comments.
 class Scanner
 {
 public:
@@ -90,7 +90,8 @@
     return std::find(std::begin(names), std::end(names), name) != std::end(names);
 }
 
-// After "SELECT": a control function's name, and its arguments up to the closing bracket.
+// Parses a control function and its arguments after "SELECT". Leaves `statement` unchanged if
+// another expression follows.
 void parseControl(Scanner &scanner, ParsedStatement &statement)
 {
     std::string name = scanner.next();
@@ -111,7 +112,7 @@
     }
 }
 
-// After "SET": [SESSION|LOCAL] name {=|TO} value.
+// Parses the rest of "SET [SESSION|LOCAL] name {=|TO} value".
 void parseSet(Scanner &scanner, ParsedStatement &statement)
 {
     statement.kind = StatementKind::Set;
--- a/src/standin/statement.h
+++ b/src/standin/statement.h
@@ -9,7 +9,7 @@
 
 enum class StatementKind {
     Empty,
-    // Reads and writes are told apart when SQLite has compiled them.
+    // A read or a write; known only after SQLite has compiled it.
     Query,
     Begin,
     Commit,
@@ -19,31 +19,32 @@
     Discard,
     // SELECT kelptally_NAME(arguments).
     Control,
-    // What the stand-in refuses, such as savepoints and temporary tables.
+    // Refused by the stand-in, such as savepoints and temporary tables.
     Unsupported,
 };
 
-// An argument of a control function: $n, or a literal when n is 0.
+// Argument of a control function: parameter $n, or a literal if `parameter` is 0.
 struct ControlArgument
 {
     int parameter = 0;
     std::string literal;
 };
 
-// A statement's text, told apart by its first words.
+// A statement's text and its classification by the leading keywords.
 struct ParsedStatement
 {
     std::string sql;
     StatementKind kind = StatementKind::Empty;
-    // First word in capitals.
+    // First keyword in upper case.
     std::string verb;
-    // BEGIN ... READ ONLY.
+    // Set by BEGIN ... READ ONLY.
     bool readOnly = false;
-    // Whether it takes the server's service time; the server's own functions and views do not.
+    // Whether the statement occupies a slot for the service time. The stand-in's own functions and
+    // views don't.
     bool usesServiceTime = false;
-    // Function of a control statement, setting of SET and SHOW.
+    // Name of the control function, or of the setting in SET and SHOW.
     std::string name;
-    // Value of SET.
+    // New value in SET.
     std::string value;
     std::vector<ControlArgument> arguments;
 };
@@ -51,7 +52,7 @@
 
 ParsedStatementPtr parseStatement(const std::string &sql);
 
-// Parts of a text at the semicolons outside quotes and comments; empty parts are left out.
+// Splits the text at semicolons outside quotes and comments. Leaves out empty statements.
 std::vector<std::string> splitStatements(std::string_view text);
 
 } // namespace kelptally::standin
--- a/src/standin/wire.cpp
+++ b/src/standin/wire.cpp
@@ -134,10 +134,10 @@
     int16(columns.size());
     for (const Column &column : columns) {
         string(column.name);
-        int32(0); // table
-        int16(0); // column of the table
+        int32(0); // table OID
+        int16(0); // attribute number
         int32(std::uint32_t(column.typeOid));
-        int16(0xffff); // size varies
+        int16(0xffff); // variable size
         int32(noTypeModifier);
         int16(0); // text format
     }
--- a/src/standin/wire.h
+++ b/src/standin/wire.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-// PostgreSQL's frontend/backend protocol 3.0, from the chapter "Frontend/Backend Protocol" of its
+// PostgreSQL's frontend/backend protocol 3.0; see the chapter "Frontend/Backend Protocol" of its
 // documentation.
 namespace kelptally::standin {
 
@@ -17,14 +17,14 @@
 constexpr std::uint32_t sslRequestCode = 80877103;
 constexpr std::uint32_t gssRequestCode = 80877104;
 
-// Answers a message that breaks the protocol.
+// Error response to a malformed message.
 inline const SqlError protocolError {"08P01", "invalid message format"};
 
-// The number that these bytes begin with, as the protocol writes it; 0 when there are fewer than 4.
+// Decodes the big-endian integer at the start of `bytes`; 0 if there are fewer than 4 bytes.
 std::uint32_t firstInt32(std::string_view bytes);
 
-// Reads the fields of one message. After a field that is not whole, good() is false and all
-// further fields are empty.
+// Reads the fields of one message. After a truncated field good() is false and all further fields
+// are empty.
 class WireReader
 {
 public:
@@ -42,7 +42,7 @@
     bool good_ = true;
 };
 
-// Appends messages to a buffer.
+// Appends encoded backend messages to a buffer.
 class WireWriter
 {
 public:
--- a/src/standin/wiremessages.cpp
+++ b/src/standin/wiremessages.cpp
@@ -3,14 +3,14 @@
 
 #include <algorithm>
 
-// What a session does with each message.
+// Handlers of the frontend messages.
 namespace kelptally::standin {
 
 namespace {
 
 const SqlError canceledError {"57014", "canceling statement due to user request"};
 
-// Object ids of types in PostgreSQL's catalogue (pg_type).
+// Maps a PostgreSQL type OID (pg_type) to the way a parameter is bound.
 ParameterType parameterTypeOf(int oid)
 {
     switch (oid) {
@@ -128,8 +128,8 @@
     for (std::size_t i = 0; i < resultFormats && reader.good(); ++i)
         binary = reader.readInt16() != 0 || binary;
     if (!reader.good() || binary) {
-        error =
-            binary ? SqlError {"0A000", "the stand-in knows the text format only"} : protocolError;
+        error = binary ? SqlError {"0A000", "the stand-in supports only the text format"}
+                       : protocolError;
         return StepStatus::Failed;
     }
     portals_[portalName] = std::move(portal);
@@ -153,7 +153,8 @@
         statement = found->second.statement;
     }
     if (!statement) {
-        error = {objectKind == 'S' ? "26000" : "34000", "nothing of this name to describe"};
+        error = {objectKind == 'S' ? "26000" : "34000",
+                 "prepared statement or portal does not exist"};
         return StepStatus::Failed;
     }
     std::vector<Column> columns;
@@ -198,8 +199,8 @@
     return StepStatus::Done;
 }
 
-// The statements up to the next sync are paid for in one go, before the first of them runs: so none
-// of them holds the writer lock during its service time, unless an explicit transaction does.
+// Reserves the service time of all statements up to the next Sync before the first one runs, so
+// that only an explicit transaction holds the writer lock during service time.
 StepStatus WireSession::reserveServiceTime(const ParsedStatement &statement)
 {
     const Duration service = server_.limits().serviceTime;
@@ -211,7 +212,7 @@
     return StepStatus::Pending;
 }
 
-// Statements up to the next sync that cost service time, from this one on.
+// Counts the buffered statements up to the next Sync that use service time, with the current one.
 int WireSession::countBufferedStatements() const
 {
     int count = 1;
@@ -272,8 +273,8 @@
     return StepStatus::Done;
 }
 
-// A simple query runs its statements in one implicit transaction, as if each were parsed, bound
-// and executed, with a sync at the end.
+// Runs the statements of a simple query in one implicit transaction, like Parse, Bind and Execute
+// of each with a Sync at the end.
 StepStatus WireSession::handleSimpleQuery(std::string_view body)
 {
     if (!simpleQueryActive_) {
--- a/src/standin/wiresession.cpp
+++ b/src/standin/wiresession.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Bytes that may wait unread by us before we stop reading; a longer message is refused.
+// Size of the input buffer at which reading stops, and limit of a message's length.
 constexpr std::size_t maxBuffered = 64 << 20;
 
 } // namespace
@@ -61,7 +61,7 @@
     wakeFunction()();
 }
 
-// The wake is posted, so that it never runs inside the code that calls it.
+// The callback posts its work, so that process() never runs inside the caller of the callback.
 std::function<void()> WireSession::wakeFunction()
 {
     return [weak = weak_from_this(), executor = socket_.get_executor()] {
@@ -166,7 +166,7 @@
     return true;
 }
 
-// A connection costs its time before the greeting.
+// Delays the startup response by the connection cost.
 void WireSession::authenticate()
 {
     if (!server_.admit()) {
--- a/src/standin/wiresession.h
+++ b/src/standin/wiresession.h
@@ -16,7 +16,7 @@
 
 class DatabaseServer;
 
-// One client's connection to one server. Lives as long as its operations on the socket.
+// One client connection. Kept alive by its pending socket operations.
 class WireSession : public std::enable_shared_from_this<WireSession>
 {
 public:
@@ -25,9 +25,9 @@
 
     void start();
     void close();
-    // Goes on with what came in; for a server that was paused or cut off.
+    // Continues reading, processing and writing after a pause or a partition.
     void resume();
-    // Ends the waiting of the running statement with an error.
+    // Cancels the waiting statement if the secret is that of the session.
     void cancel(std::uint32_t secret);
 
     std::uint32_t id() const { return id_; }
@@ -53,16 +53,16 @@
 
     void read();
     void onBytes(std::string bytes);
-    // Handles the messages that are whole, until one has to wait.
+    // Handles the complete messages in the buffer until one has to wait.
     void process();
-    // One step each; false when the message is not whole or has to wait.
+    // Each handles one message or startup step. Returns false if it is incomplete or has to wait.
     bool step();
     bool processStartup();
     bool completeStartup();
     bool processMessage();
     void authenticate();
 
-    // Each handles one message; Pending means: call again with the same message.
+    // Each handles one message. On Pending, call it again with the same message after the wake-up.
     StepStatus handle(char type, std::string_view body);
     StepStatus handleParse(std::string_view body, SqlError &error);
     StepStatus handleBind(std::string_view body, SqlError &error);
@@ -74,7 +74,8 @@
     StepStatus runSimpleStatement(const std::string &sql, SqlError &error);
     StepStatus runStatement(const ParsedStatement &statement,
                             const std::vector<Parameter> &parameters, SqlError &error);
-    // Takes a slot for the service time of the statements that are here; Pending while it lasts.
+    // Occupies a slot for the service time of the buffered statements. Returns Pending until it has
+    // passed.
     StepStatus reserveServiceTime(const ParsedStatement &statement);
     int countBufferedStatements() const;
 
@@ -102,14 +103,14 @@
     bool reading_ = false;
 
     Phase phase_ = Phase::Startup;
-    // Counts among the server's connections.
+    // Whether the session counts towards the server's connection limit.
     bool admitted_ = false;
     bool waiting_ = false;
     bool canceled_ = false;
     bool skipToSync_ = false;
     bool closed_ = false;
     bool closeWhenSent_ = false;
-    // Statements whose service time has passed already.
+    // Buffered statements whose service time is already accounted for.
     int reservedStatements_ = 0;
 
     std::map<std::string, PreparedStatement, std::less<>> preparedStatements_;
--- a/src/standin/writerlock.h
+++ b/src/standin/writerlock.h
@@ -7,14 +7,15 @@
 
 namespace kelptally::standin {
 
-// Whoever writes holds this lock until its transaction ends: a server has one writer at a time.
+// Serialises writing transactions: a server has one writer at a time. Lock requests are granted in
+// FIFO order. Used on one thread only.
 class WriterLock
 {
 public:
-    // One that wants the lock. Its address is its identity.
+    // A requester of the lock, identified by its address.
     struct Requester
     {
-        // The lock was granted, revoked while waiting, or not granted in time.
+        // Called when a wait ends: the lock was granted or revoked, or the timeout has passed.
         std::function<void()> wake;
         bool timedOut = false;
         bool revoked = false;
@@ -22,12 +23,12 @@
 
     explicit WriterLock(TimerService &timers) : timers_(timers) { }
 
-    // True when held; otherwise the user waits and is woken.
+    // Returns true if the lock is held. Otherwise queues the requester and calls wake() later.
     bool acquire(Requester &requester, Duration timeout);
     bool isHeldBy(const Requester &requester) const { return holder_ == &requester; }
-    // Gives the lock up or ends the waiting.
+    // Releases the lock or cancels the wait for it.
     void release(Requester &requester);
-    // Takes the lock from its holder and wakes all who wait.
+    // Takes the lock from its holder and wakes all waiting requesters.
     void revoke();
 
 private:
--- a/tests/standin/group_test.cpp
+++ b/tests/standin/group_test.cpp
@@ -43,7 +43,7 @@
     }
 }
 
-TEST_CASE("A lagging replica has received what it has not applied", "[standin]")
+TEST_CASE("A lagging replica receives records before it applies them", "[standin]")
 {
     ServerLimits limits = TestGroup::zeroConnectionCost();
     limits.replicationLag = std::chrono::hours(1);
@@ -57,7 +57,7 @@
     {
         group.promote("b", "c", 5);
         CHECK(group.read("b", idList) == "x");
-        // With the record that begins the term.
+        // Includes the first record of the term.
         CHECK(group.read("b", applied) == "2");
     }
 }
@@ -76,7 +76,7 @@
     CHECK(group.read("b", received) == "0");
 }
 
-TEST_CASE("A primary that is prepared for a higher term stops writing", "[standin]")
+TEST_CASE("A primary stops accepting writes when prepared for a higher term", "[standin]")
 {
     TestGroup group;
     TestClient open(group.port("a"));
@@ -106,7 +106,7 @@
     CHECK(group.read("c", "SELECT received_term FROM kelptally_status") == "5");
 }
 
-TEST_CASE("A replaced primary drops what its successor does not hold", "[standin]")
+TEST_CASE("A replaced primary truncates records that the new primary lacks", "[standin]")
 {
     TestGroup group;
     group.run("a", insert("x"));
@@ -114,18 +114,18 @@
     CHECK(group.eventuallyReads("c", received, "1"));
     for (const char *replica : {"b", "c"})
         group.group().setPartitioned("a", replica, true);
-    // 1. The old primary goes on alone while the others move to a new term.
+    // 1. The partitioned old primary keeps writing while the others start a new term.
     CHECK(group.run("a", insert("lost1")).succeeded());
     CHECK(group.run("a", insert("lost2")).succeeded());
     group.promote("b", "c", 5);
     CHECK(group.run("b", insert("y")).succeeded());
-    // 2. Told to follow, it takes no older log, and does not claim to hold the new term's before
-    // the logs were compared.
+    // 2. While still partitioned it accepts the new term, but does not report records of that term
+    // before the logs were compared.
     CHECK(group.run("a", "SELECT kelptally_follow('b', 5)").succeeded());
     CHECK(group.read("a", term) == "5");
     CHECK(group.read("a", receivedTerm) == "1");
     CHECK(group.run("a", insert("z")).sqlState == "25006");
-    // 3. Once it hears the new primary it holds the same log.
+    // 3. After the partition heals it has the same log as the new primary.
     for (const char *replica : {"b", "c"})
         group.group().setPartitioned("a", replica, false);
     CHECK(group.eventuallyReads("a", receivedTerm, "5"));
@@ -133,7 +133,7 @@
     CHECK(group.eventuallyReads("a", idList, "x,y"));
 }
 
-TEST_CASE("The fence only goes up, is replicated, and stops lower epochs", "[standin]")
+TEST_CASE("The fence never decreases, is replicated and rejects lower epochs", "[standin]")
 {
     TestGroup group;
     CHECK(group.run("a", "SELECT kelptally_raise_fence(3)").succeeded());
@@ -162,7 +162,7 @@
     CHECK(owner.query(received).value() == "2");
 }
 
-TEST_CASE("A killed server comes back with or without its state", "[standin]")
+TEST_CASE("A killed server restarts with or without its state", "[standin]")
 {
     TestGroup group;
     group.run("a", insert("x"));
@@ -184,7 +184,7 @@
     }
 }
 
-TEST_CASE("A paused server answers once it is resumed", "[standin]")
+TEST_CASE("A paused server responds after it is resumed", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
@@ -195,7 +195,7 @@
     CHECK(client.receive().tag == "INSERT 0 1");
 }
 
-TEST_CASE("Clients that are cut off hear nothing until the network heals", "[standin]")
+TEST_CASE("Partitioned clients get no response until the partition heals", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
@@ -208,7 +208,7 @@
     CHECK(client.receive().tag == "INSERT 0 1");
 }
 
-TEST_CASE("Statements with a service time take turns in the slots", "[standin]")
+TEST_CASE("Statements with a service time queue for the slots", "[standin]")
 {
     ServerLimits limits = TestGroup::zeroConnectionCost();
     limits.slots = 1;
@@ -225,7 +225,7 @@
     CHECK(std::chrono::steady_clock::now() - start >= 4 * limits.serviceTime);
 }
 
-TEST_CASE("Faults are told by JSON and shown in the state", "[standin]")
+TEST_CASE("Faults are set by JSON and reported in the state document", "[standin]")
 {
     DatabaseGroups groups;
     DatabaseGroupSettings settings {"offers", "", {}};
--- a/tests/standin/testclient.h
+++ b/tests/standin/testclient.h
@@ -6,12 +6,13 @@
 #include <string>
 #include <vector>
 
-// A plain libpq client for the tests of the database stand-in.
+// libpq client for the tests of the database stand-in.
 namespace kelptally::standin {
 
 struct QueryResult
 {
-    // "" when the statement succeeded.
+    // Empty if the statement succeeded, "lost" if the connection was lost, "aborted" if the
+    // statement was skipped.
     std::string sqlState;
     std::string tag;
     // Values of the first row.
@@ -34,14 +35,14 @@
     std::string error() const;
     char transactionStatus() const;
 
-    // A simple query.
+    // Runs a simple query.
     QueryResult query(const std::string &sql);
-    // Through parse, bind and execute.
+    // Runs the statement with the extended query protocol.
     QueryResult query(const std::string &sql, const std::vector<std::string> &parameters);
-    // All statements before one sync; an answer for each, where "aborted" stands as the SQLSTATE of
-    // those that were skipped. The last answer is that of the sync.
+    // Sends all statements followed by one Sync. Returns a result for each statement and one for
+    // the Sync.
     std::vector<QueryResult> pipeline(const std::vector<std::string> &statements);
-    // Sends a simple query without waiting; finish() gives its answer.
+    // Sends a simple query without waiting for its result; receive() returns it.
     void send(const std::string &sql);
     QueryResult receive();
 
@@ -51,7 +52,7 @@
     PGconn *connection_;
 };
 
-// Waits until the condition holds; false after a time that only a fault reaches.
+// Polls until the condition holds. Returns false after a timeout of one minute.
 bool eventually(const std::function<bool()> &condition);
 
 } // namespace kelptally::standin
--- a/tests/standin/testgroup.h
+++ b/tests/standin/testgroup.h
@@ -5,7 +5,7 @@
 
 namespace kelptally::standin {
 
-// A running group of servers a, b and c on free ports; a is the first primary.
+// A running group of servers a, b and c on free ports; a is the initial primary.
 class TestGroup
 {
 public:
@@ -25,7 +25,7 @@
     DatabaseServer &server(const ServerName &name) { return *group_.find(name); }
     int port(const ServerName &name) { return server(name).port(); }
 
-    // First value that a new client reads.
+    // Returns the first value of the result, read by a new client.
     std::string read(const ServerName &name, const std::string &sql)
     {
         return TestClient(port(name)).query(sql).value();
@@ -36,7 +36,7 @@
         return TestClient(port(name)).query(sql);
     }
 
-    // Prepares two servers for a term, promotes the first and lets the second follow it.
+    // Prepares both servers for the term, promotes the first and makes the second follow it.
     void promote(const ServerName &primary, const ServerName &replica, Term term)
     {
         const std::string number = std::to_string(term);
--- a/tests/standin/wire_test.cpp
+++ b/tests/standin/wire_test.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_CASE("Simple queries give rows, tags and states", "[standin]")
+TEST_CASE("Simple queries return rows and command tags", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
@@ -26,7 +26,7 @@
     CHECK(client.query("SELECT 1; SELECT 'a;b' -- c;").value() == "a;b");
 }
 
-TEST_CASE("Errors carry the SQLSTATE that PostgreSQL gives", "[standin]")
+TEST_CASE("Errors carry the same SQLSTATE as in PostgreSQL", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
@@ -40,7 +40,7 @@
     CHECK(client.query(countOffers).value() == "0");
 }
 
-TEST_CASE("Parameters are bound by their number", "[standin]")
+TEST_CASE("Parameters are bound by number", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
@@ -50,7 +50,7 @@
     CHECK(read.value() == "x'\";");
 }
 
-TEST_CASE("Statements before one sync are one transaction", "[standin]")
+TEST_CASE("Statements before one Sync form one transaction", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
@@ -71,7 +71,7 @@
     CHECK(group.read("a", "SELECT received FROM kelptally_status") == "1");
 }
 
-TEST_CASE("A thousand statements can be under way", "[standin]")
+TEST_CASE("A pipeline can hold a thousand statements", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
@@ -82,7 +82,7 @@
         REQUIRE(results[i].value() == "1");
 }
 
-TEST_CASE("A transaction block sees its own work and others do not", "[standin]")
+TEST_CASE("Uncommitted changes are visible only to their own transaction", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
@@ -99,7 +99,7 @@
     CHECK(other.query("COMMIT").tag == "COMMIT");
 }
 
-TEST_CASE("A failed transaction block ends in a rollback", "[standin]")
+TEST_CASE("COMMIT of a failed transaction rolls back", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
@@ -112,7 +112,7 @@
     CHECK(client.query(countOffers).value() == "0");
 }
 
-TEST_CASE("A client that leaves in a transaction block frees the writer", "[standin]")
+TEST_CASE("A client that disconnects in a transaction releases the writer lock", "[standin]")
 {
     TestGroup group;
     {
@@ -125,7 +125,7 @@
     CHECK(next.query("SELECT id FROM offers").value() == "y");
 }
 
-TEST_CASE("A second writer waits, and gives up at its time limit", "[standin]")
+TEST_CASE("A second writer waits for the lock until the lock timeout", "[standin]")
 {
     ServerLimits limits = TestGroup::zeroConnectionCost();
     limits.lockTimeout = std::chrono::milliseconds(50);
@@ -155,7 +155,7 @@
     second.send("INSERT INTO offers VALUES ('y', 1)");
     PGcancel *cancel = PQgetCancel(second.raw());
     char error[256];
-    // A request that comes before the statement has no effect, as with PostgreSQL.
+    // Repeated, as a cancel request that arrives before the statement has no effect.
     const bool cancelled = eventually([&] {
         PQcancel(cancel, error, sizeof error);
         PQconsumeInput(second.raw());
@@ -168,7 +168,7 @@
     CHECK(second.query(countOffers).value() == "1");
 }
 
-TEST_CASE("Prepared statements are described and used again", "[standin]")
+TEST_CASE("Prepared statements can be described and reused", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
@@ -189,7 +189,7 @@
     }
 }
 
-TEST_CASE("Settings belong to their connection", "[standin]")
+TEST_CASE("Settings are local to their connection", "[standin]")
 {
     TestGroup group;
     TestClient client(group.port("a"));
