--- a/src/standin/platformstandin.cpp
+++ b/src/standin/platformstandin.cpp
@@ -54,7 +54,7 @@
         const bool isWrite = parser_->get().method() != http::verb::get;
         const PlatformRequest request = toPlatformRequest(parser_->get());
         const PlatformService service = PlatformState::serviceOf(request.target);
-        state_->count(service, isWrite);
+        state_->countRequest(service, isWrite);
         const PlatformFaults &faults = state_->faults(service);
         if (faults.outage == Outage::Reset)
             return reset();
--- a/src/standin/platformstate.cpp
+++ b/src/standin/platformstate.cpp
@@ -141,7 +141,7 @@
     return PlatformService::Control;
 }
 
-void PlatformState::count(PlatformService service, bool isWrite)
+void PlatformState::countRequest(PlatformService service, bool isWrite)
 {
     PlatformCounters &counters = counters_[static_cast<std::size_t>(service)];
     ++(isWrite ? counters.writes : counters.reads);
@@ -288,9 +288,9 @@
         return failure(400, "the body is not a JSON object");
     const auto service = textMember(json, "service");
     const auto outage = textMember(json, "outage");
-    const auto outageAt =
+    const auto outageName =
         std::find(outageNames.begin(), outageNames.end(), outage.value_or("none"));
-    if (outageAt == outageNames.end())
+    if (outageName == outageNames.end())
         return failure(400, "outage must be one of none, reset, refuse");
     bool found = false;
     for (std::size_t i = 0; i < platformServiceCount - 1; ++i) {
@@ -299,7 +299,7 @@
         found = true;
         PlatformFaults &faults = faults_[i];
         if (outage)
-            faults.outage = static_cast<Outage>(outageAt - outageNames.begin());
+            faults.outage = static_cast<Outage>(outageName - outageNames.begin());
         if (const auto delay = countMember(json, "slowMs"))
             faults.delay = std::chrono::milliseconds(*delay);
         faults.lostResponses = countMember(json, "loseAnswers").value_or(faults.lostResponses);
--- a/src/standin/platformstate.h
+++ b/src/standin/platformstate.h
@@ -73,7 +73,7 @@
     // Executes the request and returns its response.
     PlatformResponse handle(Instant now, const PlatformRequest &request);
 
-    void count(PlatformService service, bool isWrite);
+    void countRequest(PlatformService service, bool isWrite);
     PlatformFaults &faults(PlatformService service);
 
     // Sets the lag of subsequent changes of the host list.
--- a/src/standin/sqlsession.cpp
+++ b/src/standin/sqlsession.cpp
@@ -103,11 +103,11 @@
         tag = "SELECT 1";
         return executeControl(statement, parameters, sink, error);
     case StatementKind::Begin:
-        return begin(statement);
+        return beginTransaction(statement);
     case StatementKind::Commit:
-        return end(true, tag, error);
+        return endTransaction(true, tag, error);
     case StatementKind::Rollback:
-        return end(false, tag, error);
+        return endTransaction(false, tag, error);
     case StatementKind::Set:
         if (statement.verb == "SET")
             settings_[statement.name] = statement.value;
@@ -252,14 +252,14 @@
     return StepStatus::Done;
 }
 
-StepStatus SqlSession::begin(const ParsedStatement &statement)
+StepStatus SqlSession::beginTransaction(const ParsedStatement &statement)
 {
     state_ = State::Explicit;
     readOnly_ = statement.readOnly;
     return StepStatus::Done;
 }
 
-StepStatus SqlSession::end(bool commitRequested, std::string &tag, SqlError &error)
+StepStatus SqlSession::endTransaction(bool commitRequested, std::string &tag, SqlError &error)
 {
     tag = commitRequested && state_ != State::Failed ? "COMMIT" : "ROLLBACK";
     const bool commits = tag == "COMMIT";
--- a/src/standin/sqlsession.h
+++ b/src/standin/sqlsession.h
@@ -63,8 +63,8 @@
                                    SqlError &error);
     StepStatus raiseFence(OwnerEpoch epoch, SqlError &error);
     StepStatus checkFence(OwnerEpoch epoch, SqlError &error);
-    StepStatus begin(const ParsedStatement &statement);
-    StepStatus end(bool commit, std::string &tag, SqlError &error);
+    StepStatus beginTransaction(const ParsedStatement &statement);
+    StepStatus endTransaction(bool commit, std::string &tag, SqlError &error);
     StepStatus commit(SqlError &error);
     // Acquires the writer lock and begins the writer transaction.
     StepStatus lockForWriting(const std::string &verb, SqlError &error);
