--- a/src/standin/delayline.cpp
+++ b/src/standin/delayqueue.cpp
@@ -1,8 +1,8 @@
-#include "standin/delayline.h"
+#include "standin/delayqueue.h"
 
 namespace kelptally::standin {
 
-void DelayLine::push(Instant due, std::function<void()> work)
+void DelayQueue::push(Instant due, std::function<void()> work)
 {
     if (items_.empty() && due <= timers_.now()) {
         work();
@@ -13,7 +13,7 @@
         timer_ = timers_.subscribeAt(due, [this] { runDue(); });
 }
 
-void DelayLine::clear()
+void DelayQueue::clear()
 {
     items_.clear();
     if (timer_ != 0)
@@ -21,9 +21,9 @@
     timer_ = 0;
 }
 
-void DelayLine::runDue()
+void DelayQueue::runDue()
 {
-    // While work runs the timer counts as armed, so that work which pushes keeps its place.
+    // timer_ stays set during the loop, so that a nested push() doesn't subscribe a second timer.
     const Instant now = timers_.now();
     while (!items_.empty() && items_.front().due <= now) {
         const auto work = std::move(items_.front().work);
--- a/src/standin/node.h
+++ b/src/standin/node.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/timerservice.h"
-#include "standin/delayline.h"
+#include "standin/delayqueue.h"
 #include "standin/grouplog.h"
 #include "standin/writerlock.h"
 
@@ -22,50 +22,50 @@
 public:
     virtual ~PeerNetwork() = default;
 
-    // Runs the message at the other server, on its thread, unless it is lost.
+    // Runs the message on the receiver's thread, unless the message is lost.
     virtual void send(const ServerName &to, std::function<void(Node &)> message) = 0;
 };
 
-// A replica asks its primary for the records after its own.
+// Request of a replica for the primary's records that follow its own log.
 struct FetchMessage
 {
     ServerName replica;
     Term term = 0;
     Position end;
-    std::vector<TermRun> runs;
+    std::vector<TermRange> termRanges;
 };
 
-// The primary's records after a position that both logs hold.
+// Records of the primary that follow a position common to both logs.
 struct AppendMessage
 {
     Term term = 0;
     Position common;
     std::vector<RecordPtr> records;
-    std::vector<TermBegin> history;
-    // Set in the answer to a fetch: the replica's end as it was asked with. Only then may the
-    // replica drop what lies after the common position.
+    std::vector<TermStart> history;
+    // The end of the replica's log as in the fetch that this message answers; unset in pushed
+    // messages. The replica truncates its log only if its end is still the same.
     std::optional<Position> fetchedEnd;
 };
 
-// The state of one server of a database group: its databases, log, term and role. Reads see the
-// committed database. A transaction that writes works on a second database, one at a time; its
-// statements run again on the committed database when it commits, as they do on each replica.
+// Replicated state of one server of a database group: its databases, log, term and role. Reads use
+// the committed database. At most one writing transaction at a time uses the writer database; on
+// commit its statements are repeated on the committed database, as on each replica.
 class Node
 {
 public:
     Node(ServerName name, std::string schema, TimerService &timers, PeerNetwork &network);
 
-    // The state of a new installation: empty, as the primary or a replica of the first term.
-    void install(const ServerName &firstPrimary);
-    // Loses everything, as a server whose storage was lost.
-    void loseState();
-    // Forgets what a restarted process would not know: open transactions, the replicas' requests.
+    // Initialises a new server as the primary or a replica of the first term.
+    void install(const ServerName &initialPrimary);
+    // Erases all state, as after a loss of the storage.
+    void eraseState();
+    // Drops the state that a process restart loses: open transactions and known replicas.
     void restart();
 
-    SqliteDatabase &committed() { return *committed_; }
-    SqliteDatabase &writing() { return *writing_; }
+    SqliteDatabase &committedDatabase() { return *committedDatabase_; }
+    SqliteDatabase &writerDatabase() { return *writerDatabase_; }
 
-    // Control functions. Each gives false and sets the error when refused.
+    // Control functions. Each returns false and sets `error` if refused.
     bool prepare(Term term, SqlError &error);
     bool promote(Term term, SqlError &error);
     bool follow(const ServerName &primary, Term term, SqlError &error);
@@ -73,41 +73,41 @@
     LogOffset endOffset() const { return log_.end().offset; }
     LogOffset applied() const { return applied_; }
     Term term() const { return term_; }
-    bool takesWrites() const { return primary_ && prepared_ <= term_; }
+    bool acceptsWrites() const { return primary_ && preparedTerm_ <= term_; }
 
-    // The writer's transaction. Begin when the lock was just acquired.
+    // Writer transaction. Call beginWriterTransaction() after the writer lock was acquired.
     WriterLock &writerLock() { return writerLock_; }
-    void beginWriting();
-    void abandonWriting();
-    // Commits the writer's transaction and logs its statements.
-    bool commitWriting(std::vector<LoggedStatement> statements, SqlError &error);
+    void beginWriterTransaction();
+    void rollBackWriterTransaction();
+    // Commits the writer transaction, appends its statements to the log and replicates them.
+    bool commitWriterTransaction(std::vector<LoggedStatement> statements, SqlError &error);
 
-    void setLag(Duration lag) { lag_ = lag; }
-    Duration lag() const { return lag_; }
+    void setReplicationLag(Duration replicationLag) { replicationLag_ = replicationLag; }
+    Duration replicationLag() const { return replicationLag_; }
 
-    // Messages of the peers.
+    // Messages from peers.
     void onFetch(const FetchMessage &message);
     void onAppend(const AppendMessage &message);
-    // Asks the primary again; call it each fetchPeriod.
+    // Fetches from the primary on a replica. Call it every fetchPeriod.
     void onTick();
 
-    // Names as in the columns of kelptally_status, and "history" as JSON.
-    std::string fact(std::string_view name) const;
+    // Returns a column of kelptally_status, or the term history as JSON for "history".
+    std::string stateValue(std::string_view name) const;
     const ServerName &name() const { return name_; }
 
     static constexpr Duration fetchPeriod = std::chrono::milliseconds(20);
 
 private:
-    struct Followed
+    struct ReplicationSource
     {
         ServerName primary;
         Term term = 0;
-        // Our log is a beginning of the primary's.
-        bool matched = false;
+        // Whether the local log is a prefix of the primary's.
+        bool logsMatch = false;
     };
 
     void resetDatabases();
-    void stopWriting();
+    void stopWriter();
     void fetch();
     void receive(const RecordPtr &record);
     void applyUpTo(LogOffset offset);
@@ -120,23 +120,23 @@
     const std::string schema_;
     TimerService &timers_;
     PeerNetwork &network_;
-    std::unique_ptr<SqliteDatabase> committed_;
-    std::unique_ptr<SqliteDatabase> writing_;
+    std::unique_ptr<SqliteDatabase> committedDatabase_;
+    std::unique_ptr<SqliteDatabase> writerDatabase_;
     WriterLock writerLock_;
-    bool writingOpen_ = false;
+    bool writerTransactionOpen_ = false;
 
     GroupLog log_;
     LogOffset applied_ = 0;
-    std::vector<TermBegin> history_;
+    std::vector<TermStart> history_;
     Term term_ = 0;
-    Term prepared_ = 0;
+    Term preparedTerm_ = 0;
     bool primary_ = false;
-    std::optional<Followed> followed_;
-    // Replicas that asked us lately, at a primary.
+    std::optional<ReplicationSource> replicationSource_;
+    // On a primary: time of the last fetch of each replica.
     std::map<ServerName, Instant> replicas_;
 
-    Duration lag_ {0};
-    DelayLine lagLine_;
+    Duration replicationLag_ {0};
+    DelayQueue applyQueue_;
 };
 
 } // namespace kelptally::standin
--- a/src/standin/platformstandin.cpp
+++ b/src/standin/platformstandin.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::uint64_t maxRequestBytes = 16u << 20;
 
-PlatformRequest requestOf(http::request<http::string_body> &message)
+PlatformRequest toPlatformRequest(http::request<http::string_body> &message)
 {
     PlatformRequest request;
     request.method = std::string(message.method_string());
@@ -28,7 +28,7 @@
     return request;
 }
 
-// One connection of a client.
+// One client connection. Handles requests sequentially.
 class Session : public std::enable_shared_from_this<Session>
 {
 public:
@@ -52,28 +52,28 @@
     {
         keepAlive_ = parser_->get().keep_alive();
         const bool isWrite = parser_->get().method() != http::verb::get;
-        const PlatformRequest request = requestOf(parser_->get());
+        const PlatformRequest request = toPlatformRequest(parser_->get());
         const PlatformService service = PlatformState::serviceOf(request.target);
-        state_->count(service, isWrite);
+        state_->countRequest(service, isWrite);
         const PlatformFaults &faults = state_->faults(service);
         if (faults.outage == Outage::Reset)
             return reset();
         if (faults.outage == Outage::Refuse)
             return write({503, "", "{}"});
-        if (faults.slow == Duration(0))
-            return carryOut(request, service, isWrite);
-        thread_.timers().subscribeAfter(faults.slow,
+        if (faults.delay == Duration(0))
+            return execute(request, service, isWrite);
+        thread_.timers().subscribeAfter(faults.delay,
                                         [self = shared_from_this(), request, service, isWrite] {
-                                            self->carryOut(request, service, isWrite);
+                                            self->execute(request, service, isWrite);
                                         });
     }
 
-    void carryOut(const PlatformRequest &request, PlatformService service, bool isWrite)
+    void execute(const PlatformRequest &request, PlatformService service, bool isWrite)
     {
         PlatformResponse response = state_->handle(thread_.timers().now(), request);
-        int &loseAnswers = state_->faults(service).loseAnswers;
-        if (isWrite && response.status == 200 && loseAnswers > 0) {
-            --loseAnswers;
+        int &lostResponses = state_->faults(service).lostResponses;
+        if (isWrite && response.status == 200 && lostResponses > 0) {
+            --lostResponses;
             return reset();
         }
         write(std::move(response));
@@ -95,7 +95,7 @@
                           });
     }
 
-    // Closes with RST, as a host that dies does.
+    // Closes the connection with a TCP reset.
     void reset()
     {
         Error ignored;
--- a/src/standin/platformstate.cpp
+++ b/src/standin/platformstate.cpp
@@ -12,9 +12,9 @@
                                                                     "control"};
 const std::array<std::string, 3> outageNames = {"none", "reset", "refuse"};
 
-PlatformResponse failure(int status, const std::string &why)
+PlatformResponse failure(int status, const std::string &title)
 {
-    return {status, "", Json {{"title", why}, {"status", status}}.dump()};
+    return {status, "", Json {{"title", title}, {"status", status}}.dump()};
 }
 
 PlatformResponse success(const Json &json, const std::string &etag = {})
@@ -59,7 +59,7 @@
     return decoded;
 }
 
-// A target's decoded path segments and its query.
+// Decoded path segments and raw query of a request target.
 struct Target
 {
     std::vector<std::string> path;
@@ -69,10 +69,10 @@
 Target parseTarget(std::string_view text)
 {
     Target target;
-    const auto question = std::min(text.find('?'), text.size());
-    if (question < text.size())
-        target.query = std::string(text.substr(question + 1));
-    std::string_view path = text.substr(0, question);
+    const auto queryStart = std::min(text.find('?'), text.size());
+    if (queryStart < text.size())
+        target.query = std::string(text.substr(queryStart + 1));
+    std::string_view path = text.substr(0, queryStart);
     while (!path.empty()) {
         path.remove_prefix(1);
         const auto end = std::min(path.find('/'), path.size());
@@ -82,7 +82,7 @@
     return target;
 }
 
-// One write of a transaction as the request gives it.
+// One conditional write of a transaction; without `expectedEtag` the row must be absent.
 struct RowWrite
 {
     std::string table;
@@ -141,7 +141,7 @@
     return PlatformService::Control;
 }
 
-void PlatformState::count(PlatformService service, bool isWrite)
+void PlatformState::countRequest(PlatformService service, bool isWrite)
 {
     PlatformCounters &counters = counters_[static_cast<std::size_t>(service)];
     ++(isWrite ? counters.writes : counters.reads);
@@ -177,14 +177,14 @@
         return setFaults(request.body);
     if (route == "GET counters" && path.size() == 1)
         return showCounters();
-    return failure(404, "there is no such path");
+    return failure(404, "path not found");
 }
 
 PlatformResponse PlatformState::readRow(const std::string &table, const std::string &key) const
 {
     const auto items = tables_.find(table);
     if (items == tables_.end() || items->second.count(key) == 0)
-        return failure(404, "there is no such row");
+        return failure(404, "row not found");
     const Item &item = items->second.at(key);
     return success({{"key", key}, {"value", item.value}}, item.etag);
 }
@@ -205,31 +205,30 @@
 {
     const auto writes = parseWrites(body);
     if (!writes)
-        return failure(400, "not a list of conditional writes");
+        return failure(400, "the body is not a list of conditional writes");
     for (const RowWrite &write : *writes) {
         const Items &items = tables_[write.table];
         const auto found = items.find(write.key);
-        const bool holds = write.expectedEtag
+        const bool conditionMet = write.expectedEtag
             ? found != items.end() && found->second.etag == *write.expectedEtag
             : found == items.end();
-        if (!holds)
-            return failure(412,
-                           "the condition on " + write.table + "/" + write.key + " does not hold");
+        if (!conditionMet)
+            return failure(412, "the precondition on " + write.table + "/" + write.key + " failed");
     }
-    Json tags = Json::array();
+    Json newEtags = Json::array();
     for (const RowWrite &write : *writes) {
-        const std::string tag = nextTag();
-        tables_[write.table][write.key] = {write.value, tag};
-        tags.push_back(tag);
+        const std::string newEtag = nextEtag();
+        tables_[write.table][write.key] = {write.value, newEtag};
+        newEtags.push_back(newEtag);
     }
-    return success({{"etags", tags}});
+    return success({{"etags", newEtags}});
 }
 
 PlatformResponse PlatformState::getObject(const std::string &key) const
 {
     const auto found = objects_.find(key);
     if (found == objects_.end())
-        return failure(404, "there is no such object");
+        return failure(404, "object not found");
     return {200, found->second.etag, found->second.value};
 }
 
@@ -239,24 +238,24 @@
     const bool exists = found != objects_.end();
     if (request.ifMatch.empty() && !request.ifNoneMatch)
         return failure(428, "If-Match or If-None-Match: * is required");
-    const bool holds = request.ifNoneMatch
+    const bool conditionMet = request.ifNoneMatch
         ? !exists
         : exists && "\"" + found->second.etag + "\"" == request.ifMatch;
-    if (!holds)
-        return failure(412, "the condition does not hold");
-    const std::string tag = nextTag();
-    objects_[key] = {request.body, tag};
-    return success(Json::object(), tag);
+    if (!conditionMet)
+        return failure(412, "the precondition failed");
+    const std::string newEtag = nextEtag();
+    objects_[key] = {request.body, newEtag};
+    return success(Json::object(), newEtag);
 }
 
 PlatformResponse PlatformState::listHosts(Instant now)
 {
-    // All but the newest visible list are of no use any more.
-    while (hosts_.size() > 1 && hosts_[1].visibleFrom <= now)
-        hosts_.erase(hosts_.begin());
+    // Remove versions that a newer visible one replaces.
+    while (hostVersions_.size() > 1 && hostVersions_[1].visibleFrom <= now)
+        hostVersions_.erase(hostVersions_.begin());
     Json hosts = Json::array();
-    if (!hosts_.empty() && hosts_[0].visibleFrom <= now)
-        for (const auto &host : hosts_[0].hosts)
+    if (!hostVersions_.empty() && hostVersions_[0].visibleFrom <= now)
+        for (const auto &host : hostVersions_[0].hosts)
             hosts.push_back(
                 {{"name", host.name},
                  {"address", host.address},
@@ -269,30 +268,30 @@
 {
     auto hosts = parseHosts(body);
     if (!hosts)
-        return failure(400, "not a list of hosts");
+        return failure(400, "the body is not a list of hosts");
     setHosts(now + hostLag_, *std::move(hosts));
     return success(Json::object());
 }
 
 void PlatformState::setHosts(Instant visibleFrom, std::vector<services::ListedHost> hosts)
 {
-    // A change with a shorter lag does not overtake an earlier one.
-    if (!hosts_.empty())
-        visibleFrom = std::max(visibleFrom, hosts_.back().visibleFrom);
-    hosts_.push_back({visibleFrom, std::move(hosts)});
+    // Keep changes in order even if the lag was shortened.
+    if (!hostVersions_.empty())
+        visibleFrom = std::max(visibleFrom, hostVersions_.back().visibleFrom);
+    hostVersions_.push_back({visibleFrom, std::move(hosts)});
 }
 
 PlatformResponse PlatformState::setFaults(const std::string &body)
 {
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object())
-        return failure(400, "not a JSON object");
+        return failure(400, "the body is not a JSON object");
     const auto service = textMember(json, "service");
     const auto outage = textMember(json, "outage");
-    const auto outageAt =
+    const auto outageName =
         std::find(outageNames.begin(), outageNames.end(), outage.value_or("none"));
-    if (outageAt == outageNames.end())
-        return failure(400, "outage is one of none, reset, refuse");
+    if (outageName == outageNames.end())
+        return failure(400, "outage must be one of none, reset, refuse");
     bool found = false;
     for (std::size_t i = 0; i < platformServiceCount - 1; ++i) {
         if (service && *service != serviceNames[i])
@@ -300,15 +299,15 @@
         found = true;
         PlatformFaults &faults = faults_[i];
         if (outage)
-            faults.outage = static_cast<Outage>(outageAt - outageNames.begin());
-        if (const auto slow = countMember(json, "slowMs"))
-            faults.slow = std::chrono::milliseconds(*slow);
-        faults.loseAnswers = countMember(json, "loseAnswers").value_or(faults.loseAnswers);
+            faults.outage = static_cast<Outage>(outageName - outageNames.begin());
+        if (const auto delay = countMember(json, "slowMs"))
+            faults.delay = std::chrono::milliseconds(*delay);
+        faults.lostResponses = countMember(json, "loseAnswers").value_or(faults.lostResponses);
     }
     if (const auto lag = countMember(json, "hostLagMs"))
         hostLag_ = std::chrono::milliseconds(*lag);
     return found ? success(Json::object())
-                 : failure(400, "service is one of tables, objects, hosts");
+                 : failure(400, "service must be one of tables, objects, hosts");
 }
 
 PlatformResponse PlatformState::showCounters() const
@@ -319,9 +318,9 @@
     return success(json);
 }
 
-std::string PlatformState::nextTag()
+std::string PlatformState::nextEtag()
 {
-    return "v" + std::to_string(++lastTag_);
+    return "v" + std::to_string(++lastEtag_);
 }
 
 } // namespace kelptally::standin
--- a/tests/standin/testclient.h
+++ b/tests/standin/testclient.h
@@ -6,19 +6,20 @@
 #include <string>
 #include <vector>
 
-// A plain libpq client for the tests of the database stand-in.
+// libpq client for the tests of the database stand-in.
 namespace kelptally::standin {
 
-struct Answer
+struct QueryResult
 {
-    // "" when the statement succeeded.
+    // Empty if the statement succeeded, "lost" if the connection was lost, "aborted" if the
+    // statement was skipped.
     std::string sqlState;
     std::string tag;
     // Values of the first row.
     std::vector<std::string> row;
     int rows = 0;
 
-    bool good() const { return sqlState.empty(); }
+    bool succeeded() const { return sqlState.empty(); }
     std::string value() const { return row.empty() ? "" : row[0]; }
 };
 
@@ -34,16 +35,16 @@
     std::string error() const;
     char transactionStatus() const;
 
-    // A simple query.
-    Answer query(const std::string &sql);
-    // Through parse, bind and execute.
-    Answer query(const std::string &sql, const std::vector<std::string> &parameters);
-    // All statements before one sync; an answer for each, where "aborted" stands as the SQLSTATE of
-    // those that were skipped. The last answer is that of the sync.
-    std::vector<Answer> pipeline(const std::vector<std::string> &statements);
-    // Sends a simple query without waiting; finish() gives its answer.
+    // Runs a simple query.
+    QueryResult query(const std::string &sql);
+    // Runs the statement with the extended query protocol.
+    QueryResult query(const std::string &sql, const std::vector<std::string> &parameters);
+    // Sends all statements followed by one Sync. Returns a result for each statement and one for
+    // the Sync.
+    std::vector<QueryResult> pipeline(const std::vector<std::string> &statements);
+    // Sends a simple query without waiting for its result; receive() returns it.
     void send(const std::string &sql);
-    Answer finish();
+    QueryResult receive();
 
     PGconn *raw() { return connection_; }
 
@@ -51,7 +52,7 @@
     PGconn *connection_;
 };
 
-// Waits until the condition holds; false after a time that only a fault reaches.
+// Polls until the condition holds. Returns false after a timeout of one minute.
 bool eventually(const std::function<bool()> &condition);
 
 } // namespace kelptally::standin
