--- a/fuzz/decoder.cpp
+++ b/fuzz/decoder.cpp
@@ -11,7 +11,7 @@
         return 0;
     const auto bytes = inner::encode(*message);
     fuzz::require(bytes.ok());
-    const auto again = inner::decode(*bytes);
-    fuzz::require(again.ok() && *inner::encode(*again) == *bytes);
+    const auto decodedAgain = inner::decode(*bytes);
+    fuzz::require(decodedAgain.ok() && *inner::encode(*decodedAgain) == *bytes);
     return 0;
 }
--- a/fuzz/fuzz.h
+++ b/fuzz/fuzz.h
@@ -15,9 +15,9 @@
     return {reinterpret_cast<const char *>(data), size};
 }
 
-inline void require(bool holds)
+inline void require(bool condition)
 {
-    if (!holds)
+    if (!condition)
         std::abort();
 }
 
--- a/fuzz/token.cpp
+++ b/fuzz/token.cpp
@@ -26,9 +26,9 @@
     unsigned length = 0;
     HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()),
          reinterpret_cast<const unsigned char *>(input.data()), input.size(), mac.data(), &length);
-    std::string whole(body);
-    whole.append(reinterpret_cast<const char *>(mac.data()), macBytes);
-    std::string text = absl::WebSafeBase64Escape(whole);
+    std::string signedBytes(body);
+    signedBytes.append(reinterpret_cast<const char *>(mac.data()), macBytes);
+    std::string text = absl::WebSafeBase64Escape(signedBytes);
     while (!text.empty() && text.back() == '=')
         text.pop_back();
     return text;
--- a/fuzz/wire.cpp
+++ b/fuzz/wire.cpp
@@ -9,19 +9,19 @@
 {
     const std::string text(fuzz::textOf(data, size));
     platform::LineBuffer whole;
-    platform::LineBuffer pieces;
+    platform::LineBuffer byteWise;
     whole.append(text.data(), text.size());
     std::vector<std::string> lines;
     while (const auto line = whole.next())
         lines.emplace_back(*line);
-    std::vector<std::string> again;
+    std::vector<std::string> linesFromBytes;
     for (const char &byte : text) {
-        pieces.append(&byte, 1);
-        while (const auto line = pieces.next())
-            again.emplace_back(*line);
-        pieces.compact();
+        byteWise.append(&byte, 1);
+        while (const auto line = byteWise.next())
+            linesFromBytes.emplace_back(*line);
+        byteWise.compact();
     }
-    fuzz::require(lines == again);
+    fuzz::require(lines == linesFromBytes);
     for (const std::string &line : lines) {
         const platform::CallerMessage message = platform::parseCallerMessage(line);
         if (message.kind == platform::CallerMessage::Kind::Statement)
--- a/src/bench/baseline.cpp
+++ b/src/bench/baseline.cpp
@@ -21,7 +21,7 @@
     bool stopping = false;
     int unanswered = 0;
     // Number of restarts; answers from before a restart are ignored.
-    int run = 0;
+    int incarnation = 0;
     // By group: the primary that this proxy assumes, its consecutive failed checks, and the
     // round-robin index of reads.
     std::map<GroupName, ServerName> primary;
@@ -168,8 +168,9 @@
                                         : chooseReader(proxy, request.group);
     ++proxy.unanswered;
     const auto answered = std::make_shared<bool>(false);
-    const auto finish = [this, &proxy, callback, answered, run = proxy.run](const Answer &answer) {
-        if (std::exchange(*answered, true) || !proxy.alive || run != proxy.run)
+    const auto finish = [this, &proxy, callback, answered,
+                         incarnation = proxy.incarnation](const Answer &answer) {
+        if (std::exchange(*answered, true) || !proxy.alive || incarnation != proxy.incarnation)
             return;
         --proxy.unanswered;
         callback(answer);
@@ -229,7 +230,7 @@
     proxy.alive = true;
     proxy.stopping = false;
     proxy.unanswered = 0;
-    ++proxy.run;
+    ++proxy.incarnation;
 }
 
 } // namespace
--- a/src/bench/checker.cpp
+++ b/src/bench/checker.cpp
@@ -20,7 +20,7 @@
     ++figures_.teams[request.team].requests;
     if (request.write && !request.repeatable)
         nonRepeatableWrites_.insert(request.id);
-    figures_.agedReads += !request.write && request.statedAge ? 1 : 0;
+    figures_.statedAgeReads += !request.write && request.statedAge ? 1 : 0;
 }
 
 std::optional<Position> Checker::sessionPosition(SessionId session, const GroupName &group) const
@@ -80,7 +80,7 @@
     const Instant acknowledgedBy = request.statedAge ? now : sent;
     if (isStale(request.group, answer.position, committedBy, acknowledgedBy))
         ++figures_.violations.statedAge;
-    figures_.byReplica += request.statedAge && answer.fromReplica ? 1 : 0;
+    figures_.replicaReads += request.statedAge && answer.fromReplica ? 1 : 0;
 }
 
 void Checker::recordWrite(const TraceRequest &request, const Answer &answer, Instant now)
@@ -109,9 +109,9 @@
         ++figures_.refusals[answer.reason];
     if (refused && request.write)
         refusedWrites_[request.group].insert(request.id);
-    const bool right = done || request.expect == ExpectedOutcome::Any
+    const bool isExpected = done || request.expect == ExpectedOutcome::Any
         || (refused && request.expect == ExpectedOutcome::DoneOrRefused);
-    figures_.missedOutcomes += right ? 0 : 1;
+    figures_.unexpectedOutcomes += isExpected ? 0 : 1;
 }
 
 void Checker::recordLatency(const TraceRequest &request, Duration latency)
@@ -169,12 +169,12 @@
             figures_.violations.lostWrites += logs.contains(end, write.request) ? 0 : 1;
     }
     for (const RequestId request : refusedWrites_[group])
-        figures_.violations.falseNotRun += logs.contains(end, request) ? 1 : 0;
+        figures_.violations.executedDespiteRefusal += logs.contains(end, request) ? 1 : 0;
     std::set<RequestId> seen;
     for (const LogRecord &record : logs.records(term)) {
-        const bool again =
+        const bool isDuplicate =
             nonRepeatableWrites_.count(record.request) > 0 && !seen.insert(record.request).second;
-        figures_.violations.doubledWrites += again ? 1 : 0;
+        figures_.violations.duplicateWrites += isDuplicate ? 1 : 0;
     }
 }
 
--- a/src/bench/checker.h
+++ b/src/bench/checker.h
@@ -33,15 +33,15 @@
     int readYourWrites = 0;
     int statedAge = 0;
     int lostWrites = 0;
-    int doubledWrites = 0;
-    int falseNotRun = 0;
+    int duplicateWrites = 0;
+    int executedDespiteRefusal = 0;
     int misdirectedAnswers = 0;
     int statementsOnLeavingServer = 0;
     int abortedRequests = 0;
 
     int all() const
     {
-        return readYourWrites + statedAge + lostWrites + doubledWrites + falseNotRun
+        return readYourWrites + statedAge + lostWrites + duplicateWrites + executedDespiteRefusal
             + misdirectedAnswers + statementsOnLeavingServer + abortedRequests;
     }
 };
@@ -57,7 +57,7 @@
 {
     Violations violations;
     // Requests whose final answer differs from those that the trace allows.
-    int missedOutcomes = 0;
+    int unexpectedOutcomes = 0;
     int requests = 0;
     int done = 0;
     // Requests done within the caller's deadline.
@@ -66,9 +66,9 @@
     int unknown = 0;
     // Reads with a maximum age: all, those that a replica was fresh enough to answer, and those
     // that a replica answered.
-    int agedReads = 0;
+    int statedAgeReads = 0;
     int replicaEligibleReads = 0;
-    int byReplica = 0;
+    int replicaReads = 0;
     // Time from each fault that stops writes to the acknowledgement of the first write committed
     // after it.
     std::vector<Duration> gaps;
--- a/src/bench/kelptally.cpp
+++ b/src/bench/kelptally.cpp
@@ -462,8 +462,8 @@
             return onFailed(request, Reason::OwnerUnreachable, Executed::Unknown);
         if (model_.timers.now() > request->deadline)
             return onFailed(request, Reason::DeadlineExceeded, Executed::Unknown);
-        if (const auto again = weak.lock())
-            model_.timers.subscribeAfter(linkEndDetectionTime, [again] { (*again)(); });
+        if (const auto self = weak.lock())
+            model_.timers.subscribeAfter(linkEndDetectionTime, [self] { (*self)(); });
     };
     model_.timers.subscribeAfter(linkEndDetectionTime, [watch] { (*watch)(); });
 }
--- a/src/bench/livereplay.cpp
+++ b/src/bench/livereplay.cpp
@@ -69,7 +69,7 @@
 {
     std::string token;
     std::vector<Write> acknowledged;
-    std::set<std::string> notRun;
+    std::set<std::string> refusedWrites;
 };
 
 class LiveReplay
@@ -126,15 +126,16 @@
         pending->acknowledgedBefore = sessions_[event.request->session].acknowledged.size();
         ++figures_.requests;
         ++inFlight_;
-        figures_.agedReads += !event.request->write && event.request->statedAge ? 1 : 0;
+        figures_.statedAgeReads += !event.request->write && event.request->statedAge ? 1 : 0;
         send(pending);
     }
 
     void injectFault(const TraceFault &fault)
     {
         const std::string body = faultBody(fault);
-        const bool caused = !options_.standin.empty() && !body.empty() && control_.fault(body).ok();
-        figures_.faultsNotCaused += caused ? 0 : 1;
+        const bool injected =
+            !options_.standin.empty() && !body.empty() && control_.fault(body).ok();
+        figures_.faultsNotInjected += injected ? 0 : 1;
     }
 
     std::string sessionRun(SessionId session) const { return absl::StrCat(run_, "/s", session); }
@@ -203,7 +204,7 @@
             session.token = answer.sessionToken;
         countOutcome(request, answer);
         if (answer.executed == Executed::No && request.write)
-            session.notRun.insert(idOf(request));
+            session.refusedWrites.insert(idOf(request));
         if (!answer.good())
             return;
         const Instant now = timers_.now();
@@ -225,7 +226,7 @@
             ++figures_.reasons[answer.status == 0 ? "connection_lost" : answer.reason];
         const bool isExpected = answer.good() || request.expect == ExpectedOutcome::Any
             || (refused && request.expect == ExpectedOutcome::DoneOrRefused);
-        figures_.missedOutcomes += isExpected ? 0 : 1;
+        figures_.unexpectedOutcomes += isExpected ? 0 : 1;
     }
 
     void checkRead(const Pending &pending, const CallerAnswer &answer, Instant now)
@@ -247,7 +248,7 @@
             return write.acknowledgedAt >= requiredBefore || isSeen(write);
         };
         figures_.statedAge += std::all_of(others.begin(), others.end(), isConsistent) ? 0 : 1;
-        figures_.byReplica += request.statedAge && answer.fromReplica ? 1 : 0;
+        figures_.replicaReads += request.statedAge && answer.fromReplica ? 1 : 0;
     }
 
     // Returns how often each id of a session is in its table. Retries until a query succeeds.
@@ -303,10 +304,10 @@
     {
         for (const Write &write : session.acknowledged)
             figures_.lostWrites += rowCounts.count(write.id) > 0 ? 0 : 1;
-        for (const std::string &id : session.notRun)
-            figures_.falseNotRun += rowCounts.count(id) > 0 ? 1 : 0;
+        for (const std::string &id : session.refusedWrites)
+            figures_.executedDespiteRefusal += rowCounts.count(id) > 0 ? 1 : 0;
         for (const auto &[id, count] : rowCounts)
-            figures_.doubledWrites += count > 1 && nonRepeatable.count(id) > 0 ? 1 : 0;
+            figures_.duplicateWrites += count > 1 && nonRepeatable.count(id) > 0 ? 1 : 0;
     }
 
     const Trace &trace_;
--- a/src/bench/livereplay.h
+++ b/src/bench/livereplay.h
@@ -30,23 +30,23 @@
     int done = 0;
     int refused = 0;
     int unknown = 0;
-    int missedOutcomes = 0;
+    int unexpectedOutcomes = 0;
     int readYourWrites = 0;
     int statedAge = 0;
     int lostWrites = 0;
-    int doubledWrites = 0;
-    int falseNotRun = 0;
-    int agedReads = 0;
-    int byReplica = 0;
+    int duplicateWrites = 0;
+    int executedDespiteRefusal = 0;
+    int statedAgeReads = 0;
+    int replicaReads = 0;
     // Faults of the trace that the stand-in doesn't support or failed to cause.
-    int faultsNotCaused = 0;
+    int faultsNotInjected = 0;
     std::vector<Duration> writeLatency;
     std::vector<Duration> readLatency;
     std::map<std::string, int> reasons;
 
     int violations() const
     {
-        return readYourWrites + statedAge + lostWrites + doubledWrites + falseNotRun;
+        return readYourWrites + statedAge + lostWrites + duplicateWrites + executedDespiteRefusal;
     }
 };
 
--- a/src/bench/loadcommand.cpp
+++ b/src/bench/loadcommand.cpp
@@ -183,8 +183,8 @@
     if (!verified.status.ok())
         return fail(verified.status.message());
     absl::PrintF("acknowledged %d, lost %d, doubled %d, ran despite \"not run\" %d, unknown %d\n",
-                 verified.acknowledged, verified.lost, verified.doubled, verified.ranDespiteNo,
-                 verified.unknown);
+                 verified.acknowledged, verified.lost, verified.duplicates,
+                 verified.executedDespiteRefusal, verified.unknown);
     return verified.good() ? 0 : exitFailed;
 }
 
--- a/src/bench/loadgap.cpp
+++ b/src/bench/loadgap.cpp
@@ -213,7 +213,7 @@
         "rounds %d, without a write %d, gap median %.0f ms, 99%% %.0f ms, greatest %.0f ms\n"
         "acknowledged %d, lost %d, doubled %d, ran despite \"not run\" %d, unknown %d\n",
         result.rounds.size(), result.rounds.size() - gaps.size(), ms(0.5), ms(0.99), ms(1),
-        verified.acknowledged, verified.lost, verified.doubled, verified.ranDespiteNo,
+        verified.acknowledged, verified.lost, verified.duplicates, verified.executedDespiteRefusal,
         verified.unknown);
     if (!verified.status.ok())
         text += absl::StrFormat("not verified: %s\n", verified.status.message());
@@ -233,7 +233,8 @@
     writer.member("p99Ms", quantile(gaps, 0.99) / 1000.0);
     writer.member("maxMs", quantile(gaps, 1) / 1000.0);
     writer.member("acknowledged", verified.acknowledged).member("lost", verified.lost);
-    writer.member("doubled", verified.doubled).member("ranDespiteNo", verified.ranDespiteNo);
+    writer.member("doubled", verified.duplicates)
+        .member("ranDespiteNo", verified.executedDespiteRefusal);
     writer.member("unknown", verified.unknown).member("verified", verified.status.ok());
     writer.member("problem", result.problem);
     writer.key("rounds").beginArray();
--- a/src/bench/loadverify.cpp
+++ b/src/bench/loadverify.cpp
@@ -64,7 +64,7 @@
 {
     const std::lock_guard<std::mutex> lock(mutex_);
     writes_[outcome.id] = outcome.good     ? WriteState::Done
-        : outcome.executed == Executed::No ? WriteState::NotRun
+        : outcome.executed == Executed::No ? WriteState::NotExecuted
                                            : WriteState::Unknown;
 }
 
@@ -81,11 +81,11 @@
         const bool exists = rowCounts->count(id) != 0;
         result.acknowledged += state == WriteState::Done ? 1 : 0;
         result.lost += state == WriteState::Done && !exists ? 1 : 0;
-        result.ranDespiteNo += state == WriteState::NotRun && exists ? 1 : 0;
+        result.executedDespiteRefusal += state == WriteState::NotExecuted && exists ? 1 : 0;
         result.unknown += state == WriteState::Unknown ? 1 : 0;
     }
     for (const auto &[id, count] : *rowCounts)
-        result.doubled += count > 1 ? 1 : 0;
+        result.duplicates += count > 1 ? 1 : 0;
     return result;
 }
 
--- a/src/bench/loadverify.h
+++ b/src/bench/loadverify.h
@@ -18,15 +18,15 @@
     // Acknowledged writes that are not in the table.
     std::uint64_t lost = 0;
     // Ids that are in the table more than once.
-    std::uint64_t doubled = 0;
+    std::uint64_t duplicates = 0;
     // Writes answered with "executed: no" that are in the table.
-    std::uint64_t ranDespiteNo = 0;
+    std::uint64_t executedDespiteRefusal = 0;
     // Writes without a definite outcome, whether or not they are in the table.
     std::uint64_t unknown = 0;
     // Not OK if the table could not be read; then the counts are zero.
     absl::Status status;
 
-    bool good() const { return status.ok() && lost + doubled + ranDespiteNo == 0; }
+    bool good() const { return status.ok() && lost + duplicates + executedDespiteRefusal == 0; }
 };
 
 // Collects the outcomes of writes of {id} into load_writes(id, run) and compares them with the
@@ -43,7 +43,7 @@
 private:
     enum class WriteState {
         Done,
-        NotRun,
+        NotExecuted,
         Unknown,
     };
     mutable std::mutex mutex_;
--- a/src/bench/model.cpp
+++ b/src/bench/model.cpp
@@ -150,7 +150,7 @@
     primary_ = false;
     source_ = nullptr;
     running_ = 0;
-    ++run_;
+    ++incarnation_;
     queuedCalls_.clear();
     deferredCalls_.clear();
     const auto lost = std::move(inFlight_);
@@ -198,11 +198,12 @@
         queuedCalls_.pop_front();
         ++running_;
         model_.onStatementStarted(details_.name);
-        const int run = run_;
-        model_.timers.subscribeAfter(call->statement.request->cost * slowness_, [this, call, run] {
-            if (run == run_)
-                finish(call);
-        });
+        const int incarnation = incarnation_;
+        model_.timers.subscribeAfter(call->statement.request->cost * slowness_,
+                                     [this, call, incarnation] {
+                                         if (incarnation == incarnation_)
+                                             finish(call);
+                                     });
     }
 }
 
@@ -297,9 +298,9 @@
     return newest;
 }
 
-void Model::setPartitioned(const ZoneName &zone, bool cut)
+void Model::setPartitioned(const ZoneName &zone, bool partitioned)
 {
-    if (cut) {
+    if (partitioned) {
         partitionedZones_.insert(zone);
         return;
     }
--- a/src/bench/model.h
+++ b/src/bench/model.h
@@ -111,7 +111,7 @@
     Position applied_;
     OwnerEpoch fence_ = 0;
     // Number of kills; work started before the last one is ignored.
-    int run_ = 0;
+    int incarnation_ = 0;
     int running_ = 0;
     std::deque<std::shared_ptr<Call>> queuedCalls_;
     std::set<std::shared_ptr<Call>> inFlight_;
@@ -134,7 +134,7 @@
     ModelServer *primaryOf(const GroupName &group);
     GroupLogs &logs(const GroupName &group) { return logs_[group]; }
 
-    void setPartitioned(const ZoneName &zone, bool cut);
+    void setPartitioned(const ZoneName &zone, bool partitioned);
     bool isPartitioned(const ZoneName &zone) const { return partitionedZones_.count(zone) > 0; }
     void setLeaving(const ServerName &name) { leaving_.emplace(name, timers.now()); }
     // Reports to the checker if the server is leaving.
--- a/src/bench/modelstore.cpp
+++ b/src/bench/modelstore.cpp
@@ -38,10 +38,10 @@
     }
     model_.timers.subscribeAfter(storeLatency, [this, group, write, callback] {
         const auto found = rows_.find(group);
-        const bool holds = write.expectedEtag
+        const bool conditionMet = write.expectedEtag
             ? found != rows_.end() && found->second.etag == *write.expectedEtag
             : found == rows_.end();
-        if (!holds)
+        if (!conditionMet)
             return callback(WriteOutcome::Conflict, {});
         const std::string etag = std::to_string(++lastTag_);
         rows_[group] = {write.row, etag};
--- a/src/bench/pressure.cpp
+++ b/src/bench/pressure.cpp
@@ -20,8 +20,8 @@
 constexpr Duration drainTime = 5s;
 // Time for which a write without an answer holds its slot.
 constexpr Duration hungWriteSlotTime = 220ms;
-// A refused attempt counts as held after more than 1/heldObjectiveDivisor of the objective.
-constexpr int heldObjectiveDivisor = 4;
+// A refused attempt counts as held after more than 1/lateRefusalDivisor of the objective.
+constexpr int lateRefusalDivisor = 4;
 const Instant start = Instant(1h);
 
 // One request and the state of its repeats.
@@ -34,8 +34,8 @@
     Instant offered;
     int attempts = 0;
     Instant nextAttempt;
-    // A refused attempt has waited too long; see heldObjectiveDivisor.
-    bool held = false;
+    // A refused attempt has waited too long; see lateRefusalDivisor.
+    bool refusedLate = false;
     decision::WaitingStatement waiting;
 };
 
@@ -46,7 +46,7 @@
     std::vector<Instant> slots;
     decision::ReadCandidate candidate;
     // Offset of the newest record received.
-    std::uint64_t holds = 0;
+    std::uint64_t received = 0;
 };
 
 class PressureSimulation
@@ -94,7 +94,7 @@
     void generateRequests(Duration at, Instant now)
     {
         constexpr int perMillion = 1'000'000;
-        const int load = plan_.burst.holds(at) ? plan_.burstPercent : 100;
+        const int load = plan_.burst.contains(at) ? plan_.burstPercent : 100;
         for (const PressureKind &kind : plan_.kinds) {
             // Probability of an arrival per step, in millionths.
             int chance = kind.rate * load * 10;
@@ -151,13 +151,13 @@
         positions_.add(now, {1, head_});
         headHistory_.push_back(head_);
         const auto lag = static_cast<std::size_t>(plan_.replicaLag / stepTime);
-        int replicationStopped = plan_.replicationStopped.holds(at) ? plan_.stoppedReplicas : 0;
+        int replicationStopped = plan_.replicationStopped.contains(at) ? plan_.stoppedReplicas : 0;
         for (Server &server : servers_) {
             const bool receives = server.primary || replicationStopped-- <= 0;
             if (server.primary)
-                server.holds = head_;
+                server.received = head_;
             else if (receives && headHistory_.size() > lag)
-                server.holds = headHistory_[headHistory_.size() - 1 - lag];
+                server.received = headHistory_[headHistory_.size() - 1 - lag];
         }
     }
 
@@ -165,7 +165,7 @@
     {
         decision::WaitState state;
         state.ownsGroup = true;
-        state.hasPrimary = !plan_.noPrimary.holds(at);
+        state.hasPrimary = !plan_.noPrimary.contains(at);
         state.primarySince = now < start + plan_.noPrimary.to ? start : start + plan_.noPrimary.to;
         for (auto it = queue_.begin(); it != queue_.end();) {
             state.needsPrimary = needsPrimary(*it);
@@ -182,14 +182,15 @@
     {
         request.nextAttempt = now + plan_.repeatPause;
         const Duration waited = now - request.waiting.arrived;
-        request.held = request.held || waited > request.kind->objective / heldObjectiveDivisor;
-        const bool again = request.attempts <= plan_.repeats
+        request.refusedLate =
+            request.refusedLate || waited > request.kind->objective / lateRefusalDivisor;
+        const bool willRepeat = request.attempts <= plan_.repeats
             && request.nextAttempt < request.offered + request.kind->deadline;
         count(request, [&](PressureCount &counted) {
-            ++(again ? counted.repeats : counted.refused);
-            counted.held += !again && request.held ? 1 : 0;
+            ++(willRepeat ? counted.repeats : counted.refused);
+            counted.refusedLate += !willRepeat && request.refusedLate ? 1 : 0;
         });
-        if (again)
+        if (willRepeat)
             pendingRepeats_.push_back(request);
     }
 
@@ -217,7 +218,7 @@
             server.candidate.inFlight = static_cast<int>(std::count_if(
                 server.slots.begin(), server.slots.end(), [now](Instant s) { return s > now; }));
             server.candidate.available = server.candidate.inFlight < plan_.slots
-                && !(server.primary && plan_.noPrimary.holds(at));
+                && !(server.primary && plan_.noPrimary.contains(at));
             states.push_back(server.candidate);
         }
         Server &primary = servers_.front();
@@ -234,9 +235,9 @@
             return nullptr;
         // The replica's answer shows its position. A refusal for lag occupies no slot.
         Server &server = servers_[*chosen];
-        server.candidate.shown = Position {1, server.holds};
+        server.candidate.shown = Position {1, server.received};
         server.candidate.shownAt = now;
-        const bool lags = needed && Position {1, server.holds} < *needed;
+        const bool lags = needed && Position {1, server.received} < *needed;
         if (lags)
             server.candidate.behindUntil = now + 10ms;
         return lags ? nullptr : &server;
@@ -244,7 +245,7 @@
 
     void execute(const Request &request, Server &server, Duration at, Instant now)
     {
-        const bool hangs = request.write && plan_.unconfirmedCommits.holds(at);
+        const bool hangs = request.write && plan_.unconfirmedCommits.contains(at);
         const Duration slotTime = hangs ? std::max(hungWriteSlotTime, request.work) : request.work;
         *std::min_element(server.slots.begin(), server.slots.end()) = now + slotTime;
         const Duration waited = now - request.waiting.arrived;
--- a/src/bench/pressure.h
+++ b/src/bench/pressure.h
@@ -23,7 +23,7 @@
     // Refused after all repeats.
     int refused = 0;
     // Refused requests with an attempt that had waited for over a quarter of the objective.
-    int held = 0;
+    int refusedLate = 0;
     // Sent to a server without an answer.
     int unanswered = 0;
     int repeats = 0;
--- a/src/bench/pressurecommand.cpp
+++ b/src/bench/pressurecommand.cpp
@@ -31,7 +31,7 @@
 {
     std::cout << absl::StrFormat(
         "%-16s %7d %7d %7d %7d %7d %9d %7d %8.1f %8.1f\n", name, counted.offered, counted.inTime,
-        counted.late, counted.refused, counted.held, counted.unanswered, counted.repeats,
+        counted.late, counted.refused, counted.refusedLate, counted.unanswered, counted.repeats,
         milliseconds(quantile(counted.waits, 50)), milliseconds(quantile(counted.waits, 99)));
 }
 
--- a/src/bench/pressureplan.h
+++ b/src/bench/pressureplan.h
@@ -33,7 +33,7 @@
     Duration from {0};
     Duration to {0};
 
-    bool holds(Duration at) const { return from <= at && at < to; }
+    bool contains(Duration at) const { return from <= at && at < to; }
 };
 
 // The load of one group and the faults during it.
--- a/src/bench/relaymodel.cpp
+++ b/src/bench/relaymodel.cpp
@@ -154,7 +154,7 @@
 public:
     Model(const RelayPlan &plan, std::uint64_t seed);
 
-    RelayResult play();
+    RelayResult simulate();
 
     Host *find(const std::string &address)
     {
@@ -163,8 +163,8 @@
     }
     void countCall()
     {
-        ++callsBySecond[int((timers.now() - began) / 1s)];
-        ++(timers.now() - began < settleTime ? result.callsAtStart : result.callsAfterStart);
+        ++callsBySecond[int((timers.now() - startedAt) / 1s)];
+        ++(timers.now() - startedAt < settleTime ? result.callsAtStart : result.callsAfterStart);
     }
 
     const RelayPlan &plan;
@@ -172,7 +172,7 @@
     EventLog log;
     ModelTables tables {timers};
     std::mt19937_64 random;
-    Instant began;
+    Instant startedAt;
     RelayResult result;
     std::map<int, int> callsBySecond;
     std::vector<std::unique_ptr<Host>> hosts;
@@ -381,7 +381,7 @@
 }
 
 Model::Model(const RelayPlan &thePlan, std::uint64_t seed)
-    : plan(thePlan), log(errorsOnly()), random(seed), began(timers.now())
+    : plan(thePlan), log(errorsOnly()), random(seed), startedAt(timers.now())
 {
     for (int i = 0; i < plan.hosts; ++i) {
         hosts.push_back(std::make_unique<Host>(*this, i, seed));
@@ -480,7 +480,7 @@
     maxDelay = std::max(maxDelay, timers.now() - changed);
 }
 
-RelayResult Model::play()
+RelayResult Model::simulate()
 {
     std::uniform_real_distribution<double> draw(0, 1);
     for (const auto &host : hosts)
@@ -519,7 +519,7 @@
 RelayResult simulateRelays(const RelayPlan &plan, std::uint64_t seed)
 {
     Model model(plan, seed);
-    return model.play();
+    return model.simulate();
 }
 
 } // namespace kelptally::bench
--- a/src/bench/replaycommand.cpp
+++ b/src/bench/replaycommand.cpp
@@ -35,9 +35,9 @@
 {
     absl::PrintF(
         "%-24s %-12s %6d %6d %6d %5d %7d %8.2f %8.2f %6d %6.0f %7.0f %7.1f %7.1f\n", trace.name,
-        policy, figures.requests, figures.violations.all(), figures.missedOutcomes, figures.refused,
-        figures.unknown, percentOf(figures.byReplica, figures.agedReads),
-        percentOf(figures.byReplica, figures.replicaEligibleReads), figures.gaps.size(),
+        policy, figures.requests, figures.violations.all(), figures.unexpectedOutcomes,
+        figures.refused, figures.unknown, percentOf(figures.replicaReads, figures.statedAgeReads),
+        percentOf(figures.replicaReads, figures.replicaEligibleReads), figures.gaps.size(),
         toMilliseconds(quantile(figures.gaps, 50)), toMilliseconds(quantile(figures.gaps, 100)),
         toMilliseconds(quantile(figures.writeLatency, 99)),
         toMilliseconds(quantile(figures.readLatency, 99)));
@@ -48,9 +48,9 @@
     const Violations &broken = figures.violations;
     absl::PrintF("  violations: read-your-writes %d, stated age %d, lost %d, doubled %d, "
                  "false not-run %d, mixed %d, leaving %d, cut off %d\n",
-                 broken.readYourWrites, broken.statedAge, broken.lostWrites, broken.doubledWrites,
-                 broken.falseNotRun, broken.misdirectedAnswers, broken.statementsOnLeavingServer,
-                 broken.abortedRequests);
+                 broken.readYourWrites, broken.statedAge, broken.lostWrites, broken.duplicateWrites,
+                 broken.executedDespiteRefusal, broken.misdirectedAnswers,
+                 broken.statementsOnLeavingServer, broken.abortedRequests);
     for (const auto &[reason, count] : figures.refusals) {
         const std::string name(reasonInfo(reason).name);
         absl::PrintF("  not done: %s %d\n", name, count);
@@ -60,7 +60,7 @@
 // Sums over all traces of a site.
 struct SiteReads
 {
-    int byReplica = 0;
+    int replicaReads = 0;
     int replicaEligibleReads = 0;
 };
 
@@ -76,8 +76,8 @@
     bool sufficient = true;
     for (const auto &[site, reads] : sites) {
         absl::PrintF("%s: replicas answered %.2f%% of the reads that could go there\n", site,
-                     percentOf(reads.byReplica, reads.replicaEligibleReads));
-        sufficient = sufficient && reads.byReplica * 100 >= reads.replicaEligibleReads * 98;
+                     percentOf(reads.replicaReads, reads.replicaEligibleReads));
+        sufficient = sufficient && reads.replicaReads * 100 >= reads.replicaEligibleReads * 98;
     }
     return sufficient;
 }
@@ -96,8 +96,8 @@
                 printDetails(*figures);
             if (policy != "kelptally")
                 continue;
-            good = good && figures->violations.all() == 0 && figures->missedOutcomes == 0;
-            siteReadsOf(sites, trace).byReplica += figures->byReplica;
+            good = good && figures->violations.all() == 0 && figures->unexpectedOutcomes == 0;
+            siteReadsOf(sites, trace).replicaReads += figures->replicaReads;
             siteReadsOf(sites, trace).replicaEligibleReads += figures->replicaEligibleReads;
         }
     }
@@ -117,14 +117,14 @@
         absl::PrintF("%s: requests %d, done %d, refused %d, unknown %d, missed outcomes %d, faults "
                      "not caused %d\n",
                      trace.name, figures.requests, figures.done, figures.refused, figures.unknown,
-                     figures.missedOutcomes, figures.faultsNotCaused);
+                     figures.unexpectedOutcomes, figures.faultsNotInjected);
         absl::PrintF("  violations: read-your-writes %d, stated age %d, lost %d, doubled %d, "
                      "false not-run %d\n",
                      figures.readYourWrites, figures.statedAge, figures.lostWrites,
-                     figures.doubledWrites, figures.falseNotRun);
+                     figures.duplicateWrites, figures.executedDespiteRefusal);
         absl::PrintF("  reads that state an age at replicas %.2f%%; ms: writes p50 %.1f p99 %.1f, "
                      "reads p50 %.1f p99 %.1f\n",
-                     percentOf(figures.byReplica, figures.agedReads),
+                     percentOf(figures.replicaReads, figures.statedAgeReads),
                      toMilliseconds(quantile(figures.writeLatency, 50)),
                      toMilliseconds(quantile(figures.writeLatency, 99)),
                      toMilliseconds(quantile(figures.readLatency, 50)),
--- a/src/bench/shippedtraces.cpp
+++ b/src/bench/shippedtraces.cpp
@@ -80,8 +80,8 @@
             + std::string(1, static_cast<char>('a' + server));
     }
 
-    void fault(Duration at, FaultKind kind, const std::string &target, Duration time = {},
-               int factor = 1)
+    void addFault(Duration at, FaultKind kind, const std::string &target, Duration time = {},
+                  int factor = 1)
     {
         TraceEvent event;
         event.at = at;
@@ -91,8 +91,8 @@
 
     // Adds requests in a time range, at a percentage of the site's rate. Use an expected outcome
     // other than Done where faults may cause refusals or losses.
-    void requests(Duration from, Duration to, int percent = 100,
-                  ExpectedOutcome expect = ExpectedOutcome::Done)
+    void addRequests(Duration from, Duration to, int percent = 100,
+                     ExpectedOutcome expect = ExpectedOutcome::Done)
     {
         const std::uint64_t meanGap =
             100000000 / (site_.requestsPerSecond * static_cast<std::uint64_t>(percent));
@@ -188,20 +188,20 @@
 {
     // A burst of requests between two phases of half the normal rate.
     Generator generator(site, site.name == "agency" ? "billing-burst" : "browsing", 11);
-    generator.requests(0s, 10s, 50);
-    generator.requests(10s, 20s, site.name == "agency" ? 160 : 120);
-    generator.requests(20s, 30s, 50);
+    generator.addRequests(0s, 10s, 50);
+    generator.addRequests(10s, 20s, site.name == "agency" ? 160 : 120);
+    generator.addRequests(20s, 30s, 50);
     return generator.take();
 }
 
 Trace failover(const Site &site)
 {
     Generator generator(site, "failover", 12);
-    generator.requests(0s, 40s, 60);
+    generator.addRequests(0s, 40s, 60);
     for (std::size_t g = 0; g < 3; ++g) {
         const Duration at = 5s + 10s * static_cast<int>(g);
-        generator.fault(at, FaultKind::KillServer, generator.serverName(g, 0));
-        generator.fault(at + 8s, FaultKind::StartServer, generator.serverName(g, 0));
+        generator.addFault(at, FaultKind::KillServer, generator.serverName(g, 0));
+        generator.addFault(at + 8s, FaultKind::StartServer, generator.serverName(g, 0));
     }
     return generator.take();
 }
@@ -209,49 +209,49 @@
 Trace partition(const Site &site)
 {
     Generator generator(site, "partition", 13);
-    generator.requests(0s, 5900ms, 50);
+    generator.addRequests(0s, 5900ms, 50);
     // Hosts in the partitioned zone can't reach the groups of other zones, so any outcome is
     // allowed.
-    generator.requests(5900ms, 20s, 50, ExpectedOutcome::Any);
-    generator.requests(20s, 30s, 50);
-    generator.fault(6s, FaultKind::CutZone, site.zones[0]);
-    generator.fault(15s, FaultKind::HealZone, site.zones[0]);
+    generator.addRequests(5900ms, 20s, 50, ExpectedOutcome::Any);
+    generator.addRequests(20s, 30s, 50);
+    generator.addFault(6s, FaultKind::CutZone, site.zones[0]);
+    generator.addFault(15s, FaultKind::HealZone, site.zones[0]);
     return generator.take();
 }
 
 Trace replicaLag(const Site &site)
 {
     Generator generator(site, "lag", 14);
-    generator.requests(0s, 30s, 50, ExpectedOutcome::DoneOrRefused);
-    generator.fault(5s, FaultKind::LagServer, generator.serverName(0, 1), 3s);
-    generator.fault(8s, FaultKind::HangServer, generator.serverName(1, 2));
-    generator.fault(10s, FaultKind::LagServer, generator.serverName(0, 2), 400ms);
-    generator.fault(15s, FaultKind::SlowServer, generator.serverName(2, 1), {}, 5);
-    generator.fault(16s, FaultKind::LeaveServer, generator.serverName(2, 2));
-    generator.fault(20s, FaultKind::HealServer, generator.serverName(1, 2));
-    generator.fault(22s, FaultKind::LagServer, generator.serverName(0, 1), 0s);
-    generator.fault(22s, FaultKind::LagServer, generator.serverName(0, 2), 0s);
+    generator.addRequests(0s, 30s, 50, ExpectedOutcome::DoneOrRefused);
+    generator.addFault(5s, FaultKind::LagServer, generator.serverName(0, 1), 3s);
+    generator.addFault(8s, FaultKind::HangServer, generator.serverName(1, 2));
+    generator.addFault(10s, FaultKind::LagServer, generator.serverName(0, 2), 400ms);
+    generator.addFault(15s, FaultKind::SlowServer, generator.serverName(2, 1), {}, 5);
+    generator.addFault(16s, FaultKind::LeaveServer, generator.serverName(2, 2));
+    generator.addFault(20s, FaultKind::HealServer, generator.serverName(1, 2));
+    generator.addFault(22s, FaultKind::LagServer, generator.serverName(0, 1), 0s);
+    generator.addFault(22s, FaultKind::LagServer, generator.serverName(0, 2), 0s);
     return generator.take();
 }
 
 Trace storeOutage(const Site &site)
 {
     Generator generator(site, "store-outage", 15);
-    generator.requests(0s, 40s, 60);
-    generator.fault(2s, FaultKind::StopStore, {});
-    generator.fault(10s, FaultKind::KillServer, generator.serverName(0, 0));
-    generator.fault(38s, FaultKind::StartStore, {});
+    generator.addRequests(0s, 40s, 60);
+    generator.addFault(2s, FaultKind::StopStore, {});
+    generator.addFault(10s, FaultKind::KillServer, generator.serverName(0, 0));
+    generator.addFault(38s, FaultKind::StartStore, {});
     return generator.take();
 }
 
 Trace rollingRestart(const Site &site)
 {
     Generator generator(site, "rolling-restart", 16);
-    generator.requests(0s, 40s, 60);
+    generator.addRequests(0s, 40s, 60);
     for (int i = 0; i < hostCount; ++i) {
         const Duration at = 4s + 6s * i;
-        generator.fault(at, FaultKind::StopHost, Generator::hostName(i));
-        generator.fault(at + 4s, FaultKind::StartHost, Generator::hostName(i));
+        generator.addFault(at, FaultKind::StopHost, Generator::hostName(i));
+        generator.addFault(at + 4s, FaultKind::StartHost, Generator::hostName(i));
     }
     return generator.take();
 }
@@ -259,14 +259,14 @@
 Trace hostCrash(const Site &site)
 {
     Generator generator(site, "host-crash", 17);
-    generator.requests(0s, 7s, 60);
+    generator.addRequests(0s, 7s, 60);
     // Callers of the crashed hosts get no answer, and others wait until the leases expire.
-    generator.requests(7s, 12s, 60, ExpectedOutcome::Any);
-    generator.requests(12s, 20s, 60);
-    generator.fault(8s, FaultKind::CrashHost, Generator::hostName(0));
-    generator.fault(8s, FaultKind::CrashHost, Generator::hostName(1));
-    generator.fault(14s, FaultKind::StartHost, Generator::hostName(0));
-    generator.fault(14s, FaultKind::StartHost, Generator::hostName(1));
+    generator.addRequests(7s, 12s, 60, ExpectedOutcome::Any);
+    generator.addRequests(12s, 20s, 60);
+    generator.addFault(8s, FaultKind::CrashHost, Generator::hostName(0));
+    generator.addFault(8s, FaultKind::CrashHost, Generator::hostName(1));
+    generator.addFault(14s, FaultKind::StartHost, Generator::hostName(0));
+    generator.addFault(14s, FaultKind::StartHost, Generator::hostName(1));
     return generator.take();
 }
 
@@ -274,7 +274,7 @@
 {
     Generator generator(site, "session-moves", 18);
     generator.setSessionsMove(true);
-    generator.requests(0s, 30s, 60);
+    generator.addRequests(0s, 30s, 60);
     return generator.take();
 }
 
--- a/tests/bench/fakeentry.h
+++ b/tests/bench/fakeentry.h
@@ -17,7 +17,7 @@
     // Acknowledges every tenth write without storing it.
     LosesWrites,
     // Stores every tenth write twice.
-    DoublesWrites,
+    DuplicatesWrites,
     // Stores every tenth write, but answers that it was not executed and can't be retried.
     StoresRefusedWrites,
     // Reads don't see any write.
@@ -77,7 +77,7 @@
             return refusal("queue_full", true);
         const std::string id = document.find("parameters")->items.at(0).text;
         const bool isTenth = ++writes_ % 10 == 0;
-        copies_[id] = isTenth && fault_ == EntryFault::DoublesWrites ? 2 : 1;
+        copies_[id] = isTenth && fault_ == EntryFault::DuplicatesWrites ? 2 : 1;
         if (isTenth && fault_ == EntryFault::LosesWrites)
             copies_.erase(id);
         return isTenth && fault_ == EntryFault::StoresRefusedWrites ? refusal("forbidden", false)
--- a/tests/bench/load_test.cpp
+++ b/tests/bench/load_test.cpp
@@ -110,7 +110,7 @@
 
 TEST_CASE("The verification of the table detects each kind of violation", "[load]")
 {
-    const EntryFault fault = GENERATE(EntryFault::LosesWrites, EntryFault::DoublesWrites,
+    const EntryFault fault = GENERATE(EntryFault::LosesWrites, EntryFault::DuplicatesWrites,
                                       EntryFault::StoresRefusedWrites);
     FakeEntry entry(fault);
     WriteLedger ledger;
@@ -119,8 +119,8 @@
     const Verification found = ledger.verify(plan, "offers", "browse", "run1");
     CHECK_FALSE(found.good());
     CHECK((found.lost > 0) == (fault == EntryFault::LosesWrites));
-    CHECK((found.doubled > 0) == (fault == EntryFault::DoublesWrites));
-    CHECK((found.ranDespiteNo > 0) == (fault == EntryFault::StoresRefusedWrites));
+    CHECK((found.duplicates > 0) == (fault == EntryFault::DuplicatesWrites));
+    CHECK((found.executedDespiteRefusal > 0) == (fault == EntryFault::StoresRefusedWrites));
 }
 
 TEST_CASE("Reads that miss acknowledged writes are counted", "[load]")
--- a/tests/bench/replay_test.cpp
+++ b/tests/bench/replay_test.cpp
@@ -52,10 +52,10 @@
         INFO(name);
         const Figures figures = replayFigures(name, "kelptally");
         CHECK(figures.violations.all() == 0);
-        CHECK(figures.missedOutcomes == 0);
+        CHECK(figures.unexpectedOutcomes == 0);
         CHECK(figures.requests > 10000);
         CHECK(figures.done == figures.requests);
-        CHECK(figures.byReplica * 100 >= figures.replicaEligibleReads * 98);
+        CHECK(figures.replicaReads * 100 >= figures.replicaEligibleReads * 98);
     }
 }
 
@@ -67,7 +67,7 @@
     CHECK(lag.violations.statedAge > 0);
     CHECK(lag.violations.readYourWrites > 0);
     const Figures failover = replayFigures("agency-failover", "primary-only");
-    CHECK(failover.missedOutcomes > 0);
+    CHECK(failover.unexpectedOutcomes > 0);
     REQUIRE_FALSE(failover.gaps.empty());
     CHECK(*std::max_element(failover.gaps.begin(), failover.gaps.end()) > 3s);
 }
@@ -76,7 +76,7 @@
 {
     const Figures first = replayFigures("lagon-host-crash", "kelptally");
     const Figures second = replayFigures("lagon-host-crash", "kelptally");
-    CHECK(first.byReplica == second.byReplica);
+    CHECK(first.replicaReads == second.replicaReads);
     CHECK(first.gaps == second.gaps);
     CHECK(first.writeLatency == second.writeLatency);
 }
@@ -132,8 +132,8 @@
     logs.beginTerm(2, one, start + 3s);
     checker.checkFinalLog("g", 2);
     CHECK(checker.figures().violations.lostWrites == 1);
-    CHECK(checker.figures().violations.falseNotRun == 0);
+    CHECK(checker.figures().violations.executedDespiteRefusal == 0);
     checker.checkFinalLog("g", 1);
-    CHECK(checker.figures().violations.doubledWrites == 1);
-    CHECK(checker.figures().violations.falseNotRun == 1);
+    CHECK(checker.figures().violations.duplicateWrites == 1);
+    CHECK(checker.figures().violations.executedDespiteRefusal == 1);
 }
