--- a/fuzz/decoder.cpp
+++ b/fuzz/decoder.cpp
@@ -3,7 +3,7 @@
 
 using namespace kelptally;
 
-// Whatever decodes can be sent on, and then means the same.
+// Every message that decodes can be encoded, and encoding is stable after another round trip.
 int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     const auto message = inner::decode(fuzz::textOf(data, size));
@@ -11,7 +11,7 @@
         return 0;
     const auto bytes = inner::encode(*message);
     fuzz::require(bytes.ok());
-    const auto again = inner::decode(*bytes);
-    fuzz::require(again.ok() && *inner::encode(*again) == *bytes);
+    const auto decodedAgain = inner::decode(*bytes);
+    fuzz::require(decodedAgain.ok() && *inner::encode(*decodedAgain) == *bytes);
     return 0;
 }
--- a/src/bench/model.h
+++ b/src/bench/model.h
@@ -110,8 +110,8 @@
     Position position_;
     Position applied_;
     OwnerEpoch fence_ = 0;
-    // Number of kills; work started before the last one is ignored.
-    int run_ = 0;
+    // Incremented by each kill, so that work started before it is ignored.
+    int incarnation_ = 0;
     int running_ = 0;
     std::deque<std::shared_ptr<Call>> queuedCalls_;
     std::set<std::shared_ptr<Call>> inFlight_;
@@ -126,7 +126,7 @@
 
     // One-way network delay, or nothing while a partition separates the zones.
     std::optional<Duration> networkDelay(const ZoneName &from, const ZoneName &to) const;
-    // Calls the function after the network delay, unless a partition separates the zones.
+    // Calls the function after the network delay; drops it if a partition separates the zones.
     void send(const ZoneName &from, const ZoneName &to, std::function<void()> function);
 
     ModelServer &server(const ServerName &name);
@@ -134,7 +134,7 @@
     ModelServer *primaryOf(const GroupName &group);
     GroupLogs &logs(const GroupName &group) { return logs_[group]; }
 
-    void setPartitioned(const ZoneName &zone, bool cut);
+    void setPartitioned(const ZoneName &zone, bool partitioned);
     bool isPartitioned(const ZoneName &zone) const { return partitionedZones_.count(zone) > 0; }
     void setLeaving(const ServerName &name) { leaving_.emplace(name, timers.now()); }
     // Reports to the checker if the server is leaving.
--- a/src/bench/pressure.h
+++ b/src/bench/pressure.h
@@ -22,8 +22,8 @@
     int late = 0;
     // Refused after all repeats.
     int refused = 0;
-    // Refused requests with an attempt that had waited for over a quarter of the objective.
-    int held = 0;
+    // Refused requests, one attempt of which had waited for over a quarter of the objective.
+    int refusedLate = 0;
     // Sent to a server without an answer.
     int unanswered = 0;
     int repeats = 0;
