--- a/src/bench/pressure.cpp
+++ b/src/bench/pressure.cpp
@@ -228,17 +228,17 @@
         decision::FreshnessRequirement bound;
         bound.maxAge = request.kind->maxAge;
         const auto needed =
-            decision::positionNeeded(positions_, bound, request.waiting.arrived, now);
+            decision::requiredPosition(positions_, bound, request.waiting.arrived, now);
         const auto chosen = decision::chooseReader(states, positions_, needed, false, now);
         if (!chosen)
             return nullptr;
         // The replica's answer shows its position. A refusal for lag occupies no slot.
         Server &server = servers_[*chosen];
-        server.candidate.shown = Position {1, server.holds};
-        server.candidate.shownAt = now;
+        server.candidate.position = Position {1, server.holds};
+        server.candidate.positionAt = now;
         const bool lags = needed && Position {1, server.holds} < *needed;
         if (lags)
-            server.candidate.behindUntil = now + 10ms;
+            server.candidate.laggingUntil = now + 10ms;
         return lags ? nullptr : &server;
     }
 
--- a/src/decision/claimorder.cpp
+++ b/src/decision/claimorder.cpp
@@ -12,7 +12,7 @@
 // Processor cores that the owner of one group needs under bursts.
 constexpr double coresPerGroup = 0.25;
 // Lets hosts with spare capacity claim first, also where they are few.
-constexpr Duration noRoomDelay = std::chrono::milliseconds(150);
+constexpr Duration noCapacityDelay = std::chrono::milliseconds(150);
 // Added for each owned group, less on hosts with more capacity. Spreads the groups over the hosts,
 // so that the loss of one host stalls few groups.
 constexpr Duration delayPerOwnedGroup = std::chrono::milliseconds(50);
@@ -23,7 +23,7 @@
 
 } // namespace
 
-bool hasRoom(double processors, std::size_t owned)
+bool hasCapacity(double processors, std::size_t owned)
 {
     return processors >= coresPerGroup * static_cast<double>(owned + 1);
 }
@@ -37,7 +37,7 @@
     if (!claimant.inPrimaryZone)
         delay += otherZoneDelay;
     if (claimant.processors < coresPerGroup)
-        delay += noRoomDelay;
+        delay += noCapacityDelay;
     return delay;
 }
 
--- a/src/decision/claimorder.h
+++ b/src/decision/claimorder.h
@@ -29,6 +29,6 @@
 Duration proactiveClaimDelay(const Claimant &claimant, std::size_t groups);
 
 // Whether a host with this number of processor cores and owned groups has capacity for one more.
-bool hasRoom(double processors, std::size_t owned);
+bool hasCapacity(double processors, std::size_t owned);
 
 } // namespace kelptally::decision
--- a/src/decision/earlierowners.cpp
+++ b/src/decision/earlierowners.cpp
@@ -44,7 +44,7 @@
     });
 }
 
-std::vector<EarlierOwner> EarlierOwners::open(Instant now) const
+std::vector<EarlierOwner> EarlierOwners::active(Instant now) const
 {
     std::vector<EarlierOwner> owners;
     for (const Entry &entry : entries_)
--- a/src/decision/earlierowners.h
+++ b/src/decision/earlierowners.h
@@ -35,7 +35,7 @@
     bool mayAct(Instant now) const;
     bool mayAct(const EarlierOwner &owner, Instant now) const;
     // Returns the owners that may still act, including unnamed ones.
-    std::vector<EarlierOwner> open(Instant now) const;
+    std::vector<EarlierOwner> active(Instant now) const;
 
     // A process was seen at its address: other incarnations there have stopped. Returns whether an
     // owner was dropped.
--- a/src/decision/positionrouting.cpp
+++ b/src/decision/positionrouting.cpp
@@ -23,11 +23,11 @@
 bool mayHavePosition(const ReadCandidate &server, const PositionLog &positions, Position needed,
                      Instant now)
 {
-    if (server.shown && needed <= *server.shown)
+    if (server.position && needed <= *server.position)
         return true;
-    if (now < server.behindUntil)
+    if (now < server.laggingUntil)
         return false;
-    if (now - server.shownAt >= maxReportAge)
+    if (now - server.positionAt >= maxReportAge)
         return true;
     const auto seen = positions.firstSeen(needed);
     return seen && now - *seen >= 2 * server.lag + catchUpMargin;
@@ -42,9 +42,9 @@
 
 } // namespace
 
-std::optional<Position> positionNeeded(const PositionLog &positions,
-                                       const FreshnessRequirement &bound, Instant arrived,
-                                       Instant now)
+std::optional<Position> requiredPosition(const PositionLog &positions,
+                                         const FreshnessRequirement &bound, Instant arrived,
+                                         Instant now)
 {
     if (bound.newest)
         return positions.newest();
--- a/src/decision/positionrouting.h
+++ b/src/decision/positionrouting.h
@@ -41,20 +41,20 @@
     int inFlight = 0;
     int slots = 1;
     // Highest position that it has reported, and when it last reported one.
-    std::optional<Position> shown;
-    Instant shownAt {};
+    std::optional<Position> position;
+    Instant positionAt {};
     // Replication lag at its last report.
     Duration lag {0};
     // After refusing a read for a position it lacks, it gets no such read before this time.
-    Instant behindUntil {};
+    Instant laggingUntil {};
 };
 
 // Returns the position that a server must hold to serve the read, or nothing if only the primary is
 // known to be fresh enough. Ages are measured back from the read's arrival or now, whichever is
 // earlier.
-std::optional<Position> positionNeeded(const PositionLog &positions,
-                                       const FreshnessRequirement &bound, Instant arrived,
-                                       Instant now);
+std::optional<Position> requiredPosition(const PositionLog &positions,
+                                         const FreshnessRequirement &bound, Instant arrived,
+                                         Instant now);
 
 // Returns the index of the server that runs the read, or nothing if the read must wait.
 // writesPaused means that the primary is about to be replaced; it then gets no reads either.
--- a/src/decision/replicachoice.cpp
+++ b/src/decision/replicachoice.cpp
@@ -16,7 +16,7 @@
 {
     const Position heldPosition = *replica.heldPosition;
     const bool lacksTermStart =
-        heldPosition.term == state.termBegan.term && heldPosition.offset < state.termBegan.offset;
+        heldPosition.term == state.termStart.term && heldPosition.offset < state.termStart.offset;
     return lacksTermStart ? Position {0, heldPosition.offset} : heldPosition;
 }
 
--- a/src/decision/replicachoice.h
+++ b/src/decision/replicachoice.h
@@ -35,7 +35,7 @@
     std::optional<Position> acknowledgedAtMost;
     // Start of the newest known term: the last primary's position when it was promoted. A server
     // may report that term without having received the log up to its start.
-    Position termBegan;
+    Position termStart;
     // Upper bound on the offset up to which the last primary inherited its log from its
     // predecessor.
     LogOffset inheritedOffset = 0;
--- a/src/group/failovercontroller.cpp
+++ b/src/group/failovercontroller.cpp
@@ -290,14 +290,14 @@
     const OwnershipRecord *record = parts_.ownership.record(group_);
     primaryUnrecorded_ = record != nullptr && (record->term != term || record->primary != primary_);
     if (!isTermStart && record != nullptr && record->term == term) {
-        termBegan_ = record->termBegan;
-        firstHeld_ = record->firstHeld;
+        termStart_ = record->termStart;
+        firstSeenOffset_ = record->firstSeenOffset;
     } else {
-        termBegan_ = isTermStart ? report.received.offset : 0;
-        firstHeld_ = report.received.offset;
+        termStart_ = isTermStart ? report.received.offset : 0;
+        firstSeenOffset_ = report.received.offset;
     }
     recordPrimary();
-    events_.onPrimary(primary_);
+    events_.onPrimaryAdopted(primary_);
     if (writesHeld_) {
         writesHeld_ = false;
         events_.onWritesHeld(false);
@@ -367,16 +367,16 @@
     const bool queryDue = now - queriedAt_ >= queryInterval;
     if (queryDue)
         queriedAt_ = now;
-    bool allHeard = true;
+    bool allAnswered = true;
     for (const auto &[id, server] : servers_) {
         if (id == primary_ || now - server->lastResponseAt() < contactWindow)
             continue;
-        allHeard = false;
+        allAnswered = false;
         if (queryDue)
             this->sendCommand(*server, CommandKind::Report, 0, reportTimeout,
                               [](const ServerReport &) {});
     }
-    return allHeard;
+    return allAnswered;
 }
 
 void FailoverController::probePrimary(GroupServer &server)
@@ -404,19 +404,19 @@
 // Whether another server has answered lately. Queries those that have not.
 bool FailoverController::canReachOthers(Instant now)
 {
-    bool heard = false;
+    bool anyAnswered = false;
     for (const auto &[id, server] : servers_) {
         if (id == primary_)
             continue;
         if (now - server->lastResponseAt() < contactWindow)
-            heard = true;
+            anyAnswered = true;
         else if (now - queriedAt_ >= queryInterval)
             sendCommand(*server, CommandKind::Report, 0, reportTimeout,
                         [](const ServerReport &) {});
     }
-    if (!heard && now - queriedAt_ >= queryInterval)
+    if (!anyAnswered && now - queriedAt_ >= queryInterval)
         queriedAt_ = now;
-    return heard;
+    return anyAnswered;
 }
 
 void FailoverController::onConnectionFailure(const ServerName &server, ConnectOutcome outcome)
--- a/src/group/failovercontroller.h
+++ b/src/group/failovercontroller.h
@@ -23,7 +23,7 @@
     virtual ~PrimaryEvents() = default;
 
     // The server is the primary; its log has everything acknowledged from now on.
-    virtual void onPrimary(const ServerName &server) = 0;
+    virtual void onPrimaryAdopted(const ServerName &server) = 0;
     // The server is no longer the primary; its pending statements get no trusted answer.
     virtual void onPrimaryLost(const ServerName &server) = 0;
     // Writes must wait as a planned change is about to take effect, or may go on.
@@ -200,8 +200,8 @@
     std::optional<Position> acknowledgedUpperBound_;
     std::optional<Position> acknowledgedLowerBound_;
     // As in OwnershipRecord, for the term of the primary.
-    LogOffset termBegan_ = 0;
-    LogOffset firstHeld_ = 0;
+    LogOffset termStart_ = 0;
+    LogOffset firstSeenOffset_ = 0;
     // Servers that may hold acknowledged commits, including unlisted ones.
     decision::LogHolders holders_;
     Instant holdersRefreshedAt_ {};
--- a/src/group/grouphost.cpp
+++ b/src/group/grouphost.cpp
@@ -12,9 +12,9 @@
 // Time allowed to open transactions after another process has taken the group.
 constexpr Duration transactionDrainTime = std::chrono::milliseconds(1500);
 // Share of a server's connections that is lent to the entries of its zone, beside the owner's.
-constexpr int lentPercent = 30;
+constexpr int grantedPercent = 30;
 // Limits the slots of a server that a single entry can occupy.
-constexpr int maxLentConnections = 2;
+constexpr int maxGrantedConnections = 2;
 // A stopping host offers its groups to all peers, and after this time hands over each unclaimed
 // group to a peer of its own choice.
 constexpr Duration offerTimeout = std::chrono::milliseconds(400);
@@ -171,13 +171,13 @@
     Entry *entry = entryOf(link);
     if (entry == nullptr)
         return;
-    const auto lend = [this, link, group](inner::StatementDone &done) {
-        done.grantedConnections = connectionsLentTo(link, group);
+    const auto grantConnections = [this, link, group](inner::StatementDone &done) {
+        done.grantedConnections = connectionsGrantedTo(link, group);
     };
     // 1. Single reads may run twice.
     if (session::isSingleRead(statement)) {
-        return run(entry->origin, std::move(statement), [this, link, lend](auto done) {
-            lend(done);
+        return run(entry->origin, std::move(statement), [this, link, grantConnections](auto done) {
+            grantConnections(done);
             static_cast<void>(parts_.links.sendOn(link, std::move(done)));
         });
     }
@@ -211,8 +211,9 @@
         return;
     }
     run(entry->origin, std::move(statement),
-        [this, lend, address = entry->process.address, origin = entry->origin](auto done) {
-            lend(done);
+        [this, grantConnections, address = entry->process.address,
+         origin = entry->origin](auto done) {
+            grantConnections(done);
             onAnswered(address, origin, std::move(done));
         });
 }
@@ -315,7 +316,7 @@
 }
 
 // The entries of a zone share a fixed part of each replica's connections in that zone.
-int GroupHost::connectionsLentTo(inner::LinkId link, const GroupName &group) const
+int GroupHost::connectionsGrantedTo(inner::LinkId link, const GroupName &group) const
 {
     const auto peer = peers_.find(link);
     const GroupRunner *runner = find(group);
@@ -325,8 +326,8 @@
     for (const auto &[id, other] : peers_)
         if (other.zone == peer->second.zone)
             entries.insert(other.process.address);
-    const int lentTotal = runner->maxConnections() * lentPercent / 100;
-    return std::min(maxLentConnections, lentTotal / static_cast<int>(entries.size()));
+    const int grantedTotal = runner->maxConnections() * grantedPercent / 100;
+    return std::min(maxGrantedConnections, grantedTotal / static_cast<int>(entries.size()));
 }
 
 void GroupHost::onPeerUp(inner::LinkId link, const inner::Hello &peer)
--- a/src/group/grouphost.h
+++ b/src/group/grouphost.h
@@ -139,7 +139,7 @@
     GroupRunner *find(const GroupName &group) const;
     const session::GroupOptions *optionsOf(const GroupName &group) const;
     void closeWhenIdle(const GroupName &group);
-    int connectionsLentTo(inner::LinkId link, const GroupName &group) const;
+    int connectionsGrantedTo(inner::LinkId link, const GroupName &group) const;
 
     const Parts parts_;
     OwnershipTable ownership_;
--- a/src/group/grouprunner.cpp
+++ b/src/group/grouprunner.cpp
@@ -284,7 +284,7 @@
     scheduleDispatch();
 }
 
-void GroupRunner::onPrimary(const ServerName &server)
+void GroupRunner::onPrimaryAdopted(const ServerName &server)
 {
     // Positions of the old primary may not exist in the new primary's log.
     positions_.clear();
@@ -359,8 +359,9 @@
                                                   job->statement.timeLeft, job->statement.priority,
                                                   continuesTransaction(job->statement));
     job->waiting.service = serviceTimes_.typical(job->statement.objective, job->statement.priority);
-    if (usesFairQueueing(job->statement.organisation))
-        job->waiting.startTag = turns_.onArrival(job->statement.organisation, job->waiting.service);
+    if (usesFairQueuing(job->statement.organisation))
+        job->waiting.startTag =
+            fairQueuing_.onArrival(job->statement.organisation, job->waiting.service);
     job->values = valuesOf(job->statement);
     if (continuesTransaction(job->statement)) {
         const auto open = transactions_.find(job->origin);
@@ -383,13 +384,13 @@
         return refuseForQuota(job);
     job->timer = parts_.timers.subscribeAt(job->waiting.queueDeadline, [this, alive = alive_, job] {
         if (*alive)
-            onHoldTimeout(job);
+            onQueueTimeout(job);
     });
     enqueue(job);
     dispatchQueue();
 }
 
-bool GroupRunner::usesFairQueueing(const OrganisationName &organisation) const
+bool GroupRunner::usesFairQueuing(const OrganisationName &organisation) const
 {
     switch (parts_.policies.queueDiscipline) {
     case decision::QueueDiscipline::FairUnlessLimited:
@@ -407,10 +408,10 @@
 {
     if (job->statement.organisation.empty())
         return true;
-    const QuotaManager::TakeResult verdict = parts_.quotas.take(job->statement.organisation);
+    const QuotaManager::TakeResult takeResult = parts_.quotas.take(job->statement.organisation);
     job->quota =
-        verdict == QuotaManager::TakeResult::Taken ? Job::Quota::Taken : Job::Quota::Requested;
-    return verdict != QuotaManager::TakeResult::Refused;
+        takeResult == QuotaManager::TakeResult::Taken ? Job::Quota::Taken : Job::Quota::Requested;
+    return takeResult != QuotaManager::TakeResult::Refused;
 }
 
 void GroupRunner::refuseForQuota(const JobPtr &job)
@@ -429,7 +430,7 @@
     if (queue_.size() < 2)
         return;
     for (const JobPtr &job : queue_)
-        job->waiting.overShare = turns_.isOverShare(job->waiting.startTag);
+        job->waiting.overShare = fairQueuing_.isOverShare(job->waiting.startTag);
     queue_.sort([now](const JobPtr &a, const JobPtr &b) {
         return decision::precedes(a->waiting, b->waiting, now);
     });
@@ -529,7 +530,7 @@
     if (server == nullptr)
         return false;
     const ServerPool::TakeResult taken = server->take(job->values, job->statement.organisation);
-    countConnectionAction(*job, taken.place);
+    countConnectionAction(*job, taken.connectionAction);
     if (!taken.connection)
         return false;
     start(job, *server, taken.connection);
@@ -537,12 +538,12 @@
 }
 
 // Counts consecutive equal outcomes of one statement once.
-void GroupRunner::countConnectionAction(Job &job, decision::ConnectionAction place)
+void GroupRunner::countConnectionAction(Job &job, decision::ConnectionAction connectionAction)
 {
-    if (job.place == place)
+    if (job.connectionAction == connectionAction)
         return;
-    job.place = place;
-    parts_.times.countConnectionAction(place);
+    job.connectionAction = connectionAction;
+    parts_.times.countConnectionAction(connectionAction);
 }
 
 bool GroupRunner::startInTransaction(const JobPtr &job, Transaction &transaction)
@@ -577,7 +578,7 @@
     return state;
 }
 
-void GroupRunner::onHoldTimeout(const JobPtr &job)
+void GroupRunner::onQueueTimeout(const JobPtr &job)
 {
     if (job->done)
         return;
@@ -587,7 +588,7 @@
         return onDeadline(job);
     job->timer = parts_.timers.subscribeAt(limit, [this, alive = alive_, job] {
         if (*alive)
-            onHoldTimeout(job);
+            onQueueTimeout(job);
     });
 }
 
@@ -607,7 +608,8 @@
         const bool hasPrimary = !failoverController_.primary().empty();
         parts_.log
             .info("statement_not_started",
-                  job->place ? decision::connectionActionName(*job->place) : "wait_for_slot")
+                  job->connectionAction ? decision::connectionActionName(*job->connectionAction)
+                                        : "wait_for_slot")
             .with("id", job->statement.statementId)
             .with("group", group_)
             .with("organisation", job->statement.organisation)
--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -66,7 +66,7 @@
     // Rolls back the open transactions of a disconnected entry.
     void onEntryDisconnected(inner::LinkId origin);
 
-    void onPrimary(const ServerName &server) override;
+    void onPrimaryAdopted(const ServerName &server) override;
     void onPrimaryLost(const ServerName &server) override;
     void onWritesHeld(bool held) override;
     void onCandidateNotLeading(Instant queriedAt, Position candidatePosition) override;
@@ -105,7 +105,7 @@
         int attempts = 0;
         Instant notBefore {};
         // Outcome of the last request for a connection.
-        std::optional<decision::ConnectionAction> place;
+        std::optional<decision::ConnectionAction> connectionAction;
         // Valid while the statement is running.
         ServerName server;
         PooledConnectionPtr connection;
@@ -128,7 +128,7 @@
         // Whether the commit requires a replica's confirmation.
         bool wrote = false;
         // Request number of the statement that began the transaction.
-        inner::RequestId begunBy = 0;
+        inner::RequestId beginRequest = 0;
         // The statement that is queued or running in the transaction; null between statements.
         JobPtr job;
         // Whether the transaction ends with its running statement.
@@ -136,21 +136,21 @@
     };
 
     // Returns whether fair queueing applies to the organisation's statements.
-    bool usesFairQueueing(const OrganisationName &organisation) const;
+    bool usesFairQueuing(const OrganisationName &organisation) const;
     bool takeQuota(const JobPtr &job);
     void refuseForQuota(const JobPtr &job);
     void enqueue(const JobPtr &job);
     void sortQueue(Instant now);
     decision::WaitState waitState(const JobPtr &job) const;
     decision::FailedStatement failedStatement(const JobPtr &job) const;
-    void applyVerdict(const JobPtr &job, const decision::RetryDecision &verdict,
-                      const std::string &detail);
+    void applyRetryDecision(const JobPtr &job, const decision::RetryDecision &retryDecision,
+                            const std::string &detail);
     // Returns whether any server has a free slot.
     bool hasFreeSlot(Instant now) const;
     void dispatchQueue();
     void scheduleDispatch();
     bool tryStart(const JobPtr &job, Instant now);
-    void countConnectionAction(Job &job, decision::ConnectionAction place);
+    void countConnectionAction(Job &job, decision::ConnectionAction connectionAction);
     bool startInTransaction(const JobPtr &job, Transaction &transaction);
     GroupServer *chooseServer(const JobPtr &job, Instant now);
     GroupServer *chooseReader(const JobPtr &job, Instant now);
@@ -172,10 +172,10 @@
     void refuse(const JobPtr &job, Reason reason, Executed executed, const std::string &detail,
                 Duration retryAfter = {});
     void finish(const JobPtr &job, inner::StatementDone done);
-    void onHoldTimeout(const JobPtr &job);
+    void onQueueTimeout(const JobPtr &job);
     void onDeadline(const JobPtr &job);
-    void rollBack(const Origin &origin, inner::RequestId begunBy);
-    void cancelBegin(const Origin &origin, inner::RequestId begunBy);
+    void rollBack(const Origin &origin, inner::RequestId maxBeginRequest);
+    void cancelBegin(const Origin &origin, inner::RequestId maxBeginRequest);
     void removeTransaction(const Origin &origin, bool close);
     void closeServer(const ServerName &id);
     void removeUnlisted();
@@ -197,7 +197,7 @@
     decision::PositionLog positions_;
     decision::CommitWatch commits_;
     decision::ServiceTimes serviceTimes_;
-    decision::StartTimeFairQueuing turns_;
+    decision::StartTimeFairQueuing fairQueuing_;
     // Ordered by priority and objective; open transactions come first, since they hold connections.
     std::list<JobPtr> queue_;
     std::vector<JobPtr> running_;
--- a/src/group/grouprunnerexecution.cpp
+++ b/src/group/grouprunnerexecution.cpp
@@ -19,7 +19,7 @@
     job->sentAt = parts_.timers.now();
     job->running = true;
     ++job->attempts;
-    turns_.onStart(job->waiting.startTag);
+    fairQueuing_.onStart(job->waiting.startTag);
     server.onSend();
     server.beginWork(*connection, session::mayRepeat(job->statement));
     running_.push_back(job);
@@ -104,7 +104,7 @@
     transaction.server = job->server;
     transaction.connection = job->connection;
     transaction.readOnly = job->statement.begins == inner::TransactionMode::ReadOnly;
-    transaction.begunBy = job->statement.requestId;
+    transaction.beginRequest = job->statement.requestId;
     transaction.job = job;
     transactions_[job->origin] = std::move(transaction);
     sendStatement(job);
@@ -225,12 +225,13 @@
     return statement;
 }
 
-void GroupRunner::applyVerdict(const JobPtr &job, const decision::RetryDecision &verdict,
-                               const std::string &detail)
+void GroupRunner::applyRetryDecision(const JobPtr &job,
+                                     const decision::RetryDecision &retryDecision,
+                                     const std::string &detail)
 {
-    if (verdict.sendAgain)
-        return retry(job, verdict.reason, verdict.delay);
-    refuse(job, verdict.reason, verdict.executed, detail);
+    if (retryDecision.sendAgain)
+        return retry(job, retryDecision.reason, retryDecision.delay);
+    refuse(job, retryDecision.reason, retryDecision.executed, detail);
 }
 
 // Handles an error answer to the statement or to a command sent before it.
@@ -254,31 +255,31 @@
     decision::FailedStatement statement = failedStatement(job);
     statement.error = result.error;
     statement.transactionStillOpen = result.inTransaction;
-    const decision::RetryDecision verdict = decision::onServerError(statement);
+    const decision::RetryDecision retryDecision = decision::onServerError(statement);
     // 3. Keep the connection for an open transaction; otherwise reuse it if its state is known.
     if (statement.inTransaction) {
         // Frees the slot in any case.
         release(job, false);
-        if (verdict.endsTransaction)
+        if (retryDecision.endsTransaction)
             removeTransaction(job->origin, true);
         // The transaction is already open, so a retry sends only the statement.
-        if (verdict.sendAgain)
+        if (retryDecision.sendAgain)
             job->statement.begins = inner::TransactionMode::None;
-        return applyVerdict(job, verdict, result.detail);
+        return applyRetryDecision(job, retryDecision, result.detail);
     }
     if (result.error == ServerError::UnknownStatement)
         job->connection->prepared.clear();
     const bool notRun = result.error == ServerError::Busy || result.error == ServerError::Lagging
         || result.error == ServerError::ReadOnly || result.error == ServerError::UnknownStatement;
     release(job, notRun && result.idle);
-    if (verdict.sendAgain)
+    if (retryDecision.sendAgain)
         job->failedServers.insert(job->server);
-    applyVerdict(job, verdict, result.detail);
+    applyRetryDecision(job, retryDecision, result.detail);
 }
 
 void GroupRunner::onConnectionLost(const JobPtr &job)
 {
-    const decision::RetryDecision verdict = decision::onAnswerLost(failedStatement(job));
+    const decision::RetryDecision retryDecision = decision::onAnswerLost(failedStatement(job));
     parts_.log.info("server_answer_lost")
         .with("id", job->statement.statementId)
         .with("group", group_)
@@ -290,11 +291,12 @@
     release(job, false);
     removeTransaction(job->origin, true);
     onConnectionFailure(server, ConnectOutcome::Failed);
-    if (verdict.sendAgain)
+    if (retryDecision.sendAgain)
         job->failedServers.insert(server);
-    applyVerdict(job, verdict,
-                 verdict.executed == Executed::Unknown ? "the server's answer was lost"
-                                                       : "the transaction's connection was lost");
+    applyRetryDecision(job, retryDecision,
+                       retryDecision.executed == Executed::Unknown
+                           ? "the server's answer was lost"
+                           : "the transaction's connection was lost");
 }
 
 // Frees the slot, and the connection unless it is pinned by an open transaction.
--- a/src/group/grouprunnerrouting.cpp
+++ b/src/group/grouprunnerrouting.cpp
@@ -46,10 +46,10 @@
         state.openingCost = parts_.policies.openingCost;
     state.inFlight = server.inFlight();
     state.slots = server.slots();
-    state.shown = server.observed.position;
-    state.shownAt = server.observed.positionAt;
+    state.position = server.observed.position;
+    state.positionAt = server.observed.positionAt;
     state.lag = server.observed.lag;
-    state.behindUntil = server.observed.laggingUntil;
+    state.laggingUntil = server.observed.laggingUntil;
     return state;
 }
 
@@ -60,7 +60,8 @@
     bound.maxAge = job->statement.maxAge;
     if (job->statement.rule == inner::ReadRule::OwnWrites)
         bound.ownWrites = job->statement.sessionPosition;
-    job->requiredPosition = decision::positionNeeded(positions_, bound, job->waiting.arrived, now);
+    job->requiredPosition =
+        decision::requiredPosition(positions_, bound, job->waiting.arrived, now);
     std::vector<GroupServer *> servers;
     std::vector<decision::ReadCandidate> states;
     for (const auto &[id, server] : servers_) {
--- a/src/group/localreads.cpp
+++ b/src/group/localreads.cpp
@@ -31,12 +31,12 @@
     for (const ListedServer &server : servers) {
         if (server.zone != parts_.zone || server.primary || server.leaving)
             continue;
-        auto &mine = kept[server.id()];
+        auto &groupServer = kept[server.id()];
         const auto before = known.servers.find(server.id());
         if (before != known.servers.end())
-            mine = std::move(before->second);
+            groupServer = std::move(before->second);
         else
-            mine = std::make_unique<GroupServer>(
+            groupServer = std::make_unique<GroupServer>(
                 GroupServer::Parts {parts_.timers,
                                     parts_.connector,
                                     parts_.log,
@@ -46,9 +46,9 @@
                                     parts_.onSilentConnections,
                                     {}},
                 server);
-        mine->update(server);
-        mine->limitConnections(known.connectionLimit);
-        mine->setMinIdleTime(minIdleTime);
+        groupServer->update(server);
+        groupServer->limitConnections(known.connectionLimit);
+        groupServer->setMinIdleTime(minIdleTime);
     }
     known.servers.swap(kept);
 }
@@ -75,8 +75,8 @@
         server->limitConnections(group.connectionLimit);
 }
 
-std::optional<Position> LocalReads::positionNeeded(const Group &group,
-                                                   const inner::RunStatement &statement) const
+std::optional<Position> LocalReads::requiredPosition(const Group &group,
+                                                     const inner::RunStatement &statement) const
 {
     const Instant now = parts_.timers.now();
     const auto needed = group.positions.positionCovering(now - statement.maxAge + clockSkewMargin);
@@ -112,7 +112,7 @@
         return false;
     Group &group = found->second;
     // 2. Select a replica that may hold the required position.
-    const std::optional<Position> needed = positionNeeded(group, statement);
+    const std::optional<Position> needed = requiredPosition(group, statement);
     GroupServer *server = needed ? chooseReplica(group, *needed) : nullptr;
     if (server == nullptr)
         return false;
@@ -160,17 +160,17 @@
     parts_.timers.cancel(read->timer);
     GroupServer *server = find(read);
     const Instant now = parts_.timers.now();
-    const bool whole = result.results.size() == expected;
-    bool clean = whole;
+    const bool complete = result.results.size() == expected;
+    bool clean = complete;
     for (std::size_t i = 0; i + 1 < result.results.size(); ++i)
         clean = clean && result.results[i].error == ServerError::None;
-    const CommandResult *answer = whole ? &result.results.back() : nullptr;
+    const CommandResult *answer = complete ? &result.results.back() : nullptr;
     const ServerError error = answer != nullptr ? answer->error : ServerError::Other;
     // 1. Update the replica's observed state and release the connection.
     if (server != nullptr) {
         parts_.times.addServer(now - read->connection->workStartedAt);
         server->endWork(*read->connection);
-        if (whole)
+        if (complete)
             server->onResponse();
         else
             server->closeStaleIdle(read->connection->workStartedAt);
@@ -183,7 +183,7 @@
                                                          minLaggingBackoff, maxLaggingBackoff);
             server->observed.laggingUntil = now + server->observed.laggingBackoff;
         } else if (error != ServerError::None) {
-            server->observed.busyUntil = now + (whole ? busyBackoff : lostBackoff);
+            server->observed.busyUntil = now + (complete ? busyBackoff : lostBackoff);
         }
         const bool known = clean && answer->idle
             && (error == ServerError::None || error == ServerError::Lagging
--- a/src/group/localreads.h
+++ b/src/group/localreads.h
@@ -58,8 +58,8 @@
     };
     using ReadPtr = std::shared_ptr<Read>;
 
-    std::optional<Position> positionNeeded(const Group &group,
-                                           const inner::RunStatement &statement) const;
+    std::optional<Position> requiredPosition(const Group &group,
+                                             const inner::RunStatement &statement) const;
     GroupServer *chooseReplica(Group &group, Position needed);
     GroupServer *find(const ReadPtr &read);
     void onResult(const ReadPtr &read, const BatchResult &result, std::size_t expected);
--- a/src/group/ownership.cpp
+++ b/src/group/ownership.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 OwnershipTable::OwnershipTable(const Parts &parts, OwnershipEvents &events)
-    : parts_(parts), visits_(parts.metrics.scannedEntries("owners")), events_(events),
+    : parts_(parts), scannedEntries_(parts.metrics.scannedEntries("owners")), events_(events),
       follower_({parts.timers, parts.feed, parts.log}, table, feedPollTimeout,
                 {[this](const services::TableRow &row) { applyRow(row); },
                  [this](const std::string &key) { unreadableRows_.insert(key); },
@@ -40,9 +40,9 @@
 void OwnershipTable::onTableRead()
 {
     knownVersion_ = follower_.position();
-    const std::set<GroupName> wantedGroups = std::move(wantedGroups_);
-    wantedGroups_.clear();
-    for (const GroupName &group : wantedGroups)
+    const std::set<GroupName> ownerRequests = std::move(pendingOwnerRequests_);
+    pendingOwnerRequests_.clear();
+    for (const GroupName &group : ownerRequests)
         requestOwner(group);
     const std::map<GroupName, std::size_t> proactiveClaims = std::move(pendingProactiveClaims_);
     pendingProactiveClaims_.clear();
@@ -68,30 +68,30 @@
     const Instant sent = parts_.timers.now();
     parts_.directFeed.changes(table, knownVersion_.value_or(0), Duration(0),
                               [this, sent, callback = std::move(callback)](const auto &changes) {
-                                  ChangeQueryResult seen;
-                                  seen.sent = sent;
-                                  seen.status = changes.status();
+                                  ChangeQueryResult result;
+                                  result.sent = sent;
+                                  result.status = changes.status();
                                   // The changes since knownVersion_ are no longer available; wait
                                   // for the next snapshot.
                                   if (absl::IsOutOfRange(changes.status()))
                                       knownVersion_.reset();
                                   if (!changes.ok())
-                                      return callback(seen);
+                                      return callback(result);
                                   for (const services::RowChange &change : changes->changes) {
                                       if (change.removed)
                                           unreadableRows_.insert(change.row.key);
                                       else if (applyRow(change.row))
-                                          seen.changed[change.row.key] = change.row.etag;
+                                          result.changed[change.row.key] = change.row.etag;
                                   }
-                                  seen.unreadable = unreadableRows_;
+                                  result.unreadable = unreadableRows_;
                                   if (knownVersion_)
                                       knownVersion_ = std::max(*knownVersion_, changes->next);
-                                  seen.serviceTime = changes->serviceTime.value_or(Duration(0));
+                                  result.serviceTime = changes->serviceTime.value_or(Duration(0));
                                   if (changes->serviceTime) {
                                       serviceTime_ = changes->serviceTime;
                                       serviceTimeQueriedAt_ = sent;
                                   }
-                                  callback(seen);
+                                  callback(result);
                               });
 }
 
@@ -114,7 +114,7 @@
     record.epoch = owner.epoch;
     record.owner = owner.process;
     record.zone.clear();
-    record.hasRoom = false;
+    record.hasCapacity = false;
     // This process becomes an owner only by reading the row itself.
     if (owner.process.address == parts_.self.address)
         return refreshOwner(group);
@@ -164,7 +164,7 @@
     }
     // An owner learned from a peer comes without its zone.
     if (change > 0 && (groups == 1 || !record.zone.empty()))
-        owners_.add({address, record.zone, record.hasRoom});
+        owners_.add({address, record.zone, record.hasCapacity});
 }
 
 // Applies a row unless its epoch is older than the known one.
@@ -257,10 +257,10 @@
 
 // Records the earlier owners of the next one, and until when they may act.
 void OwnershipTable::setEarlierOwners(OwnershipRecord &record,
-                                      const std::vector<decision::EarlierOwner> &open,
+                                      const std::vector<decision::EarlierOwner> &active,
                                       const decision::EarlierOwner &previous, Duration lastRenewal)
 {
-    record.earlier = decision::EarlierOwners::listForNextOwner(open, !open.empty(), previous);
+    record.earlier = decision::EarlierOwners::listForNextOwner(active, !active.empty(), previous);
     record.guardedUntil = lastRenewal + leaseDuration + clockMargin;
 }
 
@@ -305,7 +305,7 @@
         .with("group", group)
         .with("epoch", record.epoch)
         .with("before", previous.owner.address)
-        .with("earlier", std::uint64_t(entry.earlier.open(now).size()))
+        .with("earlier", std::uint64_t(entry.earlier.active(now).size()))
         .with("guard_ms", guarded ? std::max(Duration(0), guard) : Duration(0));
     if (!hasLease(group))
         renewLease(group);
--- a/src/group/ownership.h
+++ b/src/group/ownership.h
@@ -114,9 +114,9 @@
     // requiredEndpoint is not empty only those that can reach it should claim. Rate-limited per
     // group.
     void requestTakeOver(const GroupName &group, const std::string &requiredEndpoint,
-                         const std::string &reason, bool needsRoom = false);
+                         const std::string &reason, bool needsCapacity = false);
     // Whether this host has the processor capacity for another group.
-    bool hasRoom() const;
+    bool hasCapacity() const;
     // Handles another owner's request that this process claim the group.
     void onTakeOverRequested(const GroupName &group, OwnerEpoch epoch);
 
@@ -223,7 +223,7 @@
     void queryChanges(std::function<void(const ChangeQueryResult &)> callback);
     void claimSingle(const GroupName &group, OwnerEpoch seen, const std::string &reason);
     void addToClaimBatch(const Claim &claim);
-    void claimBatch(const std::vector<Claim> &claims, const ChangeQueryResult &seen);
+    void claimBatch(const std::vector<Claim> &claims, const ChangeQueryResult &result);
     void onBatchConflict(const std::vector<RowChangePtr> &changes);
     void onClaimReadFailed(const GroupName &group, const std::string &reason,
                            const absl::Status &status);
@@ -253,7 +253,7 @@
     void renewLeasesBatched();
     void renewLease(const GroupName &group);
     void extendLease(const GroupName &group, Instant sent, const std::string &tag);
-    void offerGroupIfNoRoom();
+    void offerGroupIfNoCapacity();
     void queryPredecessors();
     void queryOwnershipEnd(const decision::EarlierOwner &owner, const GroupName &group);
     // Dials exactly these processes and drops the other links that this table has dialled.
@@ -267,13 +267,13 @@
     // Upper bound of the service's current time; nullopt if it is not known.
     std::optional<Duration> serviceTime() const;
     static void setEarlierOwners(OwnershipRecord &record,
-                                 const std::vector<decision::EarlierOwner> &open,
+                                 const std::vector<decision::EarlierOwner> &active,
                                  const decision::EarlierOwner &previous, Duration lastRenewal);
     void onPredecessorEnded(const GroupName &group, const std::string &address,
                             const std::string &proof);
 
     const Parts parts_;
-    prometheus::Counter &visits_;
+    prometheus::Counter &scannedEntries_;
     OwnershipEvents &events_;
     std::map<GroupName, Entry> entries_;
     // Groups whose rows name this process.
@@ -282,7 +282,7 @@
     // Number of owned groups by process address.
     std::map<std::string, int> ownedBy_;
     // Calls of requestOwner() and claimProactively() that wait for the initial snapshot.
-    std::set<GroupName> wantedGroups_;
+    std::set<GroupName> pendingOwnerRequests_;
     std::map<GroupName, std::size_t> pendingProactiveClaims_;
     std::set<GroupName> guardsToClear_;
     // Claims gathered for the next batch.
--- a/src/group/ownershipclaims.cpp
+++ b/src/group/ownershipclaims.cpp
@@ -25,7 +25,7 @@
 void OwnershipTable::requestOwner(const GroupName &group)
 {
     if (!isReady()) {
-        wantedGroups_.insert(group);
+        pendingOwnerRequests_.insert(group);
         return;
     }
     if (!owner(group))
@@ -114,9 +114,9 @@
     }
     entry.writing = true;
     // These reasons arise for many groups at once: at a start, or when the store rejects an owner.
-    const bool mayGather = reason == reasonUnowned || reason == reasonProactive
+    const bool mayBatch = reason == reasonUnowned || reason == reasonProactive
         || reason == reasonRestarted || reason == reasonRequested;
-    if (mayGather && knownVersion_ && (!entry.known || !entry.etag.empty()))
+    if (mayBatch && knownVersion_ && (!entry.known || !entry.etag.empty()))
         return addToClaimBatch({group, seen, reason});
     claimSingle(group, seen, reason);
 }
@@ -147,38 +147,39 @@
 // table one after the other, so single claims of many groups would overload it.
 void OwnershipTable::addToClaimBatch(const Claim &claim)
 {
-    const bool isAhead = claim.reason == reasonProactive;
-    std::vector<Claim> &batch = isAhead ? proactiveClaimBatch_ : claimBatch_;
+    const bool isProactive = claim.reason == reasonProactive;
+    std::vector<Claim> &batch = isProactive ? proactiveClaimBatch_ : claimBatch_;
     batch.push_back(claim);
     if (batch.size() > 1)
         return;
-    parts_.timers.subscribeAfter(isAhead ? proactiveBatchDelay : claimBatchDelay, [this, &batch] {
-        std::vector<Claim> claims;
-        claims.swap(batch);
-        if (claims.size() == 1)
-            return claimSingle(claims[0].group, claims[0].seen, claims[0].reason);
-        queryChanges([this, claims = std::move(claims)](const ChangeQueryResult &seen) {
-            claimBatch(claims, seen);
+    parts_.timers.subscribeAfter(
+        isProactive ? proactiveBatchDelay : claimBatchDelay, [this, &batch] {
+            std::vector<Claim> claims;
+            claims.swap(batch);
+            if (claims.size() == 1)
+                return claimSingle(claims[0].group, claims[0].seen, claims[0].reason);
+            queryChanges([this, claims = std::move(claims)](const ChangeQueryResult &result) {
+                claimBatch(claims, result);
+            });
         });
-    });
 }
 
-void OwnershipTable::claimBatch(const std::vector<Claim> &claims, const ChangeQueryResult &seen)
+void OwnershipTable::claimBatch(const std::vector<Claim> &claims, const ChangeQueryResult &result)
 {
     std::vector<RowChangePtr> changes;
     for (const Claim &claim : claims) {
         Entry &entry = entries_[claim.group];
-        if (!seen.status.ok()) {
-            onClaimReadFailed(claim.group, claim.reason, seen.status);
+        if (!result.status.ok()) {
+            onClaimReadFailed(claim.group, claim.reason, result.status);
             continue;
         }
         const bool isTaken =
-            entry.record.epoch != claim.seen || seen.unreadable.count(claim.group) != 0;
+            entry.record.epoch != claim.seen || result.unreadable.count(claim.group) != 0;
         if (isTaken || !claiming_) {
             entry.writing = false;
             continue;
         }
-        changes.push_back(prepareClaim(claim.group, seen.serviceTime, claim.reason));
+        changes.push_back(prepareClaim(claim.group, result.serviceTime, claim.reason));
         changes.back()->batchedClaim = claim;
         if (changes.size() == maxRowsPerWrite)
             sendBatch(std::exchange(changes, {}));
@@ -227,7 +228,7 @@
     record.epoch = previous.epoch + 1;
     record.owner = parts_.self;
     record.zone = parts_.zone;
-    record.hasRoom = decision::hasRoom(parts_.processors, 0);
+    record.hasCapacity = decision::hasCapacity(parts_.processors, 0);
     const bool isOwnEarlierRun = previous.owner.address == parts_.self.address;
     if (!previous.owner.address.empty() && !isOwnEarlierRun) {
         const bool isGuarded = previous.guardedUntil > serviceTime;
--- a/src/group/ownershipleases.cpp
+++ b/src/group/ownershipleases.cpp
@@ -33,7 +33,7 @@
 // Take-over requests
 
 void OwnershipTable::requestTakeOver(const GroupName &group, const std::string &requiredEndpoint,
-                                     const std::string &reason, bool needsRoom)
+                                     const std::string &reason, bool needsCapacity)
 {
     Entry &entry = entries_[group];
     const Instant now = parts_.timers.now();
@@ -47,7 +47,7 @@
         .with("epoch", entry.record.epoch)
         .with("lease_left_ms", leaseLeft(group))
         .with("reach", requiredEndpoint);
-    parts_.broadcastTakeOver({group, entry.record.epoch, requiredEndpoint, needsRoom});
+    parts_.broadcastTakeOver({group, entry.record.epoch, requiredEndpoint, needsCapacity});
 }
 
 void OwnershipTable::onTakeOverRequested(const GroupName &group, OwnerEpoch epoch)
@@ -61,17 +61,17 @@
     scheduleClaim(group, reasonRequested, claimDelay(group));
 }
 
-bool OwnershipTable::hasRoom() const
+bool OwnershipTable::hasCapacity() const
 {
-    return decision::hasRoom(parts_.processors, owned().size());
+    return decision::hasCapacity(parts_.processors, owned().size());
 }
 
 // Offers one group to hosts with capacity if this host has none. Only hosts without capacity offer
 // and only hosts with capacity accept, so no group moves back and forth. A group in the middle of a
 // failover is not offered.
-void OwnershipTable::offerGroupIfNoRoom()
+void OwnershipTable::offerGroupIfNoCapacity()
 {
-    if (!claiming_ || decision::hasRoom(parts_.processors, 0))
+    if (!claiming_ || decision::hasCapacity(parts_.processors, 0))
         return;
     const Instant now = parts_.timers.now();
     for (const GroupName &group : owned_) {
@@ -100,7 +100,7 @@
 
 void OwnershipTable::renewLeases()
 {
-    offerGroupIfNoRoom();
+    offerGroupIfNoCapacity();
     const std::set<GroupName> groups = owned_;
     for (const GroupName &group : groups)
         if (leaseLeft(group) < leaseDuration / lowLeaseDivisor)
@@ -119,22 +119,22 @@
     std::map<GroupName, OwnerEpoch> held;
     for (const GroupName &group : owned_)
         held[group] = entries_[group].record.epoch;
-    queryChanges([this, held = std::move(held)](const ChangeQueryResult &seen) {
+    queryChanges([this, held = std::move(held)](const ChangeQueryResult &result) {
         renewing_ = false;
-        if (!seen.status.ok())
+        if (!result.status.ok())
             parts_.log.info("leases_unread")
                 .with("groups", std::uint64_t(held.size()))
-                .with("cause", seen.status.message());
+                .with("cause", result.status.message());
         for (const auto &[group, epoch] : held) {
-            if (seen.unreadable.count(group) != 0)
+            if (result.unreadable.count(group) != 0)
                 continue;
-            if (absl::IsOutOfRange(seen.status))
+            if (absl::IsOutOfRange(result.status))
                 renewLease(group);
-            if (!seen.status.ok() || !owns(group) || entries_[group].record.epoch != epoch)
+            if (!result.status.ok() || !owns(group) || entries_[group].record.epoch != epoch)
                 continue;
-            const auto changed = seen.changed.find(group);
-            extendLease(group, seen.sent,
-                        changed == seen.changed.end() ? std::string() : changed->second);
+            const auto changed = result.changed.find(group);
+            extendLease(group, result.sent,
+                        changed == result.changed.end() ? std::string() : changed->second);
         }
     });
 }
@@ -187,14 +187,14 @@
     const Instant now = parts_.timers.now();
     std::set<std::string> queriedAddresses;
     const std::set<GroupName> groups = owned_;
-    visits_.Increment(double(groups.size()));
+    scannedEntries_.Increment(double(groups.size()));
     for (const GroupName &group : groups) {
         Entry &entry = entries_[group];
-        const std::vector<decision::EarlierOwner> open = entry.earlier.open(now);
-        if (open.empty())
+        const std::vector<decision::EarlierOwner> active = entry.earlier.active(now);
+        if (active.empty())
             scheduleGuardClear(group);
-        queryingPredecessors_ = queryingPredecessors_ || !open.empty();
-        for (const decision::EarlierOwner &owner : open) {
+        queryingPredecessors_ = queryingPredecessors_ || !active.empty();
+        for (const decision::EarlierOwner &owner : active) {
             if (!owner.isNamed())
                 continue;
             queriedAddresses.insert(owner.process.address);
@@ -247,12 +247,12 @@
     if (!owns(group) || found == entries_.end())
         return false;
     const Entry &entry = found->second;
-    const std::size_t open = entry.earlier.open(parts_.timers.now()).size();
+    const std::size_t active = entry.earlier.active(parts_.timers.now()).size();
     // The claim wrote a longer guard time to allow for taking effect late.
     const bool isTooLong =
         entry.guardLimit != Duration(0) && entry.record.guardedUntil > entry.guardLimit;
     return entry.record.guardedUntil != Duration(0) && !entry.writing
-        && (open < entry.record.earlier.size() || isTooLong);
+        && (active < entry.record.earlier.size() || isTooLong);
 }
 
 // Schedules a write that shortens the row's guard time, so that a next owner need not wait for
@@ -283,7 +283,7 @@
 void OwnershipTable::onPeerUp(const ProcessId &process)
 {
     const std::set<GroupName> groups = owned_;
-    visits_.Increment(double(groups.size()));
+    scannedEntries_.Increment(double(groups.size()));
     for (const GroupName &group : groups) {
         Entry &entry = entries_[group];
         if (entry.earlier.onRestarted(process))
--- a/src/group/ownershiprecord.cpp
+++ b/src/group/ownershiprecord.cpp
@@ -33,11 +33,11 @@
     writer.member("incarnation", record.owner.incarnation);
     if (!record.zone.empty())
         writer.member("zone", record.zone);
-    flag("has_room", record.hasRoom);
+    flag("has_room", record.hasCapacity);
     writer.member("primary", record.primary);
     writer.member("term", record.term);
-    number("term_began", record.termBegan);
-    number("first_held", record.firstHeld);
+    number("term_began", record.termStart);
+    number("first_held", record.firstSeenOffset);
     writer.member("candidate", record.candidate);
     flag("other_candidates", record.otherCandidates);
     flag("primary_serves", record.primaryServes);
@@ -134,11 +134,11 @@
     record.owner.address = fields.text("owner");
     record.owner.incarnation = fields.unsignedInteger("incarnation");
     record.zone = fields.has("zone") ? fields.text("zone") : std::string();
-    record.hasRoom = fields.has("has_room") && fields.flag("has_room");
+    record.hasCapacity = fields.has("has_room") && fields.flag("has_room");
     record.primary = fields.text("primary");
     record.term = fields.unsignedInteger("term");
-    record.termBegan = fields.has("term_began") ? fields.unsignedInteger("term_began") : 0;
-    record.firstHeld = fields.has("first_held") ? fields.unsignedInteger("first_held") : 0;
+    record.termStart = fields.has("term_began") ? fields.unsignedInteger("term_began") : 0;
+    record.firstSeenOffset = fields.has("first_held") ? fields.unsignedInteger("first_held") : 0;
     record.candidate = fields.text("candidate");
     record.otherCandidates = fields.has("other_candidates") && fields.flag("other_candidates");
     record.primaryServes = fields.has("primary_serves") && fields.flag("primary_serves");
--- a/src/group/ownershiprecord.h
+++ b/src/group/ownershiprecord.h
@@ -19,15 +19,15 @@
     // Zone of the owner; empty when unknown.
     ZoneName zone;
     // The owner has the processor capacity for more than a few groups.
-    bool hasRoom = false;
+    bool hasCapacity = false;
     // The last recorded primary and its term. A primary with a lower term has been replaced.
     ServerName primary;
     Term term = 0;
     // Log offset of the primary at the start of its term; 0 when unknown.
-    LogOffset termBegan = 0;
+    LogOffset termStart = 0;
     // Log offset at which it was first seen as the primary; at least what it took over from the
     // previous primary.
-    LogOffset firstHeld = 0;
+    LogOffset firstSeenOffset = 0;
     // Recorded before the platform is told to promote it; may be the primary at any time after.
     ServerName candidate;
     // Another candidate was recorded earlier in the same change, and may be or have been the
--- a/src/group/ownershipwrites.cpp
+++ b/src/group/ownershipwrites.cpp
@@ -163,7 +163,7 @@
     edit(record);
     // Guard times must not accumulate from owner to owner.
     const Instant now = parts_.timers.now();
-    record.earlier = entry.earlier.open(now);
+    record.earlier = entry.earlier.active(now);
     if (record.earlier.empty())
         record.guardedUntil = Duration(0);
     else if (!entry.earlier.mayAct(entry.previous, now))
@@ -198,12 +198,12 @@
     OwnershipRecord record = entry.record;
     // The row names this process as an earlier owner: the next one may not know it, and this one
     // may learn late that it has lost the group.
-    setEarlierOwners(record, entry.earlier.open(parts_.timers.now()),
+    setEarlierOwners(record, entry.earlier.active(parts_.timers.now()),
                      {entry.record.owner, entry.record.epoch}, *time);
     record.epoch += 1;
     record.owner = to;
     record.zone = zone;
-    record.hasRoom = false;
+    record.hasCapacity = false;
     entry.handingOver = true;
     write(group, record, entry.etag, true,
           [this, group, record, callback = std::move(callback)](absl::Status written) {
--- a/src/group/primaryholders.cpp
+++ b/src/group/primaryholders.cpp
@@ -130,8 +130,8 @@
                     : std::min(row.leadTime, measuredLeadTime_);
             row.primary = primary_;
             row.term = term_;
-            row.termBegan = termBegan_;
-            row.firstHeld = firstHeld_;
+            row.termStart = termStart_;
+            row.firstSeenOffset = firstSeenOffset_;
             row.candidate.clear();
             row.otherCandidates = false;
             row.primaryServes = false;
@@ -157,10 +157,10 @@
     const OwnershipRecord *record = parts_.ownership.record(group_);
     const bool isRowTermNewer = record != nullptr && record->term > term_;
     const Term term = isRowTermNewer ? record->term : term_;
-    const LogOffset began = isRowTermNewer ? record->termBegan : termBegan_;
-    state.inheritedOffset = isRowTermNewer ? record->firstHeld : firstHeld_;
+    const LogOffset began = isRowTermNewer ? record->termStart : termStart_;
+    state.inheritedOffset = isRowTermNewer ? record->firstSeenOffset : firstSeenOffset_;
     // If the start of the term is unknown, nothing was acknowledged in it before it was first seen.
-    state.termBegan = {term, began != 0 ? began : state.inheritedOffset};
+    state.termStart = {term, began != 0 ? began : state.inheritedOffset};
     for (const decision::LogHolder &holder : holders_.all()) {
         decision::ReplicaState replica;
         replica.server = holder.server;
--- a/src/group/serverlist.cpp
+++ b/src/group/serverlist.cpp
@@ -25,7 +25,7 @@
 
 ServerList::ServerList(TimerService &timers, EventLog &log, Metrics &metrics,
                        ChangedCallback changed)
-    : timers_(timers), log_(log), visits_(metrics.scannedEntries("servers")),
+    : timers_(timers), log_(log), scannedEntries_(metrics.scannedEntries("servers")),
       changed_(std::move(changed))
 { }
 
@@ -160,7 +160,7 @@
     if (members != byGroup_.end())
         for (const ServerName &id : members->second)
             servers.push_back(servers_.at(id).server);
-    visits_.Increment(double(servers.size()));
+    scannedEntries_.Increment(double(servers.size()));
     changed_(group, servers);
 }
 
--- a/src/group/serverlist.h
+++ b/src/group/serverlist.h
@@ -55,7 +55,7 @@
 
     TimerService &timers_;
     EventLog &log_;
-    prometheus::Counter &visits_;
+    prometheus::Counter &scannedEntries_;
     const ChangedCallback changed_;
     std::map<ServerName, Entry> servers_;
     std::map<GroupName, std::set<ServerName>> byGroup_;
--- a/src/group/serverpool.cpp
+++ b/src/group/serverpool.cpp
@@ -33,10 +33,10 @@
 {
     if (limit_)
         return *limit_;
-    const auto resting = std::count_if(inUse_.begin(), inUse_.end(),
-                                       [](const auto &each) { return !each->working; });
-    const int own =
-        decision::maxOwnerConnections(maxConnections_, static_cast<int>(resting), ownerShare_);
+    const auto idleInTransaction = std::count_if(inUse_.begin(), inUse_.end(),
+                                                 [](const auto &each) { return !each->working; });
+    const int own = decision::maxOwnerConnections(maxConnections_,
+                                                  static_cast<int>(idleInTransaction), ownerShare_);
     return now < reducedShareUntil_ ? std::min(own, reducedShare_) : own;
 }
 
--- a/src/group/serverpool.h
+++ b/src/group/serverpool.h
@@ -56,7 +56,7 @@
     {
         // Null if no connection is available yet.
         PooledConnectionPtr connection;
-        decision::ConnectionAction place = decision::ConnectionAction::Use;
+        decision::ConnectionAction connectionAction = decision::ConnectionAction::Use;
     };
 
     // Takes an idle connection of the organisation, preferably one with these values. If there is
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -40,7 +40,7 @@
               ports.cancelStoreCalls, [this] { return draw(); }}),
       tableRelay_({ports.timers, store_, relayLinks_, ports.log, ports.metrics, self_.address,
                    settings.zone, group::OwnershipTable::table,
-                   decision::hasRoom(settings.processors, 0), [this] { return draw(); }}),
+                   decision::hasCapacity(settings.processors, 0), [this] { return draw(); }}),
       renotifiedGroups_(ports.metrics.scannedEntries("retold_groups")),
       serverList_(ports.timers, ports.log, ports.metrics,
                   [this](const GroupName &group, const std::vector<group::ListedServer> &servers) {
@@ -93,7 +93,7 @@
                                 ports_.log, ports_.metrics, stageTimes_, self_});
     groups_->setServerLeaveTime(settings_.serverLeaveTime);
     groups_->start();
-    store_.onRecovery([this](Duration lostFor) { groups_->ownership().onStoreRecovered(lostFor); });
+    store_.onRecovery([this](Duration outage) { groups_->ownership().onStoreRecovered(outage); });
     return absl::OkStatus();
 }
 
@@ -109,12 +109,12 @@
 // Sends to at most maxRecipients peers, in rotation over all links.
 void HostProcess::sendToSomePeers(std::size_t maxRecipients, const inner::Message &message)
 {
-    auto next = linkAddresses_.upper_bound(lastAskedLink_);
+    auto next = linkAddresses_.upper_bound(lastRecipientLink_);
     const std::size_t count = std::min(maxRecipients, linkAddresses_.size());
     for (std::size_t i = 0; i < count; ++i, ++next) {
         if (next == linkAddresses_.end())
             next = linkAddresses_.begin();
-        lastAskedLink_ = next->first;
+        lastRecipientLink_ = next->first;
         static_cast<void>(links_->sendOn(next->first, message));
     }
 }
@@ -416,7 +416,7 @@
 
 void HostProcess::handle(inner::LinkId, inner::TakeOver &message)
 {
-    if (draining_ || (message.needsCapacity && !groups_->ownership().hasRoom()))
+    if (draining_ || (message.needsCapacity && !groups_->ownership().hasCapacity()))
         return;
     if (message.requiredEndpoint.empty())
         return groups_->ownership().onTakeOverRequested(message.group, message.epoch);
--- a/src/host/hostprocess.h
+++ b/src/host/hostprocess.h
@@ -187,7 +187,7 @@
     CallerConnections *callers_ = nullptr;
     std::map<inner::LinkId, std::string> linkAddresses_;
     // Last link used by sendToSomePeers().
-    inner::LinkId lastAskedLink_ = 0;
+    inner::LinkId lastRecipientLink_ = 0;
     // Linked processes that are not stopping, by address.
     std::map<std::string, inner::Hello> peers_;
     std::map<GroupName, ZoneName> primaryZones_;
--- a/src/session/router.cpp
+++ b/src/session/router.cpp
@@ -310,7 +310,7 @@
 void Router::onPeerResponse(const std::string &address)
 {
     Peer &peer = peers_[address];
-    peer.lastHeard = parts_.timers.now();
+    peer.lastResponseAt = parts_.timers.now();
     if (!peer.silent)
         return;
     peer.silent = false;
@@ -415,7 +415,7 @@
         return;
     peer.silent = false;
     peer.resend = true;
-    peer.lastHeard = parts_.timers.now();
+    peer.lastResponseAt = parts_.timers.now();
 }
 
 void Router::onPeerLost(const std::string &address, const std::string &cause)
@@ -476,7 +476,7 @@
             late.push_back(id);
     for (const inner::RequestId id : late)
         onAnswerLost(id, "late");
-    std::vector<std::string> watched;
+    std::vector<std::string> monitoredPeers;
     std::vector<std::string> lost;
     for (auto &[address, peer] : peers_) {
         if (stalled && peer.downSince != Instant())
@@ -484,14 +484,14 @@
         if (peer.downSince != Instant() && !mayReconnect(peer) && peer.inFlight > 0)
             lost.push_back(address);
         if (stalled)
-            peer.lastHeard = now;
+            peer.lastResponseAt = now;
         peer.monitored = peer.inFlight > 0 || (peer.monitored && !waiting_.empty());
         if (peer.monitored)
-            watched.push_back(address);
+            monitoredPeers.push_back(address);
     }
     for (const std::string &address : lost)
         onPeerLost(address, linkDown);
-    for (const std::string &address : watched)
+    for (const std::string &address : monitoredPeers)
         checkPeer(address, peers_[address], now);
     dispatchWaiting();
     ticking_ = !pending_.empty();
@@ -502,15 +502,15 @@
 void Router::startMonitoring(Peer &peer, Instant now)
 {
     if (!peer.monitored && !peer.silent)
-        peer.lastHeard = now;
+        peer.lastResponseAt = now;
     peer.monitored = true;
 }
 
 void Router::checkPeer(const std::string &address, Peer &peer, Instant now)
 {
-    const Duration silence = now - peer.lastHeard;
-    if (silence >= probeAfter && now - peer.lastProbed >= probeAfter) {
-        peer.lastProbed = now;
+    const Duration silence = now - peer.lastResponseAt;
+    if (silence >= probeAfter && now - peer.lastProbedAt >= probeAfter) {
+        peer.lastProbedAt = now;
         static_cast<void>(parts_.links.sendTo(address, inner::AliveRequest {++probeSequence_}));
     }
     if (silence >= redialAfter) {
--- a/src/session/router.h
+++ b/src/session/router.h
@@ -121,8 +121,8 @@
     };
     struct Peer
     {
-        Instant lastHeard;
-        Instant lastProbed;
+        Instant lastResponseAt;
+        Instant lastProbedAt;
         bool silent = false;
         bool dialled = false;
         // Whether statements wait for the peer, so that it is monitored.
--- a/tests/decision/claimorder_test.cpp
+++ b/tests/decision/claimorder_test.cpp
@@ -50,11 +50,11 @@
 
 TEST_CASE("Spare capacity depends on processor cores and owned groups")
 {
-    CHECK(!hasRoom(0.12, 0));
-    CHECK(hasRoom(0.25, 0));
-    CHECK(!hasRoom(0.25, 1));
-    CHECK(hasRoom(0.5, 1));
-    CHECK(!hasRoom(0.5, 2));
+    CHECK(!hasCapacity(0.12, 0));
+    CHECK(hasCapacity(0.25, 0));
+    CHECK(!hasCapacity(0.25, 1));
+    CHECK(hasCapacity(0.5, 1));
+    CHECK(!hasCapacity(0.5, 2));
 }
 
 TEST_CASE("Proactive claims are spread by the number of groups, hosts with spare capacity first")
--- a/tests/decision/configpropagation_test.cpp
+++ b/tests/decision/configpropagation_test.cpp
@@ -231,10 +231,10 @@
     CHECK(onlyAction<ReadConfigSnapshot>(propagation.onTick(begin + 600ms)));
     CHECK(contains<InstallConfig>(propagation.onDocument(begin + 601ms, 4, "four")));
     // A peer announces a newer version.
-    const auto asked = propagation.onNotice(begin + 700ms, "p", 6);
-    REQUIRE(onlyAction<FetchConfigFromPeer>(asked));
-    CHECK(onlyAction<FetchConfigFromPeer>(asked)->address == "p");
-    CHECK(onlyAction<FetchConfigFromPeer>(asked)->atLeast == 6);
+    const auto fetchActions = propagation.onNotice(begin + 700ms, "p", 6);
+    REQUIRE(onlyAction<FetchConfigFromPeer>(fetchActions));
+    CHECK(onlyAction<FetchConfigFromPeer>(fetchActions)->address == "p");
+    CHECK(onlyAction<FetchConfigFromPeer>(fetchActions)->atLeast == 6);
     CHECK(contains<InstallConfig>(propagation.onDocument(begin + 701ms, 6, "six")));
     // A late snapshot is ignored.
     CHECK(propagation.onDocument(begin + 800ms, 4, "four").empty());
--- a/tests/decision/earlierowners_test.cpp
+++ b/tests/decision/earlierowners_test.cpp
@@ -41,7 +41,7 @@
     CHECK_FALSE(owners.mayAct(start));
     CHECK(both().mayAct(start + 11s));
     CHECK_FALSE(both().mayAct(start + 12s));
-    CHECK(both().open(start + 11s).size() == 1);
+    CHECK(both().active(start + 11s).size() == 1);
 }
 
 TEST_CASE("Only a proof for the same incarnation and epoch drops an earlier owner")
--- a/tests/decision/failover_test.cpp
+++ b/tests/decision/failover_test.cpp
@@ -499,7 +499,7 @@
     const Instant start {std::chrono::hours(1)};
     constexpr std::size_t majority = 2;
     ReplicationWatch watch;
-    const auto hear = [&](Instant now, LogOffset primary, LogOffset replicas) {
+    const auto reportPositions = [&](Instant now, LogOffset primary, LogOffset replicas) {
         watch.onPrimaryPosition(now, {1, primary});
         watch.onReplicaPosition(now, "b", {1, replicas}, majority);
         watch.onReplicaPosition(now, "c", {1, replicas}, majority);
@@ -507,20 +507,20 @@
     Instant now = start;
     // Always behind but advancing.
     for (LogOffset i = 1; i < 50; ++i, now += milliseconds(100)) {
-        hear(now, 1000 + i, i);
+        reportPositions(now, 1000 + i, i);
         REQUIRE_FALSE(watch.isStalled(now, majority));
     }
     const auto stallLength = [&] {
         const Instant begin = now;
         for (; !watch.isStalled(now, majority); now += milliseconds(100))
-            hear(now, 2000, 60);
+            reportPositions(now, 2000, 60);
         return now - begin;
     };
     CHECK(stallLength() >= ReplicationWatch::minStallTimeout);
     watch.onStallFailover();
     watch.reset();
     CHECK(stallLength() >= 2 * ReplicationWatch::minStallTimeout);
-    hear(now, 2000, 2000);
+    reportPositions(now, 2000, 2000);
     watch.reset();
     CHECK(stallLength() < 2 * ReplicationWatch::minStallTimeout);
 }
--- a/tests/decision/fairshare_test.cpp
+++ b/tests/decision/fairshare_test.cpp
@@ -19,10 +19,10 @@
 
 struct Outcome
 {
-    int asked = 0;
+    int statements = 0;
     int inTime = 0;
 
-    double share() const { return asked == 0 ? 1 : double(inTime) / asked; }
+    double share() const { return statements == 0 ? 1 : double(inTime) / statements; }
 };
 
 struct Outcomes
@@ -58,7 +58,7 @@
                 fairQueuing.onArrival("org" + std::to_string(organisation), work);
             waiting.overloading = overloading;
             queue.push_back(waiting);
-            ++(overloading ? outcomes.overloading : outcomes.others).asked;
+            ++(overloading ? outcomes.overloading : outcomes.others).statements;
         }
         queue.erase(std::remove_if(queue.begin(), queue.end(),
                                    [&](const Waiting &each) {
--- a/tests/decision/positionrouting_test.cpp
+++ b/tests/decision/positionrouting_test.cpp
@@ -19,14 +19,14 @@
     return log;
 }
 
-ReadCandidate replica(std::uint64_t shown, Instant at)
+ReadCandidate replica(std::uint64_t position, Instant at)
 {
     ReadCandidate state;
     state.available = true;
     state.reachable = true;
     state.slots = 2;
-    state.shown = Position {1, shown};
-    state.shownAt = at;
+    state.position = Position {1, position};
+    state.positionAt = at;
     return state;
 }
 
@@ -45,18 +45,18 @@
     const Instant now = start + 2s;
     FreshnessRequirement bound;
     bound.newest = true;
-    CHECK(positionNeeded(log, bound, now, now) == log.newest());
+    CHECK(requiredPosition(log, bound, now, now) == log.newest());
     bound.newest = false;
     bound.maxAge = 1s;
-    const auto aged = positionNeeded(log, bound, now, now);
+    const auto aged = requiredPosition(log, bound, now, now);
     REQUIRE(aged);
     CHECK(Position {1, 49} < *aged);
     CHECK(*aged < *log.newest());
     bound.ownWrites = Position {1, 90};
-    CHECK(positionNeeded(log, bound, now, now) == bound.ownWrites);
+    CHECK(requiredPosition(log, bound, now, now) == bound.ownWrites);
     // Without a newer probe only the primary is known to be fresh enough.
     bound.maxAge = Duration(0);
-    CHECK_FALSE(positionNeeded(log, bound, now + 1s, now + 1s));
+    CHECK_FALSE(requiredPosition(log, bound, now + 1s, now + 1s));
 }
 
 TEST_CASE("Replicas that hold the position are preferred to the primary until they are busier")
@@ -91,7 +91,7 @@
     const Instant now = start + 2s;
     std::vector<ReadCandidate> servers {replica(10, now - 100ms)};
     CHECK(chooseReader(servers, log, Position {1, 90}, false, now) == 0u);
-    servers[0].behindUntil = now + 10ms;
+    servers[0].laggingUntil = now + 10ms;
     CHECK_FALSE(chooseReader(servers, log, Position {1, 90}, false, now));
 }
 
--- a/tests/decision/quota_test.cpp
+++ b/tests/decision/quota_test.cpp
@@ -84,13 +84,13 @@
 
 TEST_CASE("Granted tokens are subtracted, and half of the capacity is reserved")
 {
-    QuotaAccount giver;
-    giver.set(start, {1, 10});
-    CHECK(giver.grant(start, 3) == 3);
-    CHECK(giver.available(start) == 7);
-    CHECK(giver.grant(start, 100) == 2);
-    CHECK(giver.grant(start, 100) == 0);
-    CHECK(giver.grant(start, -5) == 0);
+    QuotaAccount granter;
+    granter.set(start, {1, 10});
+    CHECK(granter.grant(start, 3) == 3);
+    CHECK(granter.available(start) == 7);
+    CHECK(granter.grant(start, 100) == 2);
+    CHECK(granter.grant(start, 100) == 0);
+    CHECK(granter.grant(start, -5) == 0);
     QuotaAccount receiver;
     receiver.set(start, {1, 10});
     receiver.receive(start, 100);
@@ -236,7 +236,7 @@
     void setQuota(const Quota &quota) { quota_ = quota; }
 
     int served = 0;
-    int asked = 0;
+    int attempted = 0;
     // Requests and grants between owners.
     int messagesSent = 0;
     // Maximum number of operations executed within any window.
@@ -355,7 +355,7 @@
     void request(std::size_t index, Instant clock)
     {
         Owner &owner = owners_[index];
-        ++asked;
+        ++attempted;
         take(index, clock);
         const auto need = owner.account.nextGrantRequest(clock);
         if (!need || !grantsEnabled_)
@@ -424,9 +424,9 @@
         QuotaSimulation normal(3, {rate, rate}, true);
         std::fill(normal.demand.begin(), normal.demand.end(), rate / 1.6 / QuotaSimulation::groups);
         normal.run(60s);
-        INFO(normal.messagesSent << " messages for " << normal.asked << " operations in 60 s");
-        CHECK(normal.served >= 0.98 * normal.asked);
-        CHECK(normal.messagesSent <= 0.6 * normal.asked);
+        INFO(normal.messagesSent << " messages for " << normal.attempted << " operations in 60 s");
+        CHECK(normal.served >= 0.98 * normal.attempted);
+        CHECK(normal.messagesSent <= 0.6 * normal.attempted);
         QuotaSimulation greedy(3, {rate, rate}, true);
         std::fill(greedy.demand.begin(), greedy.demand.end(), 4.7 * rate / QuotaSimulation::groups);
         greedy.run(60s);
--- a/tests/decision/slotadmission_test.cpp
+++ b/tests/decision/slotadmission_test.cpp
@@ -83,7 +83,7 @@
 // in which most answers come too late.
 TEST_CASE("Under overload most statements are still answered in time")
 {
-    constexpr int asked = 780;
+    constexpr int statements = 780;
     const auto servedInTime = [](const auto &before) {
         std::vector<WaitingStatement> queue;
         std::vector<Instant> slots(2, start);
@@ -116,9 +116,9 @@
     const int ranked = servedInTime(precedes);
     const int byArrival =
         servedInTime([](const auto &a, const auto &b, Instant) { return a.arrived < b.arrived; });
-    INFO(ranked << " in time, by arrival " << byArrival << ", of " << asked);
-    CHECK(10 * ranked > 8 * asked);
-    CHECK(10 * byArrival < 5 * asked);
+    INFO(ranked << " in time, by arrival " << byArrival << ", of " << statements);
+    CHECK(10 * ranked > 8 * statements);
+    CHECK(10 * byArrival < 5 * statements);
 }
 
 TEST_CASE("Service times are estimated for each kind of statement")
--- a/tests/group/ownershiprecord_test.cpp
+++ b/tests/group/ownershiprecord_test.cpp
@@ -14,8 +14,8 @@
     record.owner = {"10.0.0.1:7440", 3};
     record.primary = "a";
     record.term = 2;
-    record.termBegan = 167;
-    record.firstHeld = 168;
+    record.termStart = 167;
+    record.firstSeenOffset = 168;
     record.holders = {{"a", "10.0.1.1:8000"}, {"b", "10.0.1.2:8000"}};
     record.acknowledged = {2, 180};
     return record;
@@ -28,8 +28,8 @@
     const auto read = decodeOwnership(encodeOwnership(fullRecord()));
     REQUIRE(read.ok());
     CHECK(read->primary == "a");
-    CHECK(read->termBegan == 167);
-    CHECK(read->firstHeld == 168);
+    CHECK(read->termStart == 167);
+    CHECK(read->firstSeenOffset == 168);
     CHECK(read->holders == fullRecord().holders);
     CHECK(read->acknowledged == Position {2, 180});
 }
@@ -40,8 +40,8 @@
                                       R"("primary":"a","term":2,"candidate":""})");
     REQUIRE(read.ok());
     CHECK(read->holders.empty());
-    CHECK(read->termBegan == 0);
-    CHECK(read->firstHeld == 0);
+    CHECK(read->termStart == 0);
+    CHECK(read->firstSeenOffset == 0);
     CHECK(read->acknowledged.term == 0);
 }
 
@@ -68,9 +68,9 @@
     CHECK(read->epoch == 1);
     CHECK(read->owner == record.owner);
     CHECK(read->zone == "zone-1");
-    CHECK_FALSE(read->hasRoom);
-    record.hasRoom = true;
-    CHECK(decodeOwnership(encodeOwnership(record))->hasRoom);
+    CHECK_FALSE(read->hasCapacity);
+    record.hasCapacity = true;
+    CHECK(decodeOwnership(encodeOwnership(record))->hasCapacity);
     CHECK(read->holders.empty());
     CHECK(read->earlier.empty());
     CHECK(read->guardedUntil == Duration(0));
--- a/tests/host/candidate_test.cpp
+++ b/tests/host/candidate_test.cpp
@@ -479,7 +479,7 @@
     writeFor(cluster, next, 2s);
     REQUIRE(readOwnershipRecord(cluster).owner.address != addressOf(owner));
     REQUIRE(readOwnershipRecord(cluster).primary == roles.complete);
-    CHECK(readOwnershipRecord(cluster).firstHeld >= 20);
+    CHECK(readOwnershipRecord(cluster).firstSeenOffset >= 20);
     cluster.group.crash(roles.complete);
     writeFor(cluster, next, 16s);
     cluster.group.restart(roles.complete);
--- a/tests/host/fleetwork_test.cpp
+++ b/tests/host/fleetwork_test.cpp
@@ -252,7 +252,7 @@
         return sum;
     }
     // Returns the visits of the action and of the second after it.
-    double visitsDuring(const std::function<void()> &action)
+    double scannedEntriesDuring(const std::function<void()> &action)
     {
         const double before = scannedEntries();
         action();
@@ -288,7 +288,7 @@
 };
 
 // Limit for one event at any deployment size: the servers of one group and a few steps.
-constexpr double maxVisitsPerEvent = 30;
+constexpr double maxScannedEntriesPerEvent = 30;
 
 } // namespace
 
@@ -298,11 +298,11 @@
         for (const int groups : {10, 100, 1000}) {
             CAPTURE(owned, groups);
             SingleHost host(groups, owned);
-            const double scannedEntries = host.visitsDuring([&] {
+            const double scannedEntries = host.scannedEntriesDuring([&] {
                 host.configure(1);
                 host.listAll();
             });
-            CHECK(scannedEntries <= maxVisitsPerEvent * groups);
+            CHECK(scannedEntries <= maxScannedEntriesPerEvent * groups);
         }
     }
 }
@@ -312,10 +312,10 @@
     for (const int groups : {10, 1000}) {
         CAPTURE(groups);
         SingleHost host(groups);
-        CHECK(host.visitsDuring([&] {
+        CHECK(host.scannedEntriesDuring([&] {
             host.listAll();
             host.configure(1);
-        }) <= maxVisitsPerEvent * groups);
+        }) <= maxScannedEntriesPerEvent * groups);
     }
 }
 
@@ -331,27 +331,30 @@
 
     SECTION("A server that leaves")
     {
-        CHECK(host.visitsDuring([&] { host.list(3, 1, 2, true); }) <= maxVisitsPerEvent);
+        CHECK(host.scannedEntriesDuring([&] { host.list(3, 1, 2, true); })
+              <= maxScannedEntriesPerEvent);
     }
     SECTION("A configuration that names the same groups")
     {
-        CHECK(host.visitsDuring([&] { host.configure(2); }) <= maxVisitsPerEvent);
+        CHECK(host.scannedEntriesDuring([&] { host.configure(2); }) <= maxScannedEntriesPerEvent);
     }
     SECTION("An owner that takes a group from another one")
     {
         host.rows.setOwner(host.groupName(3), "10.0.1.7:1", 2);
-        CHECK(host.visitsDuring([&] { host.rows.deliverChange(host.groupName(3)); })
-              <= maxVisitsPerEvent);
+        CHECK(host.scannedEntriesDuring([&] { host.rows.deliverChange(host.groupName(3)); })
+              <= maxScannedEntriesPerEvent);
     }
     SECTION("A link to another host")
     {
         inner::Hello hello;
         hello.process = {"10.0.1.9:1", 1};
-        CHECK(host.visitsDuring([&] { host.process->onPeerUp(1, hello); }) <= maxVisitsPerEvent);
+        CHECK(host.scannedEntriesDuring([&] { host.process->onPeerUp(1, hello); })
+              <= maxScannedEntriesPerEvent);
     }
     SECTION("No event")
     {
-        CHECK(host.visitsDuring([&] { host.timers.advance(10s); }) <= maxVisitsPerEvent);
+        CHECK(host.scannedEntriesDuring([&] { host.timers.advance(10s); })
+              <= maxScannedEntriesPerEvent);
     }
 }
 
--- a/tests/host/membershipfaults.cpp
+++ b/tests/host/membershipfaults.cpp
@@ -199,11 +199,11 @@
         return;
     cluster_.logToHosts("host " + std::to_string(host) + " is stopped");
     cluster_.drain(host);
-    const Duration away = randomDuration(200ms, 2s);
-    recoveries_.schedule(randomDuration(500ms, 4s), [this, host, away] {
+    const Duration downtime = randomDuration(200ms, 2s);
+    recoveries_.schedule(randomDuration(500ms, 4s), [this, host, downtime] {
         if (cluster_.isUp(host))
             cluster_.kill(host);
-        recoveries_.schedule(away, [this, host] { restart(host); });
+        recoveries_.schedule(downtime, [this, host] { restart(host); });
     });
 }
 
