--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -75,7 +75,7 @@
 
     int busy() const { return busy_; }
     int queued() const { return queued_; }
-    // Returns the expected queueing time of new work of the class, or of the team within the class,
+    // Returns the expected queuing time of new work of the class, or of the team within the class,
     // without its own service time.
     Duration expectedWait(settings::RequestClass requestClass) const;
     Duration expectedWait(settings::RequestClass requestClass, const TeamName &team) const;
--- a/src/decision/quota.cpp
+++ b/src/decision/quota.cpp
@@ -36,7 +36,7 @@
 constexpr Duration unansweredBackoff = std::chrono::milliseconds(400);
 // A host without a share discards unused grants after this time.
 constexpr Duration unusedGrantTimeout = std::chrono::seconds(1);
-// Demand may fall at any time, so callers are not told to wait for longer.
+// Maximum retry delay of refused callers. Bounded, as demand may fall at any time.
 constexpr Duration maxRetryDelay = std::chrono::seconds(2);
 
 double seconds(Duration duration)
--- a/src/decision/retrypolicy.cpp
+++ b/src/decision/retrypolicy.cpp
@@ -11,7 +11,7 @@
 constexpr int creditPerRetry = 100;
 constexpr int maxSavedRetries = 20;
 constexpr int initialRetries = 3;
-// With the budget spent, one retry in so many is allowed.
+// While the budget is spent, one of this many retries is allowed.
 constexpr int exhaustedRetryInterval = 50;
 
 constexpr int maxAttempts = 6;
--- a/src/decision/slotadmission.cpp
+++ b/src/decision/slotadmission.cpp
@@ -9,7 +9,7 @@
 
 // Statements of one group.
 constexpr std::size_t maxQueueLength = 512;
-// A statement may be queued for 3/2 of its route's objective, within these bounds. Longer queueing
+// A statement may be queued for 3/2 of its route's objective, within these bounds. Longer queuing
 // delays others for answers that come too late anyway.
 constexpr int queueTimeNumerator = 3;
 constexpr int queueTimeDenominator = 2;
--- a/src/group/failovercontroller.cpp
+++ b/src/group/failovercontroller.cpp
@@ -358,7 +358,7 @@
 }
 
 // Whether a stalled primary can be replaced at once, as all replicas answer. Queries those that
-// have not answered lately.
+// have not answered recently.
 bool FailoverController::canReplaceStalledPrimary(Instant now)
 {
     if (now < replaceAfter_ || servers_.size() < 2 || !parts_.ownership.hasLease(group_)
@@ -401,7 +401,7 @@
         beginChange("refused", false);
 }
 
-// Whether another server has answered lately. Queries those that have not.
+// Whether another server has answered recently. Queries those that have not.
 bool FailoverController::canReachOthers(Instant now)
 {
     bool anyAnswered = false;
--- a/src/group/failovercontroller.h
+++ b/src/group/failovercontroller.h
@@ -22,7 +22,7 @@
 public:
     virtual ~PrimaryEvents() = default;
 
-    // The server is the primary; its log has everything acknowledged from now on.
+    // The server is the new primary. Its log contains every commit acknowledged from now on.
     virtual void onPrimaryAdopted(const ServerName &server) = 0;
     // The server is no longer the primary; its pending statements get no trusted answer.
     virtual void onPrimaryLost(const ServerName &server) = 0;
--- a/src/group/grouphost.cpp
+++ b/src/group/grouphost.cpp
@@ -11,7 +11,8 @@
 
 // Time allowed to open transactions after another process has taken the group.
 constexpr Duration transactionDrainTime = std::chrono::milliseconds(1500);
-// Share of a server's connections that is lent to the entries of its zone, beside the owner's.
+// Percentage of a server's connections that is granted to the entries of its zone. The owner's own
+// share comes in addition.
 constexpr int grantedPercent = 30;
 // Limits the slots of a server that a single entry can occupy.
 constexpr int maxGrantedConnections = 2;
@@ -154,7 +155,7 @@
     closeWhenIdle(group);
 }
 
-// Closes connections once the group is idle, since the next owner needs their places.
+// Closes the connections once the group is idle, as they count towards the servers' limits.
 void GroupHost::closeWhenIdle(const GroupName &group)
 {
     HostedGroup &hosted = hostedGroup(group);
--- a/src/group/grouphost.h
+++ b/src/group/grouphost.h
@@ -97,7 +97,7 @@
         bool noPeerLogged = false;
     };
 
-    // The kept or pending answer to a statement, so that a statement that an entry sends again on
+    // Answer to a statement, empty while it is pending. Kept so that a statement that is resent on
     // another link runs once.
     struct Answer
     {
@@ -115,7 +115,7 @@
         TimerId expiryTimer = 0;
         std::unordered_map<inner::RequestId, Answer> answers;
         std::deque<std::pair<Instant, inner::RequestId>> answerTimes;
-        // Request numbers increase. Up to this one, a request without a kept answer may have run.
+        // Request numbers increase. A request up to this number without a kept answer may have run.
         inner::RequestId forgottenUpTo = 0;
         inner::RequestId newestRequest = 0;
         // Highest request number of each session's transactions, by session and by number. A
--- a/src/group/grouprunner.cpp
+++ b/src/group/grouprunner.cpp
@@ -345,7 +345,7 @@
         server->closeAll();
 }
 
-// Queueing and dispatch
+// Queuing and dispatch
 
 void GroupRunner::run(inner::LinkId origin, inner::RunStatement statement,
                       session::DoneCallback callback)
--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -135,7 +135,7 @@
         bool ending = false;
     };
 
-    // Returns whether fair queueing applies to the organisation's statements.
+    // Returns whether fair queuing applies to the organisation's statements.
     bool usesFairQueuing(const OrganisationName &organisation) const;
     bool takeQuota(const JobPtr &job);
     void refuseForQuota(const JobPtr &job);
--- a/src/group/localreads.cpp
+++ b/src/group/localreads.cpp
@@ -14,7 +14,7 @@
 constexpr Duration maxLaggingBackoff = std::chrono::milliseconds(320);
 constexpr Duration busyBackoff = std::chrono::milliseconds(50);
 constexpr Duration lostBackoff = std::chrono::milliseconds(500);
-// Minimum idle time before a borrowed connection is replaced by another organisation's, since
+// Minimum idle time before a granted connection is replaced by another organisation's, since
 // opening a connection costs the replica more than the read, which can go to the owner.
 constexpr Duration minIdleTime = std::chrono::seconds(1);
 // Exceeds the drift between two hosts' clocks over the lifetime of a position sample.
@@ -60,7 +60,7 @@
             server->closeStaleIdle(since);
 }
 
-// Records the log position and the lent connections from an owner's answer.
+// Records the log position and the granted connections from an owner's answer.
 void LocalReads::onOwnerAnswer(const inner::RunStatement &statement, Instant sent,
                                const inner::StatementDone &done)
 {
--- a/src/group/localreads.h
+++ b/src/group/localreads.h
@@ -12,7 +12,7 @@
 // Executes reads that need not see the newest data at a replica in the entry's own zone, without
 // the group's owner. Each read carries the log position that it must see, learned from the owner's
 // answers; the replica refuses the read if its log lacks that position. Connections come from a
-// share that the group's owner lends.
+// share that the group's owner grants.
 class LocalReads : public session::LocalReadExecutor
 {
 public:
--- a/src/group/ownershiprecord.h
+++ b/src/group/ownershiprecord.h
@@ -25,10 +25,10 @@
     Term term = 0;
     // Log offset of the primary at the start of its term; 0 when unknown.
     LogOffset termStart = 0;
-    // Log offset at which it was first seen as the primary; at least what it took over from the
-    // previous primary.
+    // Log offset of the primary when it was first seen as such; upper bound of the log that it
+    // inherited from the previous primary.
     LogOffset firstSeenOffset = 0;
-    // Recorded before the platform is told to promote it; may be the primary at any time after.
+    // Recorded before its promotion is requested; may be the primary at any time after that.
     ServerName candidate;
     // Another candidate was recorded earlier in the same change, and may be or have been the
     // primary, too.
--- a/src/group/serverpool.cpp
+++ b/src/group/serverpool.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-// After a refusal as full, organisations replace each other's connections for this time, so that
-// those without a connection need not wait until the server drops those of a lost host.
+// After the server refused a connection as it was full, organisations replace each other's
+// connections for this time, so that those without one need not wait until the server drops the
+// connections of a lost host.
 constexpr Duration reducedShareTime = std::chrono::milliseconds(300);
 // Connections opened beyond the slots, for transactions between statements.
 constexpr int spareConnections = 1;
--- a/src/group/serverpool.h
+++ b/src/group/serverpool.h
@@ -107,7 +107,8 @@
     decision::OwnerShare ownerShare_;
     std::optional<int> limit_;
     Duration minIdleTime_ {0};
-    // After a refusal as full, limits the pool to reducedShare_ connections until this time.
+    // After the server refused a connection as it was full, limits the pool to reducedShare_
+    // connections until this time.
     Instant reducedShareUntil_ {};
     int reducedShare_ = 0;
     // Ordered by last use, the most recent last.
--- a/tests/host/fleetwork_test.cpp
+++ b/tests/host/fleetwork_test.cpp
@@ -5,7 +5,7 @@
 #include <prometheus/counter.h>
 
 // The work of a host for one event must not grow with the number of servers and groups. The tests
-// count visited entries instead of time, so that the result does not depend on the machine.
+// count scanned entries instead of time, so that the result does not depend on the machine.
 
 using namespace kelptally;
 using namespace std::chrono_literals;
@@ -251,7 +251,7 @@
             sum += metrics.scannedEntries(part).Value();
         return sum;
     }
-    // Returns the visits of the action and of the second after it.
+    // Returns the number of entries scanned during the action and in the second after it.
     double scannedEntriesDuring(const std::function<void()> &action)
     {
         const double before = scannedEntries();
--- a/tests/host/review_test.cpp
+++ b/tests/host/review_test.cpp
@@ -88,7 +88,7 @@
 
 // A replica whose entry has expired still receives. It must not be dropped from the holders when
 // the other replica has caught up, as it confirms later commits.
-TEST_CASE("Review: an expired replica that was dropped from the holders confirms later commits")
+TEST_CASE("An expired replica that was dropped from the holders confirms later commits")
 {
     ModelCluster cluster(201);
     waitUntilReady(cluster);
@@ -116,7 +116,7 @@
 
 // The new primary crashes before its row is written. The start of its term must not be taken from
 // the row, which describes an earlier term.
-TEST_CASE("Review: the start of a term is respected before it is in the row")
+TEST_CASE("The start of a term is respected before it is in the row")
 {
     ModelCluster cluster(202);
     const ReplicaRoles roles = promoteWithoutRow(cluster);
@@ -129,7 +129,7 @@
 
 // The owner is lost before it has written the new primary's row. The next owner does not know where
 // the term starts, and must not treat that as an empty log.
-TEST_CASE("Review: a term with an unknown start is not treated as starting with an empty log")
+TEST_CASE("A term with an unknown start is not treated as starting with an empty log")
 {
     ModelCluster cluster(203);
     const ReplicaRoles roles = promoteWithoutRow(cluster);
@@ -160,7 +160,7 @@
 } // namespace
 
 // The host has seen the server in the list, so a row that omits it must not remove it.
-TEST_CASE("Review: a row that omits a server does not remove it from the host's holders")
+TEST_CASE("A row that omits a server does not remove it from the host's holders")
 {
     decision::LogHolders holders;
     holders.onListed({a, b, c}, Instant(100s));
@@ -179,7 +179,7 @@
 
 // The last known position of a lost server may be outdated. An empty server that replaces it and
 // reaches that position may still lack what the lost one has confirmed since.
-TEST_CASE("Review: an added server at an outdated position does not replace the lost one")
+TEST_CASE("An added server at an outdated position does not replace the lost one")
 {
     decision::LogHolders holders;
     holders.onListed({a, b, c}, Instant(100s));
@@ -192,7 +192,7 @@
 }
 
 // The same with hosts. The primary is down only for a while, and holds everything.
-TEST_CASE("Review: an added server with a part of the log is promoted while the primary is down")
+TEST_CASE("An added server with a part of the log is promoted while the primary is down")
 {
     ModelCluster cluster(204);
     waitUntilReady(cluster);
@@ -234,7 +234,7 @@
 // The platform rejects the call of a planned change for now. Until the call is repeated,
 // acknowledgements must still wait for the candidate: a replica that has restarted may confirm what
 // the candidate lacks.
-TEST_CASE("Review: acknowledgements between two calls of a planned change wait for the candidate")
+TEST_CASE("Acknowledgements between two calls of a planned change wait for the candidate")
 {
     ModelCluster cluster(205);
     waitUntilReady(cluster);
@@ -264,7 +264,7 @@
 // A commit of the previous owner is in the primary's log, but never acknowledged. A position above
 // it must not count it as acknowledged, or no server could be promoted when the primary is lost for
 // good.
-TEST_CASE("Review: a pending commit of another owner does not count as acknowledged")
+TEST_CASE("A pending commit of another owner does not count as acknowledged")
 {
     ModelCluster cluster(206);
     waitUntilReady(cluster);
@@ -310,7 +310,7 @@
 
 // Owner and primary are lost for good, and the next owner cannot reach one of the replicas. Another
 // host that reaches both must be offered the group.
-TEST_CASE("Review: an owner that cannot reach a replica lets a host that can take over the group")
+TEST_CASE("An owner that cannot reach a replica lets a host that can take over the group")
 {
     ModelCluster cluster(207);
     waitUntilReady(cluster);
@@ -332,7 +332,7 @@
 
 // A claim takes effect six seconds after it was sent, when its host has restarted. The previous
 // owner has read its row just before, and must be guarded for its whole lease.
-TEST_CASE("Review: a late claim guards the previous owner for its whole lease")
+TEST_CASE("A late claim guards the previous owner for its whole lease")
 {
     ModelCluster cluster(208, 2);
     waitUntilReady(cluster);
--- a/tests/host/soak_test.cpp
+++ b/tests/host/soak_test.cpp
@@ -14,7 +14,7 @@
 
 // Schedules that once violated a guarantee or did not recover.
 constexpr RegressionSeed faultRegressions[] = {
-    {7, "news of an owner without its incarnation hid the row of its claim"},
+    {7, "an owner reported by a peer without its incarnation hid the row of its claim"},
     {15, "replicas stopped by a late command stayed stopped"},
     {21, "a change was cancelled while its promotion call was in flight"},
     {34, "a planned change with a lagging candidate never ended"},
