--- a/src/group/localreads.h
+++ b/src/group/localreads.h
@@ -12,7 +12,7 @@
 // Executes reads that need not see the newest data at a replica in the entry's own zone, without
 // the group's owner. Each read carries the log position that it must see, learned from the owner's
 // answers; the replica refuses the read if its log lacks that position. Connections come from a
-// share that the group's owner lends.
+// share that the group's owner grants.
 class LocalReads : public session::LocalReadExecutor
 {
 public:
@@ -58,8 +58,8 @@
     };
     using ReadPtr = std::shared_ptr<Read>;
 
-    std::optional<Position> positionNeeded(const Group &group,
-                                           const inner::RunStatement &statement) const;
+    std::optional<Position> requiredPosition(const Group &group,
+                                             const inner::RunStatement &statement) const;
     GroupServer *chooseReplica(Group &group, Position needed);
     GroupServer *find(const ReadPtr &read);
     void onResult(const ReadPtr &read, const BatchResult &result, std::size_t expected);
