--- a/src/admin/adminhandler.cpp
+++ b/src/admin/adminhandler.cpp
@@ -41,6 +41,6 @@
     reply->send(caller::problemResponse(caller::makeProblem(Reason::UnknownPath)));
 }
 
-void AdminHandler::onCallerGone(caller::ConnectionId) { }
+void AdminHandler::onCallerDisconnected(caller::ConnectionId) { }
 
 } // namespace kelptally::admin
--- a/src/admin/adminhandler.h
+++ b/src/admin/adminhandler.h
@@ -28,7 +28,7 @@
     explicit AdminHandler(Parts parts);
 
     void onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply) override;
-    void onCallerGone(caller::ConnectionId connection) override;
+    void onCallerDisconnected(caller::ConnectionId connection) override;
 
 private:
     const Parts parts_;
--- a/src/admin/adminpeers.cpp
+++ b/src/admin/adminpeers.cpp
@@ -101,7 +101,7 @@
         const settings::ConfigurationPtr current = current_();
         inner::ConfigAnswer answer;
         answer.requestId = request->requestId;
-        if (current && current->version >= request->atLeast) {
+        if (current && current->version >= request->minVersion) {
             answer.version = current->version;
             answer.document = current->document;
         }
@@ -135,12 +135,12 @@
         links->sendOn(entry.first, inner::ConfigNotice {version}).IgnoreError();
 }
 
-void AdminPeers::fetchConfig(const std::string &address, ConfigVersion atLeast,
+void AdminPeers::fetchConfig(const std::string &address, ConfigVersion minVersion,
                              ConfigCallback callback)
 {
     inner::ConfigRequest request;
     request.requestId = ++lastRequestId_;
-    request.atLeast = atLeast;
+    request.minVersion = minVersion;
     start(address, request.requestId, request, configAnswerTimeout,
           [callback = std::move(callback)](absl::StatusOr<inner::Message> result) {
               if (!result.ok())
--- a/src/admin/adminpeers.h
+++ b/src/admin/adminpeers.h
@@ -46,7 +46,7 @@
     void connect(const std::string &address);
     void announce(ConfigVersion version);
     // Both call back exactly once, with Unavailable or DeadlineExceeded when there is no answer.
-    void fetchConfig(const std::string &address, ConfigVersion atLeast, ConfigCallback callback);
+    void fetchConfig(const std::string &address, ConfigVersion minVersion, ConfigCallback callback);
     void operate(const std::string &address, inner::OperatorRequest request, Duration timeout,
                  OperatorCallback callback);
 
--- a/src/admin/configservice.cpp
+++ b/src/admin/configservice.cpp
@@ -41,24 +41,24 @@
 void ConfigService::start()
 {
     boost::asio::post(thread_.context(), [this] {
-        carryOut(propagation_.start(thread_.timers().now()));
+        performAll(propagation_.start(thread_.timers().now()));
         thread_.timers().subscribeEvery(decision::ConfigPropagation::tickPeriod, [this] {
-            carryOut(propagation_.onTick(thread_.timers().now()));
+            performAll(propagation_.onTick(thread_.timers().now()));
         });
     });
 }
 
 void ConfigService::onNotice(const std::string &peer, ConfigVersion version)
 {
-    carryOut(propagation_.onNotice(thread_.timers().now(), peer, version));
+    performAll(propagation_.onNotice(thread_.timers().now(), peer, version));
 }
 
 void ConfigService::onAccepted(ConfigVersion version, const std::string &document)
 {
-    carryOut(propagation_.onDocument(thread_.timers().now(), version, document));
+    performAll(propagation_.onDocument(thread_.timers().now(), version, document));
 }
 
-void ConfigService::carryOut(const decision::ConfigActions &actions)
+void ConfigService::performAll(const decision::ConfigActions &actions)
 {
     for (const decision::ConfigAction &action : actions) {
         if (std::holds_alternative<decision::ReadNewestConfigVersion>(action))
@@ -85,42 +85,42 @@
 {
     store_.readNewestVersion([this](absl::StatusOr<ConfigVersion> newest) {
         const Instant now = thread_.timers().now();
-        carryOut(newest.ok() ? propagation_.onNewestVersion(now, *newest)
-                             : propagation_.onStoreFailed(now));
+        performAll(newest.ok() ? propagation_.onNewestVersion(now, *newest)
+                               : propagation_.onStoreFailed(now));
     });
 }
 
 void ConfigService::readVersion(ConfigVersion version)
 {
-    store_.readVersion(version,
-                       [this, version](absl::StatusOr<std::optional<ConfigRecord>> record) {
-                           const Instant now = thread_.timers().now();
-                           if (record.ok() && *record && (*record)->version == version)
-                               carryOut(propagation_.onDocument(now, version, (*record)->document));
-                           else
-                               carryOut(propagation_.onStoreFailed(now));
-                       });
+    store_.readVersion(
+        version, [this, version](absl::StatusOr<std::optional<ConfigRecord>> record) {
+            const Instant now = thread_.timers().now();
+            if (record.ok() && *record && (*record)->version == version)
+                performAll(propagation_.onDocument(now, version, (*record)->document));
+            else
+                performAll(propagation_.onStoreFailed(now));
+        });
 }
 
 void ConfigService::readSnapshot()
 {
     store_.readSnapshot([this](absl::StatusOr<std::optional<ConfigRecord>> record) {
         if (record.ok() && *record)
-            carryOut(propagation_.onDocument(thread_.timers().now(), (*record)->version,
-                                             (*record)->document));
+            performAll(propagation_.onDocument(thread_.timers().now(), (*record)->version,
+                                               (*record)->document));
     });
 }
 
 void ConfigService::fetchFromPeer(const decision::FetchConfigFromPeer &action)
 {
-    peers_.fetchConfig(action.address, action.atLeast,
+    peers_.fetchConfig(action.address, action.minVersion,
                        [this, peer = action.address](absl::StatusOr<inner::ConfigAnswer> answer) {
                            const Instant now = thread_.timers().now();
                            if (answer.ok() && answer->version > 0)
-                               carryOut(
+                               performAll(
                                    propagation_.onDocument(now, answer->version, answer->document));
                            else
-                               carryOut(propagation_.onPeerFailed(now, peer));
+                               performAll(propagation_.onPeerFailed(now, peer));
                        });
 }
 
--- a/src/admin/configservice.h
+++ b/src/admin/configservice.h
@@ -36,7 +36,7 @@
     void onAccepted(ConfigVersion version, const std::string &document);
 
 private:
-    void carryOut(const decision::ConfigActions &actions);
+    void performAll(const decision::ConfigActions &actions);
     void readNewestVersion();
     void readVersion(ConfigVersion version);
     void readSnapshot();
--- a/src/backend/connectionpool.cpp
+++ b/src/backend/connectionpool.cpp
@@ -153,18 +153,18 @@
 
 void ConnectionPool::lend(RawConnection connection, const ConnectCallback &callback)
 {
-    auto lent = std::make_shared<PooledConnection>(weak_from_this(), connection, generation_);
-    borrowed_.emplace(lent.get(), std::move(connection));
+    auto pooled = std::make_shared<PooledConnection>(weak_from_this(), connection, generation_);
+    borrowed_.emplace(pooled.get(), std::move(connection));
     updatePeakDemand();
     openMissing();
-    callback(absl::OkStatus(), std::move(lent));
+    callback(absl::OkStatus(), std::move(pooled));
 }
 
 void ConnectionPool::release(const std::shared_ptr<Connection> &connection, bool reusable)
 {
-    const auto lent = std::dynamic_pointer_cast<PooledConnection>(connection);
-    if (lent)
-        returnConnection(*lent, reusable);
+    const auto pooled = std::dynamic_pointer_cast<PooledConnection>(connection);
+    if (pooled)
+        returnConnection(*pooled, reusable);
 }
 
 void ConnectionPool::returnConnection(PooledConnection &connection, bool reusable)
@@ -340,7 +340,7 @@
     openMissing();
 }
 
-void ConnectionPool::warm(int minOpen)
+void ConnectionPool::setMinConnections(int minOpen)
 {
     options_.minOpen = minOpen;
     openMissing();
@@ -359,7 +359,7 @@
     if (abortRunning) {
         std::unordered_map<PooledConnection *, RawConnection> borrowed;
         borrowed.swap(borrowed_);
-        for (const auto &[lent, raw] : borrowed)
+        for (const auto &[pooled, raw] : borrowed)
             close(raw);
     }
     failWaiting(absl::CancelledError("the pool is closing its connections"));
@@ -404,8 +404,8 @@
 {
     const Instant now = timers_.now();
     std::vector<RawConnection> late;
-    for (const auto &[lent, raw] : borrowed_)
-        if (raw->busy() && now - lent->session_->batchSince > options_.maxBatchTime)
+    for (const auto &[pooled, raw] : borrowed_)
+        if (raw->busy() && now - pooled->session_->batchSince > options_.maxBatchTime)
             late.push_back(raw);
     for (const RawConnection &raw : late)
         raw->close();
--- a/src/backend/connectionpool.h
+++ b/src/backend/connectionpool.h
@@ -68,7 +68,7 @@
     // withinLimit once the number of connections is within the limit.
     void setLimit(int limit, WithinLimitCallback withinLimit = {});
     // Keeps at least this many connections open, within the limit.
-    void warm(int minOpen);
+    void setMinConnections(int minOpen);
     // Closes idle connections now, and connections in use on release or, with abortRunning, at
     // once: their batches end as Unknown. Waiting requests are cancelled.
     void closeAll(bool abortRunning);
--- a/src/bench/groupowner.cpp
+++ b/src/bench/groupowner.cpp
@@ -163,7 +163,7 @@
     if (task.request->statedAge)
         requirements.statedAge = std::max(Duration(0), *task.request->statedAge - transit);
     requirements.sessionPosition = task.session;
-    requirements.deadlineIn = task.deadline - now;
+    requirements.timeLeft = task.deadline - now;
     requirements.waited = now - task.arrived;
     return requirements;
 }
--- a/src/bench/scripts.cpp
+++ b/src/bench/scripts.cpp
@@ -118,7 +118,7 @@
             requirements.statedAge = 10ms + random.upTo(1s);
         if (random.oneIn(3))
             requirements.sessionPosition = Position {1, 900 + random.below(100)};
-        requirements.deadlineIn = 5ms + random.upTo(300ms);
+        requirements.timeLeft = 5ms + random.upTo(300ms);
         requirements.waited = random.upTo(40ms);
         const Route route = routing.routeRead(requirements, servers, now);
         signature.add(static_cast<int>(route.kind));
--- a/src/bench/slopes.cpp
+++ b/src/bench/slopes.cpp
@@ -95,7 +95,7 @@
     execute.parameters = {std::string("12345")};
     execute.readOnly = true;
     execute.statedAge = 1s;
-    execute.deadlineIn = 1s;
+    execute.timeLeft = 1s;
     execute.sessionPosition = Position {makeTerm(1000, 1), 1000000};
     measureMessage("execute", execute);
     inner::ExecuteResult result;
@@ -327,7 +327,7 @@
     }
     ReadRequirements requirements;
     requirements.statedAge = 1s;
-    requirements.deadlineIn = 1s;
+    requirements.timeLeft = 1s;
     Routing routing(50);
     Instant now = start;
     const Duration route = meanCallTime(100000, [&] {
--- a/src/caller/httpmessage.h
+++ b/src/caller/httpmessage.h
@@ -84,7 +84,7 @@
     virtual void onRequest(HttpRequest request, HttpReplyPtr reply) = 0;
 
     // Called when a caller closes its connection while its request is in progress.
-    virtual void onCallerGone(ConnectionId connection) = 0;
+    virtual void onCallerDisconnected(ConnectionId connection) = 0;
 };
 
 } // namespace kelptally::caller
--- a/src/caller/httpserver.cpp
+++ b/src/caller/httpserver.cpp
@@ -135,7 +135,10 @@
         handler.onRequest(std::move(request), std::make_shared<QueuedReply>(answers, session.id()));
     }
 
-    void onCallerGone(ConnectionId connection) override { handler.onCallerGone(connection); }
+    void onCallerDisconnected(ConnectionId connection) override
+    {
+        handler.onCallerDisconnected(connection);
+    }
 
     void onRefused(Reason reason) override
     {
--- a/src/caller/httpsession.cpp
+++ b/src/caller/httpsession.cpp
@@ -151,7 +151,7 @@
     {
         if (state_ != State::Handling)
             return;
-        const bool closes = !reader_.keepAlive() || manager_->draining() || callerGone_;
+        const bool closes = !reader_.keepAlive() || manager_->draining() || callerDisconnects_;
         write(response, closes);
     }
 
@@ -267,9 +267,9 @@
             return refuse(Reason::RequestTruncated, {});
         case State::Handling:
         case State::Writing:
-            if (!callerGone_ && state_ == State::Handling)
-                manager_->onCallerGone(id_);
-            callerGone_ = true;
+            if (!callerDisconnects_ && state_ == State::Handling)
+                manager_->onCallerDisconnected(id_);
+            callerDisconnects_ = true;
             return;
         case State::Lingering:
             return close();
@@ -294,7 +294,7 @@
             [this, self = shared_from_this()](const ErrorCode &error, std::size_t) {
                 if (state_ == State::Closed)
                     return;
-                if (error || callerGone_)
+                if (error || callerDisconnects_)
                     return close();
                 state_ = State::Reading;
                 processInput();
@@ -323,7 +323,7 @@
     void onWritten()
     {
         headOnly_ = false;
-        if (callerGone_)
+        if (callerDisconnects_)
             return close();
         if (closesAfterWrite_)
             return linger();
@@ -356,8 +356,8 @@
         socketOf(stream_).close(ignored);
         if (!manager_)
             return;
-        if (handled && !callerGone_)
-            manager_->onCallerGone(id_);
+        if (handled && !callerDisconnects_)
+            manager_->onCallerDisconnected(id_);
         manager_->onClosed(id_);
     }
 
@@ -368,7 +368,7 @@
     State state_ = State::Reading;
     Reason refusal_ = Reason::None;
     bool reading_ = false;
-    bool callerGone_ = false;
+    bool callerDisconnects_ = false;
     bool closesAfterWrite_ = false;
     bool headOnly_ = false;
     Instant deadline_ = noDeadline;
--- a/src/caller/httpsession.h
+++ b/src/caller/httpsession.h
@@ -21,7 +21,7 @@
 
     virtual const HttpLimits &limits() const = 0;
     virtual void onRequest(HttpSession &session, HttpRequest request) = 0;
-    virtual void onCallerGone(ConnectionId connection) = 0;
+    virtual void onCallerDisconnected(ConnectionId connection) = 0;
     virtual void onRefused(Reason reason) = 0;
     virtual void onClosed(ConnectionId connection) = 0;
     // Returns the value of the Date header.
--- a/src/decision/configpropagation.h
+++ b/src/decision/configpropagation.h
@@ -32,7 +32,7 @@
 struct FetchConfigFromPeer
 {
     std::string address;
-    ConfigVersion atLeast = 0;
+    ConfigVersion minVersion = 0;
 };
 // Sends a notice of the version to all peers.
 struct AnnounceConfig
--- a/src/decision/routing.cpp
+++ b/src/decision/routing.cpp
@@ -213,18 +213,18 @@
                               const ServerView *primary, Instant now)
 {
     const Duration finish = expectedLatency(replica);
-    const bool inTime = finish <= requirements.deadlineIn;
+    const bool inTime = finish <= requirements.timeLeft;
     if (primary != nullptr) {
         const Duration primaryFinish = expectedLatency(*primary);
         const bool worthSpilling = primaryFinish + spillThreshold < finish
-            || (!inTime && primaryFinish <= requirements.deadlineIn);
+            || (!inTime && primaryFinish <= requirements.timeLeft);
         if (worthSpilling && takePrimaryBudget(*primary, now))
             return serverRoute(*primary, PrimaryCause::ReplicasBusy);
     }
     if (inTime)
         return serverRoute(replica, PrimaryCause::None);
     return refusalRoute(Reason::DeadlineTooShort, PrimaryCause::ReplicasBusy,
-                        finish - requirements.deadlineIn);
+                        finish - requirements.timeLeft);
 }
 
 // Returns a server that has not been chosen for a long time and has a free slot. Without this a
@@ -255,7 +255,7 @@
             catchUp = time;
     }
     const Duration service = primary != nullptr ? serviceTimeOf(*primary) : defaultServiceTime;
-    const bool mayWait = catchUp && *catchUp + service <= requirements.deadlineIn;
+    const bool mayWait = catchUp && *catchUp + service <= requirements.timeLeft;
 
     // 1. Wait briefly to save the primary's budget.
     if (mayWait && requirements.waited + *catchUp <= maxReplicaWait)
--- a/src/decision/routing.h
+++ b/src/decision/routing.h
@@ -48,7 +48,7 @@
     // Newest position that the session has seen.
     std::optional<Position> sessionPosition;
     // Time left until the caller's deadline.
-    Duration deadlineIn {0};
+    Duration timeLeft {0};
     // Time that the read has already waited for a replica.
     Duration waited {0};
 };
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -99,7 +99,7 @@
     if (left <= Duration(0))
         return refuse(request, {Reason::DeadlineExceeded, Executed::No, {}, Duration(0)});
     table_.assignRequestId(*request);
-    execute.deadlineIn = left;
+    execute.timeLeft = left;
     execute.attempt = request->attempt;
     execute.statedAge = ageLimitForOwner(request->admitted.statedAge, request->excessTransit);
     const absl::Status sent = parts_.links.send(link, execute);
@@ -123,7 +123,7 @@
 void Dispatcher::onFailure(const PendingPtr &request, Failure failure)
 {
     request->state = RequestState::Waiting;
-    request->mayHaveRun = request->mayHaveRun || failure.executed != Executed::No;
+    request->maybeExecuted = request->maybeExecuted || failure.executed != Executed::No;
     request->lastReason = failure.reason;
     decision::FailedAttempt failed;
     failed.reason = failure.reason;
@@ -131,7 +131,7 @@
     failed.hasKey = !request->admitted.execute.key.empty()
         && request->admitted.execute.step == inner::StatementStep::Single;
     // A request that may be executed twice is retried as if it had never been executed.
-    const bool safeToRepeat = !request->mayHaveRun || failed.repeatable || failed.hasKey;
+    const bool safeToRepeat = !request->maybeExecuted || failed.repeatable || failed.hasKey;
     failed.notExecuted = failure.executed == Executed::No && safeToRepeat;
     failed.number = request->attempt;
     failed.deadlineLeft = request->deadline - parts_.timers.now() - ownerDeadlineMargin;
@@ -257,7 +257,7 @@
 {
     if (!request->reply)
         return;
-    if (request->mayHaveRun && failure.executed == Executed::No)
+    if (request->maybeExecuted && failure.executed == Executed::No)
         failure.executed = Executed::Unknown;
     parts_.metrics.countRefused(failure.reason);
     caller::Problem problem = caller::makeProblem(failure.reason, std::move(failure.detail));
@@ -282,12 +282,12 @@
     refuse(request, {Reason::DeadlineExceeded, executed, detail, Duration(0)});
 }
 
-void Dispatcher::onCallerGone(caller::ConnectionId connection)
+void Dispatcher::onCallerDisconnected(caller::ConnectionId connection)
 {
     const PendingPtr request = table_.findByConnection(connection);
     if (!request)
         return;
-    parts_.metrics.countCallerGone();
+    parts_.metrics.countCallerDisconnected();
     request->reply = nullptr;
     if (request->state == RequestState::InFlight)
         cancelAtOwner(request);
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -35,7 +35,7 @@
 
     void start(AdmittedRequest admitted, caller::HttpReplyPtr reply,
                caller::ConnectionId connection, Instant arrived);
-    void onCallerGone(caller::ConnectionId connection);
+    void onCallerDisconnected(caller::ConnectionId connection);
 
     void onResult(inner::LinkId link, inner::ExecuteResult result);
     // Fails the attempts in flight on the link.
--- a/src/entry/entrymetrics.cpp
+++ b/src/entry/entrymetrics.cpp
@@ -24,8 +24,8 @@
       answered_(metrics.histogram("kelptally_entry_request_seconds",
                                   "Time from the arrival of an answered request to its answer",
                                   latencyBounds)),
-      callerGone_(metrics.counter("kelptally_entry_callers_gone_total",
-                                  "Requests whose caller went away before the answer")),
+      callerDisconnects_(metrics.counter("kelptally_entry_callers_gone_total",
+                                         "Requests whose caller went away before the answer")),
       lateAnswers_(droppedAnswers(metrics, "late")),
       damagedAnswers_(droppedAnswers(metrics, "damaged")),
       staleAnswers_(droppedAnswers(metrics, "stale")),
@@ -49,9 +49,9 @@
     metrics_.countRetry(reason);
 }
 
-void EntryMetrics::countCallerGone()
+void EntryMetrics::countCallerDisconnected()
 {
-    callerGone_.Increment();
+    callerDisconnects_.Increment();
 }
 
 void EntryMetrics::countLateAnswer()
--- a/src/entry/entrymetrics.h
+++ b/src/entry/entrymetrics.h
@@ -14,7 +14,7 @@
     // Counts an answer that refuses a request; retried failures are counted by countRetry().
     void countRefused(Reason reason);
     void countRetry(Reason reason);
-    void countCallerGone();
+    void countCallerDisconnected();
     // Answers of owners that were dropped.
     void countLateAnswer();
     void countDamagedAnswer();
@@ -26,7 +26,7 @@
 private:
     Metrics &metrics_;
     prometheus::Histogram &answered_;
-    prometheus::Counter &callerGone_;
+    prometheus::Counter &callerDisconnects_;
     prometheus::Counter &lateAnswers_;
     prometheus::Counter &damagedAnswers_;
     prometheus::Counter &staleAnswers_;
--- a/src/entry/entryprocess.cpp
+++ b/src/entry/entryprocess.cpp
@@ -180,9 +180,9 @@
     inProgress_ = dispatcher_->inProgress();
 }
 
-void EntryProcess::onCallerGone(caller::ConnectionId connection)
+void EntryProcess::onCallerDisconnected(caller::ConnectionId connection)
 {
-    dispatcher_->onCallerGone(connection);
+    dispatcher_->onCallerDisconnected(connection);
     inProgress_ = dispatcher_->inProgress();
 }
 
--- a/src/entry/entryprocess.h
+++ b/src/entry/entryprocess.h
@@ -36,7 +36,7 @@
     void collect() override;
 
     void onArrival(Arrival arrival) override;
-    void onCallerGone(caller::ConnectionId connection) override;
+    void onCallerDisconnected(caller::ConnectionId connection) override;
     void onPeerUp(inner::LinkId link, const std::string &address) override;
     void onPeerMessage(inner::LinkId link, inner::Message message) override;
     void onPeerDown(inner::LinkId link) override;
--- a/src/entry/requestinbox.cpp
+++ b/src/entry/requestinbox.cpp
@@ -35,10 +35,10 @@
 }
 
 // Posted rather than queued: cannot be lost to a full queue and follows the connection's request.
-void RequestInbox::onCallerGone(caller::ConnectionId connection)
+void RequestInbox::onCallerDisconnected(caller::ConnectionId connection)
 {
     boost::asio::post(requests_.context(),
-                      [this, connection] { events_.onCallerGone(connection); });
+                      [this, connection] { events_.onCallerDisconnected(connection); });
 }
 
 void RequestInbox::onPeerUp(inner::LinkId link, const inner::Hello &peer)
--- a/src/entry/requestinbox.h
+++ b/src/entry/requestinbox.h
@@ -25,7 +25,7 @@
     virtual ~RequestEvents() = default;
 
     virtual void onArrival(Arrival arrival) = 0;
-    virtual void onCallerGone(caller::ConnectionId connection) = 0;
+    virtual void onCallerDisconnected(caller::ConnectionId connection) = 0;
     virtual void onPeerUp(inner::LinkId link, const std::string &address) = 0;
     virtual void onPeerMessage(inner::LinkId link, inner::Message message) = 0;
     virtual void onPeerDown(inner::LinkId link) = 0;
@@ -47,7 +47,7 @@
     void setAdminPeers(admin::AdminPeers *peers) { adminPeers_ = peers; }
 
     void onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply) override;
-    void onCallerGone(caller::ConnectionId connection) override;
+    void onCallerDisconnected(caller::ConnectionId connection) override;
 
     void onPeerUp(inner::LinkId link, const inner::Hello &peer) override;
     void onPeerMessage(inner::LinkId link, inner::Message message) override;
--- a/src/entry/requesttable.h
+++ b/src/entry/requesttable.h
@@ -42,7 +42,7 @@
     // Transit time of an earlier attempt whose answer arrived too old.
     Duration excessTransit {0};
     // Whether an earlier attempt may have been executed.
-    bool mayHaveRun = false;
+    bool maybeExecuted = false;
     // Failure of the last attempt.
     Reason lastReason = Reason::None;
     TimerId retryTimer = 0;
--- a/src/group/grouphost.cpp
+++ b/src/group/grouphost.cpp
@@ -283,7 +283,7 @@
     Entry *entry = entryOf(link);
     if (entry == nullptr)
         return;
-    recordSession(*entry, end.session, end.begunBy);
+    recordSession(*entry, end.session, end.beginRequestId);
     endTransaction(entry->origin, end);
 }
 
--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -128,7 +128,7 @@
         // Whether the commit requires a replica's confirmation.
         bool wrote = false;
         // Request number of the statement that began the transaction.
-        inner::RequestId begunBy = 0;
+        inner::RequestId beginRequestId = 0;
         // The statement that is queued or running in the transaction; null between statements.
         JobPtr job;
         // Whether the transaction ends with its running statement.
@@ -174,8 +174,8 @@
     void finish(const JobPtr &job, inner::StatementDone done);
     void onHoldTimeout(const JobPtr &job);
     void onDeadline(const JobPtr &job);
-    void rollBack(const Origin &origin, inner::RequestId begunBy);
-    void cancelBegin(const Origin &origin, inner::RequestId begunBy);
+    void rollBack(const Origin &origin, inner::RequestId beginRequestId);
+    void cancelBegin(const Origin &origin, inner::RequestId beginRequestId);
     void removeTransaction(const Origin &origin, bool close);
     void closeServer(const ServerName &id);
     void removeUnlisted();
--- a/src/group/grouprunnerexecution.cpp
+++ b/src/group/grouprunnerexecution.cpp
@@ -104,7 +104,7 @@
     transaction.server = job->server;
     transaction.connection = job->connection;
     transaction.readOnly = job->statement.begins == inner::TransactionMode::ReadOnly;
-    transaction.begunBy = job->statement.requestId;
+    transaction.beginRequestId = job->statement.requestId;
     transaction.job = job;
     transactions_[job->origin] = std::move(transaction);
     sendStatement(job);
--- a/src/group/grouprunnertransactions.cpp
+++ b/src/group/grouprunnertransactions.cpp
@@ -11,16 +11,16 @@
 
 void GroupRunner::endTransaction(inner::LinkId origin, const inner::EndTransaction &end)
 {
-    rollBack({origin, end.session}, end.begunBy);
+    rollBack({origin, end.session}, end.beginRequestId);
 }
 
-// Rolls back the session's transaction if its first statement's number is at most begunBy.
-void GroupRunner::rollBack(const Origin &origin, inner::RequestId begunBy)
+// Rolls back the session's transaction if its first statement's number is at most beginRequestId.
+void GroupRunner::rollBack(const Origin &origin, inner::RequestId beginRequestId)
 {
     const auto open = transactions_.find(origin);
     if (open == transactions_.end())
-        return cancelBegin(origin, begunBy);
-    if (open->second.begunBy > begunBy)
+        return cancelBegin(origin, beginRequestId);
+    if (open->second.beginRequestId > beginRequestId)
         return;
     // 1. While a statement is running, only closing the connection ends the transaction. A commit
     // that was sent may have taken effect.
@@ -62,13 +62,13 @@
 }
 
 // Cancels a transaction that has not begun yet, as its caller no longer waits for it.
-void GroupRunner::cancelBegin(const Origin &origin, inner::RequestId begunBy)
+void GroupRunner::cancelBegin(const Origin &origin, inner::RequestId beginRequestId)
 {
     std::vector<JobPtr> jobs(queue_.begin(), queue_.end());
     jobs.insert(jobs.end(), running_.begin(), running_.end());
     for (const JobPtr &job : jobs) {
         if (job->origin != origin || job->statement.begins == inner::TransactionMode::None
-            || job->statement.requestId > begunBy)
+            || job->statement.requestId > beginRequestId)
             continue;
         if (!job->running)
             queue_.remove(job);
--- a/src/host/hosthttphandler.h
+++ b/src/host/hosthttphandler.h
@@ -30,7 +30,7 @@
     explicit HostHttpHandler(Parts parts);
 
     void onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply) override;
-    void onCallerGone(caller::ConnectionId) override { }
+    void onCallerDisconnected(caller::ConnectionId) override { }
 
 private:
     void onOperator(const caller::HttpRequest &request, const caller::HttpReplyPtr &reply);
--- a/src/inner/layout.h
+++ b/src/inner/layout.h
@@ -66,7 +66,7 @@
     archive.text(m.key, maxNameBytes);
     archive.text(m.keyDigest, maxNameBytes);
     archive.duration(m.statedAge);
-    archive.duration(m.deadlineIn);
+    archive.duration(m.timeLeft);
     archive.record(m.sessionPosition);
     archive.number(m.attempt);
 }
@@ -178,7 +178,7 @@
 void layout(Archive &archive, M &m, const ConfigRequest &)
 {
     archive.number(m.requestId);
-    archive.number(m.atLeast);
+    archive.number(m.minVersion);
 }
 
 template <typename Archive, typename M>
@@ -288,7 +288,7 @@
 {
     archive.text(m.group, maxNameBytes);
     archive.number(m.session);
-    archive.number(m.begunBy);
+    archive.number(m.beginRequestId);
 }
 
 template <typename Archive, typename M>
--- a/src/inner/messages.h
+++ b/src/inner/messages.h
@@ -67,7 +67,7 @@
     // Maximum age of the data that the caller accepts; no value requests the newest data.
     std::optional<Duration> statedAge;
     // Time left until the caller's deadline when the message was sent.
-    Duration deadlineIn {0};
+    Duration timeLeft {0};
     // Position of the caller's session in this group.
     std::optional<Position> sessionPosition;
     // Number of retries of this request by the entry, for the owner's counters.
@@ -179,7 +179,7 @@
 struct ConfigRequest
 {
     RequestId requestId = 0;
-    ConfigVersion atLeast = 0;
+    ConfigVersion minVersion = 0;
 };
 
 struct ConfigAnswer
@@ -329,7 +329,7 @@
     std::uint64_t session = 0;
     // Only a transaction begun by a request up to this id is rolled back, as the message may be
     // repeated after the session has begun another one.
-    RequestId begunBy = 0;
+    RequestId beginRequestId = 0;
 };
 
 // Liveness probe to a process with outstanding answers; answered at once.
--- a/src/owner/failoverdriver.cpp
+++ b/src/owner/failoverdriver.cpp
@@ -46,7 +46,7 @@
     for (const auto &server : group_.servers)
         names.push_back(server.name);
     failover_.emplace(group_.name, epoch, names);
-    carryOut(failover_->start(now(), termHint, primaryHint));
+    perform(failover_->start(now(), termHint, primaryHint));
 }
 
 void FailoverDriver::stop()
@@ -60,7 +60,7 @@
 void FailoverDriver::tick()
 {
     if (failover_)
-        carryOut(failover_->onTick(now()));
+        perform(failover_->onTick(now()));
 }
 
 void FailoverDriver::setServers(const settings::Group &group)
@@ -86,15 +86,15 @@
     }
     connections_.swap(connections);
     for (const auto &[name, connection] : connections) {
-        const auto now = connections_.find(name);
-        if (now == connections_.end() || now->second != connection)
+        const auto current = connections_.find(name);
+        if (current == connections_.end() || current->second != connection)
             connection->close();
     }
     if (failover_)
-        carryOut(failover_->setServers(now(), names, leaving));
+        perform(failover_->setServers(now(), names, leaving));
 }
 
-void FailoverDriver::warm()
+void FailoverDriver::preconnect()
 {
     for (const auto &[name, connection] : connections_)
         if (!connection->connected() && connection->idle())
@@ -164,38 +164,38 @@
 void FailoverDriver::onConnectionLost(const ServerName &server)
 {
     if (failover_)
-        carryOut(failover_->onConnectionLost(now(), server));
+        perform(failover_->onConnectionLost(now(), server));
 }
 
 void FailoverDriver::promote(const ServerName &server, bool acceptLoss)
 {
     if (failover_)
-        carryOut(failover_->promote(now(), server, acceptLoss));
+        perform(failover_->promote(now(), server, acceptLoss));
 }
 
-void FailoverDriver::carryOut(const decision::FailoverActions &actions)
+void FailoverDriver::perform(const decision::FailoverActions &actions)
 {
     for (const auto &action : actions) {
         if (!failover_)
             return;
-        std::visit([this](const auto &typedAction) { carryOut(typedAction); }, action);
+        std::visit([this](const auto &typedAction) { perform(typedAction); }, action);
     }
 }
 
-void FailoverDriver::carryOut(const decision::SendProbe &action)
+void FailoverDriver::perform(const decision::SendProbe &action)
 {
     queryStatus(action.server, [this, action](const CommandResult &result, const auto &report) {
         if (!failover_)
             return;
         if (report)
-            carryOut(failover_->onReport(now(), action.server, action.sequence, *report));
+            perform(failover_->onReport(now(), action.server, action.sequence, *report));
         else
-            carryOut(failover_->onProbeFailed(now(), action.server, action.sequence,
-                                              result.connectionRefused));
+            perform(failover_->onProbeFailed(now(), action.server, action.sequence,
+                                             result.connectionRefused));
     });
 }
 
-void FailoverDriver::carryOut(const decision::SendPrepare &action)
+void FailoverDriver::perform(const decision::SendPrepare &action)
 {
     backend::Statement statement {group_.statements.prepare, {std::to_string(action.term)}};
     runCommand(action.server, std::move(statement), [this, action](const CommandResult &) {
@@ -203,59 +203,59 @@
             if (!failover_)
                 return;
             if (report)
-                carryOut(failover_->onPrepared(now(), action.server, action.term, *report));
+                perform(failover_->onPrepared(now(), action.server, action.term, *report));
             else
-                carryOut(failover_->onCommandFailed(now(), action.server,
-                                                    toCommandFailure(status.state)));
+                perform(failover_->onCommandFailed(now(), action.server,
+                                                   toCommandFailure(status.state)));
         });
     });
 }
 
-void FailoverDriver::carryOut(const decision::SendPromote &action)
+void FailoverDriver::perform(const decision::SendPromote &action)
 {
     backend::Statement statement {group_.statements.promote, {std::to_string(action.term)}};
     runCommand(action.server, std::move(statement), [this, action](const CommandResult &) {
-        carryOut(failover_->onPromoted(now(), action.server, action.term));
+        perform(failover_->onPromoted(now(), action.server, action.term));
     });
 }
 
-void FailoverDriver::carryOut(const decision::SendFollow &action)
+void FailoverDriver::perform(const decision::SendFollow &action)
 {
     backend::Statement statement {group_.statements.follow,
                                   {action.primary, std::to_string(action.term)}};
     runCommand(action.server, std::move(statement), [this, action](const CommandResult &) {
-        carryOut(failover_->onFollowing(now(), action.server, action.term));
+        perform(failover_->onFollowing(now(), action.server, action.term));
     });
 }
 
-void FailoverDriver::carryOut(const decision::SendRaiseFence &action)
+void FailoverDriver::perform(const decision::SendRaiseFence &action)
 {
     backend::Statement statement {group_.statements.raiseFence, {std::to_string(action.epoch)}};
     runCommand(action.server, std::move(statement), [this, action](const CommandResult &) {
-        carryOut(failover_->onFenceRaised(now(), action.server, action.epoch));
+        perform(failover_->onFenceRaised(now(), action.server, action.epoch));
     });
 }
 
-void FailoverDriver::carryOut(const decision::SendReadHistory &action)
+void FailoverDriver::perform(const decision::SendReadHistory &action)
 {
     runCommand(action.server, {group_.statements.history, {}},
                [this, action](const CommandResult &result) {
                    if (const auto history = parseHistory(result.rows))
-                       carryOut(failover_->onHistory(now(), action.server, *history));
+                       perform(failover_->onHistory(now(), action.server, *history));
                    else
-                       carryOut(failover_->onCommandFailed(now(), action.server,
-                                                           toCommandFailure(result.state)));
+                       perform(failover_->onCommandFailed(now(), action.server,
+                                                          toCommandFailure(result.state)));
                });
 }
 
-void FailoverDriver::carryOut(const decision::PrimaryGone &action)
+void FailoverDriver::perform(const decision::PrimaryGone &action)
 {
     LOG(WARNING) << "event=primary_gone group=" << group_.name << " server=" << action.server
                  << " cause=" << logValue(action.cause);
     listener_.onPrimaryGone(action);
 }
 
-void FailoverDriver::carryOut(const decision::PrimaryReady &action)
+void FailoverDriver::perform(const decision::PrimaryReady &action)
 {
     LOG(INFO) << "event=primary_ready group=" << group_.name << " server=" << action.server
               << " term=" << action.term << " gap_ms=" << toMilliseconds(action.gap);
@@ -302,7 +302,7 @@
             if (!result.connectionRefused)
                 LOG(WARNING) << "event=server_command_failed group=" << group_.name
                              << " server=" << server << " cause=" << logValue(result.message);
-            carryOut(failover_->onCommandFailed(now(), server, toCommandFailure(result.state)));
+            perform(failover_->onCommandFailed(now(), server, toCommandFailure(result.state)));
         });
 }
 
--- a/src/owner/failoverdriver.h
+++ b/src/owner/failoverdriver.h
@@ -41,7 +41,7 @@
     void setServers(const settings::Group &group);
 
     // Opens the control connections ahead of need.
-    void warm();
+    void preconnect();
     void closeConnections();
 
     // Queries the status of all servers.
@@ -60,15 +60,15 @@
         std::function<void(const CommandResult &, const std::optional<decision::ServerReport> &)>;
     using CommandHandler = std::function<void(const CommandResult &)>;
 
-    void carryOut(const decision::FailoverActions &actions);
-    void carryOut(const decision::SendProbe &action);
-    void carryOut(const decision::SendPrepare &action);
-    void carryOut(const decision::SendPromote &action);
-    void carryOut(const decision::SendFollow &action);
-    void carryOut(const decision::SendRaiseFence &action);
-    void carryOut(const decision::SendReadHistory &action);
-    void carryOut(const decision::PrimaryGone &action);
-    void carryOut(const decision::PrimaryReady &action);
+    void perform(const decision::FailoverActions &actions);
+    void perform(const decision::SendProbe &action);
+    void perform(const decision::SendPrepare &action);
+    void perform(const decision::SendPromote &action);
+    void perform(const decision::SendFollow &action);
+    void perform(const decision::SendRaiseFence &action);
+    void perform(const decision::SendReadHistory &action);
+    void perform(const decision::PrimaryGone &action);
+    void perform(const decision::PrimaryReady &action);
 
     void sample(const ServerName &server);
     void sampleReplicas();
--- a/src/owner/groupdirectory.cpp
+++ b/src/owner/groupdirectory.cpp
@@ -159,11 +159,11 @@
     const auto owner = membership_.preferredOwner(group.name, zone);
     const bool candidate = candidateGroups_.count(group.name) != 0;
     const bool wanted = candidate && !draining_ && owner && *owner == ports_.self;
-    GroupRuntime *known = wanted ? runtime(group.name) : findRuntime(group.name);
-    if (!known)
+    GroupRuntime *runtime = wanted ? findOrCreateRuntime(group.name) : findRuntime(group.name);
+    if (!runtime)
         return;
-    known->ownership().setPreferredOwner(wanted);
-    known->ownership().setSuccessorCandidates(
+    runtime->ownership().setPreferredOwner(wanted);
+    runtime->ownership().setSuccessorCandidates(
         membership_.successorCandidates(group.name, ports_.self));
 }
 
@@ -173,10 +173,10 @@
     return found == runtimes_.end() ? nullptr : found->second.get();
 }
 
-GroupRuntime *GroupDirectory::runtime(const GroupName &group)
+GroupRuntime *GroupDirectory::findOrCreateRuntime(const GroupName &group)
 {
-    if (GroupRuntime *known = findRuntime(group))
-        return known;
+    if (GroupRuntime *existing = findRuntime(group))
+        return existing;
     const settings::Group *settings =
         configuration_ ? configuration_->inventory.findGroup(group) : nullptr;
     if (!settings)
@@ -214,7 +214,7 @@
 
 void GroupDirectory::onMessage(inner::LinkId link, inner::Message message)
 {
-    std::visit([&](auto &&known) { handle(link, std::forward<decltype(known)>(known)); },
+    std::visit([&](auto &&fields) { handle(link, std::forward<decltype(fields)>(fields)); },
                std::move(message));
 }
 
@@ -241,14 +241,14 @@
     request->link = link;
     request->execute = std::move(execute);
     request->arrived = ports_.timers.now();
-    request->deadline = request->arrived + request->execute.deadlineIn;
+    request->deadline = request->arrived + request->execute.timeLeft;
     request->number = ++lastRequestNumber_;
     classify(*request);
     if (requestCount_ >= maxRequests) {
         refuse(*request, Reason::QueueFull);
         return;
     }
-    GroupRuntime *group = runtime(request->execute.group);
+    GroupRuntime *group = findOrCreateRuntime(request->execute.group);
     if (!group) {
         refuse(*request, configuration_ ? Reason::UnknownGroup : Reason::NoOwner);
         return;
@@ -295,7 +295,7 @@
     answer.from = ports_.self;
     answer.configVersion = configuration_ ? configuration_->version : 0;
     for (const inner::GroupHeartbeat &groupHeartbeat : heartbeat.groups) {
-        GroupRuntime *group = runtime(groupHeartbeat.group);
+        GroupRuntime *group = findOrCreateRuntime(groupHeartbeat.group);
         if (!group)
             continue;
         if (auto promise = group->onHeartbeat(heartbeat.from, groupHeartbeat))
@@ -313,7 +313,7 @@
 
 void GroupDirectory::handle(inner::LinkId, inner::HandOver &&handOver)
 {
-    if (GroupRuntime *group = runtime(handOver.group))
+    if (GroupRuntime *group = findOrCreateRuntime(handOver.group))
         group->onHandOver(handOver.newEpoch);
 }
 
@@ -321,7 +321,7 @@
 
 void GroupDirectory::handle(inner::LinkId link, inner::Locate &&locate)
 {
-    GroupRuntime *group = runtime(locate.group);
+    GroupRuntime *group = findOrCreateRuntime(locate.group);
     if (group)
         group->refreshOwner();
     if (group && group->ownerAddress().empty())
@@ -338,9 +338,9 @@
     answer.requestId = requestId;
     answer.from = ports_.self;
     answer.group = group;
-    if (GroupRuntime *known = findRuntime(group)) {
-        answer.epoch = known->ownership().epoch();
-        answer.owner = known->ownerAddress();
+    if (GroupRuntime *runtime = findRuntime(group)) {
+        answer.epoch = runtime->ownership().epoch();
+        answer.owner = runtime->ownerAddress();
     }
     ports_.links.sendOn(link, std::move(answer)).IgnoreError();
 }
@@ -351,8 +351,8 @@
     waiting.swap(waitingLocates_);
     for (WaitingLocate &locate : waiting) {
         GroupRuntime *group = findRuntime(locate.group);
-        const bool known = group && !group->ownerAddress().empty();
-        if (known || ports_.timers.now() >= locate.expiresAt)
+        const bool ownerKnown = group && !group->ownerAddress().empty();
+        if (ownerKnown || ports_.timers.now() >= locate.expiresAt)
             sendLocation(locate.link, locate.requestId, locate.group);
         else
             waitingLocates_.push_back(std::move(locate));
@@ -363,10 +363,10 @@
 
 void GroupDirectory::handle(inner::LinkId link, inner::OperatorRequest &&request)
 {
-    ports_.links.sendOn(link, carryOut(request)).IgnoreError();
+    ports_.links.sendOn(link, operate(request)).IgnoreError();
 }
 
-inner::OperatorAnswer GroupDirectory::carryOut(const inner::OperatorRequest &request)
+inner::OperatorAnswer GroupDirectory::operate(const inner::OperatorRequest &request)
 {
     inner::OperatorAnswer answer;
     answer.requestId = request.requestId;
--- a/src/owner/groupdirectory.h
+++ b/src/owner/groupdirectory.h
@@ -38,7 +38,7 @@
     bool draining() const { return draining_; }
     bool ready() const { return configuration_ != nullptr; }
 
-    inner::OperatorAnswer carryOut(const inner::OperatorRequest &request);
+    inner::OperatorAnswer operate(const inner::OperatorRequest &request);
 
 private:
     void handle(inner::LinkId link, inner::Execute &&execute);
@@ -54,7 +54,7 @@
     { }
 
     // Returns the group's runtime and creates it if needed; null if the group is not configured.
-    GroupRuntime *runtime(const GroupName &group);
+    GroupRuntime *findOrCreateRuntime(const GroupName &group);
     GroupRuntime *findRuntime(const GroupName &group);
     void classify(Request &request) const;
     void refuse(Request &request, Reason reason);
--- a/src/owner/groupruntime.cpp
+++ b/src/owner/groupruntime.cpp
@@ -124,8 +124,8 @@
     reserveOpen_ = reserve;
     updateConnectionShare();
     if (reserveOpen_) {
-        failover_.warm();
-        servers_.warm();
+        failover_.preconnect();
+        servers_.preconnect();
     }
 }
 
@@ -350,7 +350,7 @@
     confirmations_.onPrimaryReady(ready.term, group.servers.size());
     writes_.onPrimaryReady();
     failover_.sampleAll();
-    servers_.warm();
+    servers_.preconnect();
     acceptRequestsWhenReady();
 }
 
--- a/src/owner/groupservers.cpp
+++ b/src/owner/groupservers.cpp
@@ -76,8 +76,8 @@
 
 void GroupServers::release(const ServerName &name, const ConnectionPtr &connection, bool reusable)
 {
-    if (ServerExecutor *known = executor(name))
-        known->release(connection, reusable);
+    if (ServerExecutor *found = executor(name))
+        found->release(connection, reusable);
     else
         connection->close();
 }
@@ -239,13 +239,13 @@
 {
     connectionShare_ = share;
     const auto remaining = std::make_shared<std::size_t>(servers_.size());
-    const auto onLaneWithinLimit = [remaining, onWithinShare] {
+    const auto onServerWithinLimit = [remaining, onWithinShare] {
         if (--*remaining == 0 && onWithinShare)
             onWithinShare();
     };
     for (auto &[name, server] : servers_)
         server.executor->setConnectionLimit(connectionLimit(server.executor->server(), share),
-                                            onLaneWithinLimit);
+                                            onServerWithinLimit);
 }
 
 std::size_t GroupServers::transactionLimit() const
@@ -258,14 +258,14 @@
     return static_cast<std::size_t>(limit);
 }
 
-void GroupServers::warm()
+void GroupServers::preconnect()
 {
     if (connectionShare_ == ConnectionShare::None)
         return;
     for (auto &[name, server] : servers_) {
         const settings::Server &settings = server.executor->server();
         const int open = std::min(settings.slots, successorReserve(settings) - controlConnections);
-        server.executor->warm(
+        server.executor->setMinConnections(
             settings.administrativeState == settings::AdministrativeState::Active ? open : 0);
     }
 }
--- a/src/owner/groupservers.h
+++ b/src/owner/groupservers.h
@@ -69,7 +69,7 @@
     // Returns the limit of open transactions, which leaves one connection free for each slot.
     std::size_t transactionLimit() const;
     // Opens pooled connections ahead of need.
-    void warm();
+    void preconnect();
 
 private:
     struct Server
--- a/src/owner/ownerprocess.cpp
+++ b/src/owner/ownerprocess.cpp
@@ -131,7 +131,7 @@
 void OwnerProcess::operate(const inner::OperatorRequest &request, admin::OperatorReply reply)
 {
     boost::asio::post(groupsThread_.context(), [this, request, reply = std::move(reply)] {
-        reply(directory_->carryOut(request));
+        reply(directory_->operate(request));
     });
 }
 
--- a/src/owner/ownershipdriver.cpp
+++ b/src/owner/ownershipdriver.cpp
@@ -36,7 +36,7 @@
 
 void OwnershipDriver::refresh()
 {
-    carryOut(ownership_.refresh(now()));
+    perform(ownership_.refresh(now()));
 }
 
 std::optional<inner::GroupHeartbeatAnswer>
@@ -45,7 +45,7 @@
     decision::OwnershipActions actions;
     const auto answer =
         ownership_.onLeaseRequest(now(), {heartbeat.epoch, from, heartbeat.sequence}, actions);
-    carryOut(actions);
+    perform(actions);
     if (!answer)
         return std::nullopt;
     return inner::GroupHeartbeatAnswer {group_, answer->epoch, answer->sequence, answer->promised,
@@ -57,17 +57,17 @@
 {
     const decision::LeaseAnswer leaseAnswer {from, answer.epoch, answer.sequence, answer.promised,
                                              answer.knownEpoch};
-    carryOut(ownership_.onLeaseAnswer(now(), leaseAnswer));
+    perform(ownership_.onLeaseAnswer(now(), leaseAnswer));
 }
 
 void OwnershipDriver::onIncarnation(const ProcessId &liveProcess)
 {
-    carryOut(ownership_.onIncarnation(now(), liveProcess));
+    perform(ownership_.onIncarnation(now(), liveProcess));
 }
 
 void OwnershipDriver::onProcessGone(const ProcessId &process)
 {
-    carryOut(ownership_.onProcessGone(now(), process));
+    perform(ownership_.onProcessGone(now(), process));
 }
 
 void OwnershipDriver::setSuccessorCandidates(std::vector<ProcessId> candidates)
@@ -89,17 +89,17 @@
 
 void OwnershipDriver::beginHandOver()
 {
-    carryOut(ownership_.beginHandOver(now()));
+    perform(ownership_.beginHandOver(now()));
 }
 
 void OwnershipDriver::onHandOver(OwnerEpoch newEpoch)
 {
-    carryOut(ownership_.onHandOver(now(), newEpoch));
+    perform(ownership_.onHandOver(now(), newEpoch));
 }
 
 void OwnershipDriver::tick()
 {
-    carryOut(ownership_.onTick(now()));
+    perform(ownership_.onTick(now()));
 }
 
 Duration OwnershipDriver::leaseLeft() const
@@ -111,13 +111,13 @@
     return end > now() + maxLeaseLeft ? maxLeaseLeft : end - now();
 }
 
-void OwnershipDriver::carryOut(const decision::OwnershipActions &actions)
+void OwnershipDriver::perform(const decision::OwnershipActions &actions)
 {
     for (const auto &action : actions)
-        std::visit([this](const auto &typedAction) { carryOut(typedAction); }, action);
+        std::visit([this](const auto &typedAction) { perform(typedAction); }, action);
 }
 
-void OwnershipDriver::carryOut(const decision::ReadRow &)
+void OwnershipDriver::perform(const decision::ReadRow &)
 {
     std::weak_ptr<bool> alive = alive_;
     ports_.table.read(services::ownershipTable, group_, [this, alive](auto read) {
@@ -126,7 +126,7 @@
     });
 }
 
-void OwnershipDriver::carryOut(const decision::WriteRow &action)
+void OwnershipDriver::perform(const decision::WriteRow &action)
 {
     services::ConditionalWrite write;
     write.table = services::ownershipTable;
@@ -143,27 +143,27 @@
     });
 }
 
-void OwnershipDriver::carryOut(const decision::SendLeaseRequest &action)
+void OwnershipDriver::perform(const decision::SendLeaseRequest &action)
 {
     heartbeats_.add(action.to,
                     {group_, action.request.epoch, action.request.sequence, term_, primary_});
 }
 
-void OwnershipDriver::carryOut(const decision::StartServing &action)
+void OwnershipDriver::perform(const decision::StartServing &action)
 {
     LOG(INFO) << "event=start_serving group=" << group_ << " epoch=" << action.epoch;
     listener_.onRowChanged();
     listener_.onStartServing(action);
 }
 
-void OwnershipDriver::carryOut(const decision::StopServing &action)
+void OwnershipDriver::perform(const decision::StopServing &action)
 {
     LOG(INFO) << "event=stop_serving group=" << group_ << " cause=" << logValue(action.reason);
     listener_.onStopServing(action.reason);
     listener_.onRowChanged();
 }
 
-void OwnershipDriver::carryOut(const decision::SendHandOver &action)
+void OwnershipDriver::perform(const decision::SendHandOver &action)
 {
     LOG(INFO) << "event=hand_over group=" << group_ << " to=" << action.to.address
               << " epoch=" << action.epoch;
@@ -173,21 +173,21 @@
 void OwnershipDriver::onRowRead(const absl::StatusOr<std::optional<services::TableRow>> &read)
 {
     if (!read.ok()) {
-        carryOut(ownership_.onRowReadFailed(now()));
+        perform(ownership_.onRowReadFailed(now()));
         return;
     }
     if (!read->has_value()) {
-        carryOut(ownership_.onRow(now(), std::nullopt));
+        perform(ownership_.onRow(now(), std::nullopt));
         return;
     }
     const auto row = services::decodeOwnershipRow((*read)->value);
     if (!row.ok()) {
         LOG(ERROR) << "event=ownership_row_unreadable group=" << group_
                    << " cause=" << logValue(std::string(row.status().message()));
-        carryOut(ownership_.onRowReadFailed(now()));
+        perform(ownership_.onRowReadFailed(now()));
         return;
     }
-    carryOut(ownership_.onRow(now(), decision::TaggedRow {*row, (*read)->etag}));
+    perform(ownership_.onRow(now(), decision::TaggedRow {*row, (*read)->etag}));
     listener_.onRowChanged();
 }
 
@@ -199,7 +199,7 @@
     if (outcome != WriteOutcome::Done)
         LOG(WARNING) << "event=ownership_write_failed group=" << group_ << " epoch=" << row.epoch
                      << " cause=" << logValue(std::string(etags.status().message()));
-    carryOut(ownership_.onWriteOutcome(now(), row.changeId, outcome, newEtag));
+    perform(ownership_.onWriteOutcome(now(), row.changeId, outcome, newEtag));
     listener_.onRowChanged();
 }
 
--- a/src/owner/ownershipdriver.h
+++ b/src/owner/ownershipdriver.h
@@ -52,13 +52,13 @@
     const std::optional<decision::TaggedRow> &row() const { return ownership_.row(); }
 
 private:
-    void carryOut(const decision::OwnershipActions &actions);
-    void carryOut(const decision::ReadRow &action);
-    void carryOut(const decision::WriteRow &action);
-    void carryOut(const decision::SendLeaseRequest &action);
-    void carryOut(const decision::StartServing &action);
-    void carryOut(const decision::StopServing &action);
-    void carryOut(const decision::SendHandOver &action);
+    void perform(const decision::OwnershipActions &actions);
+    void perform(const decision::ReadRow &action);
+    void perform(const decision::WriteRow &action);
+    void perform(const decision::SendLeaseRequest &action);
+    void perform(const decision::StartServing &action);
+    void perform(const decision::StopServing &action);
+    void perform(const decision::SendHandOver &action);
     void onRowRead(const absl::StatusOr<std::optional<services::TableRow>> &read);
     void onRowWritten(const decision::OwnershipRow &row,
                       const absl::StatusOr<std::vector<std::string>> &etags);
--- a/src/owner/readrunner.cpp
+++ b/src/owner/readrunner.cpp
@@ -105,7 +105,7 @@
     if (read->request->answered || !admit(read))
         return;
     const Instant now = context_.now();
-    read->requirements.deadlineIn = read->request->deadline - now;
+    read->requirements.timeLeft = read->request->deadline - now;
     read->requirements.waited = now - read->request->arrived;
     const auto &servers =
         context_.servers.viewsFor(now, read->request->requestClass, read->request->execute.team);
--- a/src/owner/recordpurge.cpp
+++ b/src/owner/recordpurge.cpp
@@ -42,12 +42,12 @@
                                                 context_.limits().keyRetention, maxRecordsPerPurge),
                         [this, alive, server, workItem, startedAt,
                          connection](const backend::BatchResult &result) {
-                            ServerExecutor *currentLane =
+                            ServerExecutor *currentExecutor =
                                 alive.expired() ? nullptr : context_.servers.executor(server);
-                            if (!currentLane)
+                            if (!currentExecutor)
                                 return;
-                            currentLane->finished(workItem, context_.now() - startedAt);
-                            currentLane->release(connection, !result.connectionLost);
+                            currentExecutor->finished(workItem, context_.now() - startedAt);
+                            currentExecutor->release(connection, !result.connectionLost);
                         });
     };
     executor.submit(std::move(work));
--- a/src/owner/serverendpoint.cpp
+++ b/src/owner/serverendpoint.cpp
@@ -17,16 +17,16 @@
     return found == group.servers.end() ? nullptr : &*found;
 }
 
-bool isRemovedOrChanged(const settings::Group &before, const settings::Group &now,
+bool isRemovedOrChanged(const settings::Group &before, const settings::Group &after,
                         const ServerName &name)
 {
     const settings::Server *old = findServer(before, name);
-    const settings::Server *current = findServer(now, name);
+    const settings::Server *current = findServer(after, name);
     if (!old || !current)
         return true;
     return old->address != current->address || old->port != current->port
-        || before.database != now.database || before.user != now.user
-        || before.password != now.password;
+        || before.database != after.database || before.user != after.user
+        || before.password != after.password;
 }
 
 } // namespace kelptally::owner
--- a/src/owner/serverendpoint.h
+++ b/src/owner/serverendpoint.h
@@ -13,7 +13,7 @@
 
 // Whether the server was removed or added, or its address or credentials changed, so that existing
 // connections to it must be closed.
-bool isRemovedOrChanged(const settings::Group &before, const settings::Group &now,
+bool isRemovedOrChanged(const settings::Group &before, const settings::Group &after,
                         const ServerName &name);
 
 } // namespace kelptally::owner
--- a/src/owner/serverexecutor.cpp
+++ b/src/owner/serverexecutor.cpp
@@ -210,9 +210,9 @@
     dispatch();
 }
 
-void ServerExecutor::warm(int connections)
+void ServerExecutor::setMinConnections(int connections)
 {
-    pool_->warm(connections);
+    pool_->setMinConnections(connections);
 }
 
 } // namespace kelptally::owner
--- a/src/owner/serverexecutor.h
+++ b/src/owner/serverexecutor.h
@@ -62,7 +62,7 @@
     // Calls withinLimit once the number of connections is within the limit.
     void setConnectionLimit(int limit, std::function<void()> withinLimit = {});
     void configure(const settings::Server &server, const std::vector<settings::Team> &teams);
-    void warm(int connections);
+    void setMinConnections(int connections);
 
     const settings::Server &server() const { return server_; }
     const decision::Admission &admission() const { return admission_; }
--- a/src/services/configrows.cpp
+++ b/src/services/configrows.cpp
@@ -16,7 +16,7 @@
 // A control character takes six bytes in JSON; the rest is for the other fields.
 constexpr std::size_t maxVersionBytes = 6 * settings::maxDocumentBytes + 4096;
 
-absl::Status tooLarge()
+absl::Status tooLargeError()
 {
     return absl::InvalidArgumentError("a field of the configuration version is too long");
 }
@@ -45,7 +45,7 @@
 absl::StatusOr<std::string> encodeConfigRow(const NewestConfigRow &row)
 {
     if (row.changeId.size() > maxChangeIdLength)
-        return tooLarge();
+        return tooLargeError();
     return serialized({{"version", row.version}, {"changeId", row.changeId}});
 }
 
@@ -53,7 +53,7 @@
 {
     if (row.changeId.size() > maxChangeIdLength || row.author.size() > maxAuthorLength
         || row.time.size() > maxTimeLength || row.document.size() > settings::maxDocumentBytes)
-        return tooLarge();
+        return tooLargeError();
     return serialized({{"version", row.version},
                        {"changeId", row.changeId},
                        {"author", row.author},
--- a/src/services/httpclient.cpp
+++ b/src/services/httpclient.cpp
@@ -71,7 +71,7 @@
 }
 
 // A queued or running call.
-struct Job
+struct Call
 {
     HttpRequest request;
     HttpCallback callback;
@@ -82,7 +82,7 @@
     bool retried = false;
     bool done = false;
 };
-using JobPtr = std::shared_ptr<Job>;
+using CallPtr = std::shared_ptr<Call>;
 
 } // namespace
 
@@ -108,22 +108,22 @@
     using ConnectionPtr = std::shared_ptr<Connection>;
 
     void dispatch();
-    ConnectionPtr takeConnection(const Job &job);
-    void startSilenceTimer(const JobPtr &job);
-    void onSilenceTimeout(const JobPtr &job);
-    void closeConnectionOf(const JobPtr &job);
+    ConnectionPtr takeConnection(const Call &call);
+    void startSilenceTimer(const CallPtr &call);
+    void onSilenceTimeout(const CallPtr &call);
+    void closeConnectionOf(const CallPtr &call);
     void release(const ConnectionPtr &connection);
     void remove(const ConnectionPtr &connection);
-    void onTimeout(const JobPtr &job);
-    void retry(const JobPtr &job);
-    void finish(const JobPtr &job, absl::StatusOr<HttpResponse> result);
+    void onTimeout(const CallPtr &call);
+    void retry(const CallPtr &call);
+    void finish(const CallPtr &call, absl::StatusOr<HttpResponse> result);
 
     asio::io_context &context_;
     TimerService &timers_;
     const std::string address_;
     Tcp::endpoint endpoint_;
     const Duration timeout_;
-    std::deque<JobPtr> queue_;
+    std::deque<CallPtr> queue_;
     std::vector<ConnectionPtr> idle_;
     std::vector<ConnectionPtr> busy_;
 };
@@ -134,13 +134,13 @@
 public:
     explicit Connection(std::shared_ptr<Pool> pool) : pool_(pool), socket_(pool->context_) { }
 
-    void run(JobPtr job);
+    void run(CallPtr call);
     void close();
     // Later events of the connection no longer affect the call.
-    void detachJob() { job_ = nullptr; }
+    void detachCall() { call_ = nullptr; }
     // Whether the connection is open and has no unexpected input.
     bool isAlive();
-    const JobPtr &job() const { return job_; }
+    const CallPtr &call() const { return call_; }
     bool isReused() const { return reused_; }
     // Time of the last answer; Instant() before the first one.
     Instant answeredAt() const { return answeredAt_; }
@@ -154,7 +154,7 @@
 
     std::weak_ptr<Pool> pool_;
     Tcp::socket socket_;
-    JobPtr job_;
+    CallPtr call_;
     bool connected_ = false;
     bool reused_ = false;
     Instant answeredAt_ {};
@@ -163,23 +163,23 @@
     std::optional<http::response_parser<http::string_body>> parser_;
 };
 
-void HttpClient::Pool::Connection::run(JobPtr job)
+void HttpClient::Pool::Connection::run(CallPtr call)
 {
-    job_ = std::move(job);
+    call_ = std::move(call);
     reused_ = connected_;
     parser_.reset();
     const auto pool = pool_.lock();
-    request_ = {verbOf(job_->request.method), job_->request.target, httpVersion};
+    request_ = {verbOf(call_->request.method), call_->request.target, httpVersion};
     request_.set(http::field::host, pool->address_);
-    if (job_->request.condition == HttpCondition::Matches)
-        request_.set(http::field::if_match, "\"" + job_->request.etag + "\"");
-    if (job_->request.condition == HttpCondition::Absent)
+    if (call_->request.condition == HttpCondition::Matches)
+        request_.set(http::field::if_match, "\"" + call_->request.etag + "\"");
+    if (call_->request.condition == HttpCondition::Absent)
         request_.set(http::field::if_none_match, "*");
-    if (!job_->request.body.empty())
+    if (!call_->request.body.empty())
         request_.set(http::field::content_type, "application/json");
-    for (const HttpField &field : job_->request.fields)
+    for (const HttpField &field : call_->request.fields)
         request_.set(field.name, field.value);
-    request_.body() = job_->request.body;
+    request_.body() = call_->request.body;
     request_.prepare_payload();
     if (connected_)
         write();
@@ -202,9 +202,9 @@
 
 void HttpClient::Pool::Connection::write()
 {
-    if (!job_ || job_->done)
+    if (!call_ || call_->done)
         return;
-    job_->sent = true;
+    call_->sent = true;
     http::async_write(socket_, request_,
                       [self = shared_from_this()](const Error &error, std::size_t) {
                           if (error)
@@ -228,44 +228,44 @@
 void HttpClient::Pool::Connection::onResponse()
 {
     const auto pool = pool_.lock();
-    if (!pool || !job_ || job_->done)
+    if (!pool || !call_ || call_->done)
         return;
     HttpResponse response;
     response.status = static_cast<int>(parser_->get().result_int());
     response.etag = unquoted(parser_->get()[http::field::etag]);
     response.body = std::move(parser_->get().body());
-    const JobPtr job = std::move(job_);
-    job_ = nullptr;
+    const CallPtr call = std::move(call_);
+    call_ = nullptr;
     answeredAt_ = pool->timers_.now();
     // A connection with bytes beyond the answer can't be reused.
     if (parser_->keep_alive() && buffer_.size() == 0)
         pool->release(shared_from_this());
     else
         pool->remove(shared_from_this());
-    pool->finish(job, std::move(response));
+    pool->finish(call, std::move(response));
 }
 
 void HttpClient::Pool::Connection::fail(const Error &error)
 {
     const auto pool = pool_.lock();
-    if (!pool || !job_ || job_->done)
+    if (!pool || !call_ || call_->done)
         return;
-    const JobPtr job = std::move(job_);
-    job_ = nullptr;
+    const CallPtr call = std::move(call_);
+    call_ = nullptr;
     pool->remove(shared_from_this());
-    const bool isRead = job->request.method == HttpMethod::Get;
+    const bool isRead = call->request.method == HttpMethod::Get;
     const bool answerBegun = parser_ && parser_->got_some();
-    if (isRead && reused_ && !answerBegun && !job->retried)
-        return pool->retry(job);
+    if (isRead && reused_ && !answerBegun && !call->retried)
+        return pool->retry(call);
     const std::string text = pool->address_ + ": " + error.message();
-    pool->finish(job, job->sent ? absl::UnknownError(text) : absl::UnavailableError(text));
+    pool->finish(call, call->sent ? absl::UnknownError(text) : absl::UnavailableError(text));
 }
 
 void HttpClient::Pool::Connection::close()
 {
     Error ignored;
     // A reset discards what is not sent yet, so that an aborted request can't arrive later.
-    if (job_)
+    if (call_)
         socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     socket_.close(ignored);
 }
@@ -279,45 +279,45 @@
 
 void HttpClient::Pool::send(HttpRequest request, Duration timeout, HttpCallback callback)
 {
-    auto job = std::make_shared<Job>();
-    job->request = std::move(request);
-    job->callback = std::move(callback);
+    auto call = std::make_shared<Call>();
+    call->request = std::move(request);
+    call->callback = std::move(callback);
     const std::weak_ptr<Pool> weak = shared_from_this();
     if (queue_.size() >= maxQueued || endpoint_.port() == 0) {
         const char *reason =
             endpoint_.port() == 0 ? " is not an address" : ": too many calls are waiting";
-        asio::post(context_, [weak, job, reason] {
+        asio::post(context_, [weak, call, reason] {
             if (const auto pool = weak.lock())
-                pool->finish(job, absl::UnavailableError(pool->address_ + reason));
+                pool->finish(call, absl::UnavailableError(pool->address_ + reason));
         });
         return;
     }
-    job->timer = timers_.subscribeAfter(timeout, [weak, job] {
+    call->timer = timers_.subscribeAfter(timeout, [weak, call] {
         if (const auto pool = weak.lock())
-            pool->onTimeout(job);
+            pool->onTimeout(call);
     });
-    queue_.push_back(job);
+    queue_.push_back(call);
     dispatch();
 }
 
 void HttpClient::Pool::dispatch()
 {
     while (!queue_.empty()) {
-        const JobPtr job = queue_.front();
-        const ConnectionPtr connection = takeConnection(*job);
+        const CallPtr call = queue_.front();
+        const ConnectionPtr connection = takeConnection(*call);
         if (!connection)
             return;
         queue_.pop_front();
         busy_.push_back(connection);
-        connection->run(job);
-        if (connection->isReused() && !job->retried && job->request.method == HttpMethod::Get)
-            startSilenceTimer(job);
+        connection->run(call);
+        if (connection->isReused() && !call->retried && call->request.method == HttpMethod::Get)
+            startSilenceTimer(call);
     }
 }
 
-HttpClient::Pool::ConnectionPtr HttpClient::Pool::takeConnection(const Job &job)
+HttpClient::Pool::ConnectionPtr HttpClient::Pool::takeConnection(const Call &call)
 {
-    const bool isRetryable = job.request.method == HttpMethod::Get;
+    const bool isRetryable = call.request.method == HttpMethod::Get;
     while (!idle_.empty()) {
         const ConnectionPtr connection = idle_.back();
         // The last idle connection is the one that answered most recently.
@@ -345,63 +345,63 @@
     connection->close();
 }
 
-void HttpClient::Pool::startSilenceTimer(const JobPtr &job)
+void HttpClient::Pool::startSilenceTimer(const CallPtr &call)
 {
     const std::weak_ptr<Pool> weak = shared_from_this();
-    job->silenceTimer =
-        timers_.subscribeAfter(job->request.longPollTime + silenceTimeout, [weak, job] {
+    call->silenceTimer =
+        timers_.subscribeAfter(call->request.longPollTime + silenceTimeout, [weak, call] {
             if (const auto pool = weak.lock())
-                pool->onSilenceTimeout(job);
+                pool->onSilenceTimeout(call);
         });
 }
 
-void HttpClient::Pool::onSilenceTimeout(const JobPtr &job)
+void HttpClient::Pool::onSilenceTimeout(const CallPtr &call)
 {
-    if (job->done || job->retried)
+    if (call->done || call->retried)
         return;
-    closeConnectionOf(job);
-    retry(job);
+    closeConnectionOf(call);
+    retry(call);
 }
 
 // Closes the call's connection.
-void HttpClient::Pool::closeConnectionOf(const JobPtr &job)
+void HttpClient::Pool::closeConnectionOf(const CallPtr &call)
 {
     for (const auto &connection : std::vector<ConnectionPtr>(busy_)) {
-        if (connection->job() != job)
+        if (connection->call() != call)
             continue;
         remove(connection);
-        connection->detachJob();
+        connection->detachCall();
     }
 }
 
-void HttpClient::Pool::onTimeout(const JobPtr &job)
+void HttpClient::Pool::onTimeout(const CallPtr &call)
 {
-    if (job->done)
+    if (call->done)
         return;
-    queue_.erase(std::remove(queue_.begin(), queue_.end(), job), queue_.end());
-    closeConnectionOf(job);
+    queue_.erase(std::remove(queue_.begin(), queue_.end(), call), queue_.end());
+    closeConnectionOf(call);
     const std::string text = address_ + ": no answer within the timeout";
-    finish(job, job->sent ? absl::DeadlineExceededError(text) : absl::UnavailableError(text));
+    finish(call, call->sent ? absl::DeadlineExceededError(text) : absl::UnavailableError(text));
 }
 
-void HttpClient::Pool::retry(const JobPtr &job)
+void HttpClient::Pool::retry(const CallPtr &call)
 {
-    job->retried = true;
+    call->retried = true;
     // The other idle connections are likely to be dead too.
     idle_.clear();
-    queue_.push_front(job);
+    queue_.push_front(call);
     dispatch();
 }
 
-void HttpClient::Pool::finish(const JobPtr &job, absl::StatusOr<HttpResponse> result)
+void HttpClient::Pool::finish(const CallPtr &call, absl::StatusOr<HttpResponse> result)
 {
-    if (job->done)
+    if (call->done)
         return;
-    job->done = true;
-    timers_.cancel(job->timer);
-    timers_.cancel(job->silenceTimer);
-    const HttpCallback callback = std::move(job->callback);
-    job->callback = nullptr;
+    call->done = true;
+    timers_.cancel(call->timer);
+    timers_.cancel(call->silenceTimer);
+    const HttpCallback callback = std::move(call->callback);
+    call->callback = nullptr;
     const auto self = shared_from_this();
     callback(std::move(result));
     dispatch();
@@ -409,33 +409,33 @@
 
 void HttpClient::Pool::abortOpenCalls()
 {
-    std::vector<JobPtr> jobs;
+    std::vector<CallPtr> calls;
     for (const auto &connection : busy_) {
-        if (connection->job())
-            jobs.push_back(connection->job());
+        if (connection->call())
+            calls.push_back(connection->call());
         connection->close();
-        connection->detachJob();
+        connection->detachCall();
     }
     busy_.clear();
     idle_.clear();
     const std::string text = address_ + ": aborted because open connections are silent";
-    for (const JobPtr &job : jobs)
-        finish(job, job->sent ? absl::DeadlineExceededError(text) : absl::UnavailableError(text));
+    for (const CallPtr &call : calls)
+        finish(call, call->sent ? absl::DeadlineExceededError(text) : absl::UnavailableError(text));
     dispatch();
 }
 
 void HttpClient::Pool::close()
 {
     for (const auto &connection : busy_) {
-        if (connection->job()) {
-            connection->job()->done = true;
-            timers_.cancel(connection->job()->timer);
-            timers_.cancel(connection->job()->silenceTimer);
+        if (connection->call()) {
+            connection->call()->done = true;
+            timers_.cancel(connection->call()->timer);
+            timers_.cancel(connection->call()->silenceTimer);
         }
         connection->close();
     }
-    for (const auto &job : queue_)
-        timers_.cancel(job->timer);
+    for (const auto &call : queue_)
+        timers_.cancel(call->timer);
     queue_.clear();
     busy_.clear();
     idle_.clear();
--- a/src/session/callersession.cpp
+++ b/src/session/callersession.cpp
@@ -301,7 +301,7 @@
     });
 }
 
-void CallerSession::onCallerGone()
+void CallerSession::onCallerDisconnected()
 {
     output_ = nullptr;
     parts_.timers.cancel(idleTimer_);
--- a/src/session/callersession.h
+++ b/src/session/callersession.h
@@ -62,7 +62,7 @@
     // Answers a statement that could not be parsed.
     void refuse(Reason reason, const std::string &detail);
     // Rolls back and cancels when the caller has disconnected. The output is not used afterwards.
-    void onCallerGone();
+    void onCallerDisconnected();
 
     bool answering() const { return answering_; }
     SessionState state() const { return state_; }
--- a/src/settings/inidocument.cpp
+++ b/src/settings/inidocument.cpp
@@ -224,7 +224,7 @@
     std::map<std::string, int> keys_;
 };
 
-std::string tooLarge()
+std::string tooLargeProblem()
 {
     return "the file is larger than " + std::to_string(maxDocumentBytes) + " bytes";
 }
@@ -244,7 +244,7 @@
               const SectionHandler &onSection)
 {
     if (text.size() > maxDocumentBytes) {
-        findings.add(file, 0, "", tooLarge());
+        findings.add(file, 0, "", tooLargeProblem());
         return;
     }
     constexpr std::string_view byteOrderMark = "\xEF\xBB\xBF";
@@ -264,7 +264,7 @@
         text.append(block.data(), static_cast<std::size_t>(in.gcount()));
     }
     if (text.size() > maxDocumentBytes) {
-        findings.add(path, 0, "", tooLarge());
+        findings.add(path, 0, "", tooLargeProblem());
         return {};
     }
     if (!in.eof()) {
--- a/tests/backend/connectionpool_test.cpp
+++ b/tests/backend/connectionpool_test.cpp
@@ -273,7 +273,7 @@
     options.limit = 1;
     options.minOpen = 1;
     PoolFixture fixture(options);
-    fixture.pool->warm(1);
+    fixture.pool->setMinConnections(1);
     std::vector<Duration> pauses;
     for (int i = 0; i < 12; ++i) {
         REQUIRE(fixture.server->pending.size() == 1);
@@ -329,12 +329,12 @@
     options.limit = 5;
     PoolFixture fixture(options);
     std::vector<std::shared_ptr<Connection>> used;
-    const auto pick = [&random](std::size_t size) { return random() % size; };
+    const auto randomBelow = [&random](std::size_t size) { return random() % size; };
     for (int step = 0; step < 4000; ++step) {
-        switch (pick(8)) {
+        switch (randomBelow(8)) {
         case 0:
         case 1:
-            fixture.pool->acquire(fixture.timers.now() + milliseconds(pick(100)),
+            fixture.pool->acquire(fixture.timers.now() + milliseconds(randomBelow(100)),
                                   [&used](const absl::Status &status, auto connection) {
                                       if (status.ok())
                                           used.push_back(std::move(connection));
@@ -343,10 +343,11 @@
         case 2:
         case 3:
             if (!used.empty()) {
-                const auto at = used.begin() + static_cast<std::ptrdiff_t>(pick(used.size()));
+                const auto at =
+                    used.begin() + static_cast<std::ptrdiff_t>(randomBelow(used.size()));
                 const auto connection = *at;
                 used.erase(at);
-                fixture.pool->release(connection, pick(4) != 0);
+                fixture.pool->release(connection, randomBelow(4) != 0);
             }
             break;
         case 4:
@@ -354,14 +355,14 @@
                 fixture.server->accept();
             break;
         case 5:
-            if (!fixture.server->pending.empty() && pick(3) == 0)
+            if (!fixture.server->pending.empty() && randomBelow(3) == 0)
                 fixture.server->refuse(absl::UnavailableError("refused"));
             break;
         case 6:
             fixture.server->completeCloses();
             break;
         default:
-            fixture.timers.advance(milliseconds(pick(50)));
+            fixture.timers.advance(milliseconds(randomBelow(50)));
         }
         REQUIRE(fixture.server->counted() <= 5);
         REQUIRE(fixture.pool->counted() <= 5);
--- a/tests/backend/postgresserver_test.cpp
+++ b/tests/backend/postgresserver_test.cpp
@@ -17,7 +17,7 @@
 ScriptedServer::Script answerBatch(std::string answer, bool thenClose)
 {
     return [answer = std::move(answer), thenClose](Socket &socket) {
-        ScriptedServer::send(socket, ScriptedServer::loggedIn());
+        ScriptedServer::send(socket, ScriptedServer::loginAnswer());
         ScriptedServer::readUntil(socket, 'S');
         ScriptedServer::send(socket, answer);
         if (!thenClose)
@@ -145,7 +145,7 @@
 {
     std::promise<void> closed;
     ScriptedServer peer([&](Socket &socket) {
-        ScriptedServer::send(socket, ScriptedServer::loggedIn());
+        ScriptedServer::send(socket, ScriptedServer::loginAnswer());
         socket.close();
         closed.set_value();
     });
--- a/tests/backend/scriptedserver.h
+++ b/tests/backend/scriptedserver.h
@@ -50,7 +50,10 @@
                        "S" + severity + nul + "V" + severity + nul + "C" + state + nul + "Mno" + nul
                            + nul);
     }
-    static std::string loggedIn() { return message('R', std::string(4, '\0')) + message('Z', "I"); }
+    static std::string loginAnswer()
+    {
+        return message('R', std::string(4, '\0')) + message('Z', "I");
+    }
     // The answer to one statement without rows.
     static std::string emptyAnswer()
     {
--- a/tests/backend/writeflow_test.cpp
+++ b/tests/backend/writeflow_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 const WallTime today(std::chrono::seconds(1800000000));
-const std::string todaysKey = "1800000000-a";
+const std::string currentKey = "1800000000-a";
 const std::string insertOne = "INSERT INTO decision (household, amount) VALUES ($1, 100)";
 const std::string insertReturning =
     "INSERT INTO decision (household, amount) VALUES ($1, 100) RETURNING id, household";
@@ -26,7 +26,7 @@
 
     explicit WriteFixture(int servers = 1) : DatabaseFixture(servers) { }
 
-    WriteRequest request(const std::string &sql, const std::string &key = todaysKey)
+    WriteRequest request(const std::string &sql, const std::string &key = currentKey)
     {
         WriteRequest request;
         request.statement = {sql, {}};
--- a/tests/bench/fakeentry.h
+++ b/tests/bench/fakeentry.h
@@ -52,7 +52,7 @@
         firstAnswerDelay_ = Duration(0);
         thread_.timers().subscribeAfter(delay, [reply, response] { reply->send(response); });
     }
-    void onCallerGone(caller::ConnectionId) override { }
+    void onCallerDisconnected(caller::ConnectionId) override { }
 
 private:
     static caller::HttpResponse refusal(const std::string &reason, bool retryable)
--- a/tests/caller/httpmeasure.cpp
+++ b/tests/caller/httpmeasure.cpp
@@ -32,7 +32,7 @@
         response.body = std::string(200, 'x');
         reply->send(std::move(response));
     }
-    void onCallerGone(ConnectionId) override { }
+    void onCallerDisconnected(ConnectionId) override { }
 };
 
 const std::string &request()
--- a/tests/caller/httpserver_test.cpp
+++ b/tests/caller/httpserver_test.cpp
@@ -30,7 +30,7 @@
         changed_.notify_all();
     }
 
-    void onCallerGone(ConnectionId) override
+    void onCallerDisconnected(ConnectionId) override
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         ++gone_;
--- a/tests/caller/tls_test.cpp
+++ b/tests/caller/tls_test.cpp
@@ -24,7 +24,7 @@
     {
         reply->send({200, "text/plain", {}, request.path});
     }
-    void onCallerGone(ConnectionId) override { }
+    void onCallerDisconnected(ConnectionId) override { }
 };
 
 std::string get(ssl::stream<tcp::socket> &stream, const std::string &path)
--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -16,13 +16,13 @@
 const Instant start {1h};
 
 Work workOf(WorkId id, RequestClass requestClass = RequestClass::Write,
-            const TeamName &team = "web", Duration deadlineIn = 10s)
+            const TeamName &team = "web", Duration timeLeft = 10s)
 {
     Work work;
     work.id = id;
     work.team = team;
     work.requestClass = requestClass;
-    work.deadline = start + deadlineIn;
+    work.deadline = start + timeLeft;
     return work;
 }
 
--- a/tests/decision/checkersimulation.cpp
+++ b/tests/decision/checkersimulation.cpp
@@ -289,12 +289,12 @@
     sendToProcess(index, send.to.address, [this, index, from, request](ModelProcess &to) {
         OwnershipActions actions;
         const auto answer = to.ownership().onLeaseRequest(localNow(to.self()), request, actions);
-        to.carryOut(actions);
+        to.performAll(actions);
         if (!answer)
             return;
         sendToProcess(
             slotIndex(to.self().address), from.address, [this, answer](ModelProcess &owner) {
-                owner.carryOut(owner.ownership().onLeaseAnswer(localNow(owner.self()), *answer));
+                owner.performAll(owner.ownership().onLeaseAnswer(localNow(owner.self()), *answer));
             });
     });
 }
@@ -303,7 +303,7 @@
 {
     const OwnerEpoch epoch = handOver.epoch;
     sendToProcess(slotIndex(from.address), handOver.to.address, [this, epoch](ModelProcess &to) {
-        to.carryOut(to.ownership().onHandOver(localNow(to.self()), epoch));
+        to.performAll(to.ownership().onHandOver(localNow(to.self()), epoch));
     });
 }
 
@@ -349,8 +349,8 @@
         after(lost ? Duration {0} : replyDelay, [=] {
             runAtProcess(process, [=](ModelProcess &p) {
                 const Instant local = localNow(process);
-                p.carryOut(lost ? p.ownership().onRowReadFailed(local)
-                                : p.ownership().onRow(local, row));
+                p.performAll(lost ? p.ownership().onRowReadFailed(local)
+                                  : p.ownership().onRow(local, row));
             });
         });
     });
@@ -407,7 +407,7 @@
                                     WriteOutcome outcome, const std::string &etag)
 {
     runAtProcess(process, [=](ModelProcess &p) {
-        p.carryOut(p.ownership().onWriteOutcome(localNow(process), changeId, outcome, etag));
+        p.performAll(p.ownership().onWriteOutcome(localNow(process), changeId, outcome, etag));
     });
 }
 
--- a/tests/decision/configpropagation_test.cpp
+++ b/tests/decision/configpropagation_test.cpp
@@ -234,7 +234,7 @@
     const auto asked = propagation.onNotice(begin + 700ms, "p", 6);
     REQUIRE(onlyAction<FetchConfigFromPeer>(asked));
     CHECK(onlyAction<FetchConfigFromPeer>(asked)->address == "p");
-    CHECK(onlyAction<FetchConfigFromPeer>(asked)->atLeast == 6);
+    CHECK(onlyAction<FetchConfigFromPeer>(asked)->minVersion == 6);
     CHECK(contains<InstallConfig>(propagation.onDocument(begin + 701ms, 6, "six")));
     // A late snapshot is ignored.
     CHECK(propagation.onDocument(begin + 800ms, 4, "four").empty());
--- a/tests/decision/detectionstudy.cpp
+++ b/tests/decision/detectionstudy.cpp
@@ -54,7 +54,7 @@
         primaryRefuses_ = refuses;
         primaryHangs_ = !refuses;
         if (refuses)
-            carryOut(failover_->onConnectionLost(timers_.now(), "s0"));
+            performAll(failover_->onConnectionLost(timers_.now(), "s0"));
         while (!primaryGone_)
             timers_.advanceToNext();
         return timers_.now() - fault;
@@ -67,7 +67,7 @@
         primaryGone_ = primaryRefuses_ = primaryHangs_ = false;
         failover_ =
             std::make_unique<Failover>("offers", 1, std::vector<ServerName> {"s0", "s1", "s2"});
-        carryOut(failover_->start(timers_.now(), 0, ""));
+        performAll(failover_->start(timers_.now(), 0, ""));
         timers_.subscribeAfter(std::chrono::microseconds(random_() % 20000),
                                [this, run = run_] { tick(run); });
     }
@@ -76,19 +76,19 @@
     {
         if (run != run_)
             return;
-        carryOut(failover_->onTick(timers_.now()));
+        performAll(failover_->onTick(timers_.now()));
         timers_.subscribeAfter(Failover::tickPeriod, [this, run] { tick(run); });
     }
 
-    void carryOut(const FailoverActions &actions)
+    void performAll(const FailoverActions &actions)
     {
         for (const FailoverAction &action : actions) {
             if (const auto *probe = std::get_if<SendProbe>(&action))
                 answer(*probe);
             else if (const auto *fence = std::get_if<SendRaiseFence>(&action))
-                carryOut(failover_->onFenceRaised(timers_.now(), fence->server, fence->epoch));
+                performAll(failover_->onFenceRaised(timers_.now(), fence->server, fence->epoch));
             else if (const auto *history = std::get_if<SendReadHistory>(&action))
-                carryOut(failover_->onHistory(timers_.now(), history->server, {{1, 1}}));
+                performAll(failover_->onHistory(timers_.now(), history->server, {{1, 1}}));
             else if (std::get_if<PrimaryGone>(&action))
                 primaryGone_ = true;
         }
@@ -109,8 +109,8 @@
             report.term = 1;
             report.received = {1, 1};
             report.isPrimary = primary;
-            carryOut(refused ? failover_->onProbeFailed(now, probe.server, probe.sequence, true)
-                             : failover_->onReport(now, probe.server, probe.sequence, report));
+            performAll(refused ? failover_->onProbeFailed(now, probe.server, probe.sequence, true)
+                               : failover_->onReport(now, probe.server, probe.sequence, report));
         });
     }
 
--- a/tests/decision/failover_test.cpp
+++ b/tests/decision/failover_test.cpp
@@ -27,7 +27,7 @@
     ModelServer &server(const ServerName &name) { return servers.at(name); }
     bool answers(const ServerName &name) const { return !dead.count(name) && !silent.count(name); }
 
-    void start() { carryOut(failover.start(now, 0, "")); }
+    void start() { performAll(failover.start(now, 0, "")); }
 
     void run(Duration time)
     {
@@ -36,7 +36,7 @@
             now += milliseconds(10);
             if (replicating)
                 replicate();
-            carryOut(failover.onTick(now));
+            performAll(failover.onTick(now));
         }
     }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    void carryOut(const FailoverActions &actions)
+    void performAll(const FailoverActions &actions)
     {
         append(log, actions);
         for (const FailoverAction &action : actions)
@@ -66,28 +66,29 @@
     {
         if (!answers(name)) {
             if (dead.count(name))
-                carryOut(failover.onCommandFailed(now, name, CommandFailure::NotSent));
+                performAll(failover.onCommandFailed(now, name, CommandFailure::NotSent));
             return false;
         }
         const bool done = work(server(name));
         if (!done)
-            carryOut(failover.onCommandFailed(now, name, CommandFailure::Refused));
+            performAll(failover.onCommandFailed(now, name, CommandFailure::Refused));
         return done && !loseAnswers.count(name);
     }
 
     void perform(const SendProbe &action)
     {
         if (dead.count(action.server))
-            carryOut(failover.onProbeFailed(now, action.server, action.sequence, true));
+            performAll(failover.onProbeFailed(now, action.server, action.sequence, true));
         else if (!silent.count(action.server))
-            carryOut(failover.onReport(now, action.server, action.sequence,
-                                       server(action.server).report()));
+            performAll(failover.onReport(now, action.server, action.sequence,
+                                         server(action.server).report()));
     }
     void perform(const SendPrepare &action)
     {
         const Term term = action.term;
         if (command(action.server, [term](ModelServer &s) { return s.prepare(term); }))
-            carryOut(failover.onPrepared(now, action.server, term, server(action.server).report()));
+            performAll(
+                failover.onPrepared(now, action.server, term, server(action.server).report()));
     }
     void perform(const SendPromote &action)
     {
@@ -95,24 +96,24 @@
             dead.insert(action.server);
         const Term term = action.term;
         if (command(action.server, [term](ModelServer &s) { return s.promote(term); }))
-            carryOut(failover.onPromoted(now, action.server, term));
+            performAll(failover.onPromoted(now, action.server, term));
     }
     void perform(const SendFollow &action)
     {
         const auto follow = [&](ModelServer &s) { return s.follow(action.primary, action.term); };
         if (command(action.server, follow))
-            carryOut(failover.onFollowing(now, action.server, action.term));
+            performAll(failover.onFollowing(now, action.server, action.term));
     }
     void perform(const SendRaiseFence &action)
     {
         const OwnerEpoch epoch = action.epoch;
         if (command(action.server, [epoch](ModelServer &s) { return s.raiseFence(epoch); }))
-            carryOut(failover.onFenceRaised(now, action.server, epoch));
+            performAll(failover.onFenceRaised(now, action.server, epoch));
     }
     void perform(const SendReadHistory &action)
     {
         if (command(action.server, [](ModelServer &) { return true; }))
-            carryOut(failover.onHistory(now, action.server, server(action.server).history()));
+            performAll(failover.onHistory(now, action.server, server(action.server).history()));
     }
     void perform(const PrimaryGone &) { }
     void perform(const PrimaryReady &action) { ready.push_back(action); }
@@ -187,7 +188,7 @@
     SECTION("a single refusal changes nothing")
     {
         group.dead = {"s0"};
-        group.carryOut(group.failover.onConnectionLost(group.now, "s0"));
+        group.performAll(group.failover.onConnectionLost(group.now, "s0"));
         group.dead.clear();
         group.run(seconds(2));
         CHECK(group.ready.size() == 1);
@@ -196,7 +197,7 @@
     SECTION("a dead primary is replaced at once")
     {
         group.dead = {"s0"};
-        group.carryOut(group.failover.onConnectionLost(group.now, "s0"));
+        group.performAll(group.failover.onConnectionLost(group.now, "s0"));
         group.run(milliseconds(150));
         REQUIRE(group.ready.size() == 2);
         CHECK(group.ready[1].term == makeTerm(3, 1));
@@ -304,10 +305,10 @@
     }
     SECTION("an operator accepts data loss, which is reported")
     {
-        group.carryOut(group.failover.promote(group.now, "s2", false));
+        group.performAll(group.failover.promote(group.now, "s2", false));
         group.run(seconds(2));
         CHECK(group.ready.size() == 1);
-        group.carryOut(group.failover.promote(group.now, "s2", true));
+        group.performAll(group.failover.promote(group.now, "s2", true));
         const Position end = group.server("s2").end();
         group.run(seconds(1));
         REQUIRE(group.ready.size() == 2);
@@ -442,7 +443,7 @@
     group.write("s0", 5);
     group.run(milliseconds(100));
     group.write("s0", 6);
-    group.carryOut(group.failover.setServers(group.now, {"s0", "s1", "s2"}, {"s0"}));
+    group.performAll(group.failover.setServers(group.now, {"s0", "s1", "s2"}, {"s0"}));
     group.run(milliseconds(500));
     REQUIRE(group.ready.size() == 2);
     const Log &log = group.server(group.ready[1].server).log();
@@ -458,7 +459,7 @@
     Group group;
     group.start();
     group.run(milliseconds(200));
-    group.carryOut(group.failover.promote(group.now, "s2", false));
+    group.performAll(group.failover.promote(group.now, "s2", false));
     group.run(milliseconds(500));
     CHECK(group.isReady("s2"));
     CHECK_FALSE(group.ready.back().lostAfter);
--- a/tests/decision/modelprocess.cpp
+++ b/tests/decision/modelprocess.cpp
@@ -29,7 +29,7 @@
 
 // ---- Ownership ----
 
-void ModelProcess::carryOut(const OwnershipActions &actions)
+void ModelProcess::performAll(const OwnershipActions &actions)
 {
     for (const OwnershipAction &action : actions)
         std::visit([this](const auto &alternative) { perform(alternative); }, action);
@@ -61,8 +61,8 @@
     ++failoverRun_;
     failover_.emplace(group, action.epoch, servers_, options_.failover);
     confirmation_ = Confirmation(options_.requireMajority);
-    carryOut(failover_->start(now(), action.termHint, action.primaryHint));
-    carryOut(failover_->setServers(now(), servers_, leaving_));
+    performAll(failover_->start(now(), action.termHint, action.primaryHint));
+    performAll(failover_->setServers(now(), servers_, leaving_));
 }
 
 void ModelProcess::perform(const StopServing &action)
@@ -83,29 +83,29 @@
     }
     ownership_.setPreferredOwner(membership_.preferredOwner(group, "") == self_);
     ownership_.setSuccessorCandidates(membership_.successorCandidates(group, self_));
-    carryOut(ownership_.onTick(now()));
+    performAll(ownership_.onTick(now()));
 }
 
 void ModelProcess::onHello(const ProcessId &peer)
 {
     lastHello_[peer.address] = now();
     membership_.onPeerUp(now(), peer);
-    carryOut(ownership_.onIncarnation(now(), peer));
+    performAll(ownership_.onIncarnation(now(), peer));
 }
 
 void ModelProcess::onProcessGone(const ProcessId &process)
 {
-    carryOut(ownership_.onProcessGone(now(), process));
+    performAll(ownership_.onProcessGone(now(), process));
 }
 
 void ModelProcess::handOver()
 {
-    carryOut(ownership_.beginHandOver(now()));
+    performAll(ownership_.beginHandOver(now()));
 }
 
 // ---- Failover ----
 
-void ModelProcess::carryOut(const FailoverActions &actions)
+void ModelProcess::performAll(const FailoverActions &actions)
 {
     for (const FailoverAction &action : actions) {
         if (failover_)
@@ -116,7 +116,7 @@
 void ModelProcess::onFailoverTick()
 {
     if (failover_)
-        carryOut(failover_->onTick(now()));
+        performAll(failover_->onTick(now()));
     if (failover_ && confirmation_.waiting())
         probeReplicas();
 }
@@ -125,13 +125,13 @@
 {
     leaving_ = leaving;
     if (failover_)
-        carryOut(failover_->setServers(now(), servers_, leaving_));
+        performAll(failover_->setServers(now(), servers_, leaving_));
 }
 
 void ModelProcess::promote(const ServerName &server)
 {
     if (failover_)
-        carryOut(failover_->promote(now(), server, false));
+        performAll(failover_->promote(now(), server, false));
 }
 
 void ModelProcess::perform(const SendProbe &action)
@@ -142,12 +142,13 @@
         [=](ModelServer &server) {
             return [=, report = server.report()] {
                 if (failoverRun == failoverRun_)
-                    carryOut(failover_->onReport(now(), action.server, action.sequence, report));
+                    performAll(failover_->onReport(now(), action.server, action.sequence, report));
             };
         },
         [=](bool refused) {
             if (failoverRun == failoverRun_)
-                carryOut(failover_->onProbeFailed(now(), action.server, action.sequence, refused));
+                performAll(
+                    failover_->onProbeFailed(now(), action.server, action.sequence, refused));
         });
 }
 
@@ -159,7 +160,7 @@
     const std::uint64_t failoverRun = failoverRun_;
     const auto failed = [=](CommandFailure failure) {
         if (failoverRun == failoverRun_)
-            carryOut(failover_->onCommandFailed(now(), name, failure));
+            performAll(failover_->onCommandFailed(now(), name, failure));
     };
     environment_.callServer(
         self_, name,
@@ -181,7 +182,7 @@
     command(
         action.server, [=](ModelServer &server) { return server.prepare(action.term); },
         [=](const ModelServer &server) {
-            carryOut(failover_->onPrepared(now(), action.server, action.term, server.report()));
+            performAll(failover_->onPrepared(now(), action.server, action.term, server.report()));
         });
 }
 
@@ -191,7 +192,7 @@
     command(
         action.server, [=](ModelServer &server) { return server.promote(action.term); },
         [=](const ModelServer &) {
-            carryOut(failover_->onPromoted(now(), action.server, action.term));
+            performAll(failover_->onPromoted(now(), action.server, action.term));
         });
 }
 
@@ -201,7 +202,7 @@
         action.server,
         [=](ModelServer &server) { return server.follow(action.primary, action.term); },
         [=](const ModelServer &) {
-            carryOut(failover_->onFollowing(now(), action.server, action.term));
+            performAll(failover_->onFollowing(now(), action.server, action.term));
         });
 }
 
@@ -210,7 +211,7 @@
     command(
         action.server, [=](ModelServer &server) { return server.raiseFence(action.epoch); },
         [=](const ModelServer &) {
-            carryOut(failover_->onFenceRaised(now(), action.server, action.epoch));
+            performAll(failover_->onFenceRaised(now(), action.server, action.epoch));
         });
 }
 
@@ -219,7 +220,7 @@
     command(
         action.server, [](ModelServer &) { return true; },
         [=](const ModelServer &server) {
-            carryOut(failover_->onHistory(now(), action.server, server.history()));
+            performAll(failover_->onHistory(now(), action.server, server.history()));
         });
 }
 
@@ -265,7 +266,7 @@
         [=](bool refused) {
             finish(id, refused && !request.lookUp ? Outcome::Refused : Outcome::Unknown);
             if (failover_)
-                carryOut(failover_->onConnectionLost(now(), primary));
+                performAll(failover_->onConnectionLost(now(), primary));
         });
 }
 
--- a/tests/decision/modelprocess.h
+++ b/tests/decision/modelprocess.h
@@ -85,7 +85,7 @@
 
     const ProcessId &self() const { return self_; }
     Ownership &ownership() { return ownership_; }
-    void carryOut(const OwnershipActions &actions);
+    void performAll(const OwnershipActions &actions);
 
     // Called at the tick periods of Ownership and Failover.
     void onOwnershipTick();
@@ -109,7 +109,7 @@
         Outcome outcome = Outcome::Unknown;
     };
 
-    void carryOut(const FailoverActions &actions);
+    void performAll(const FailoverActions &actions);
     void perform(const ReadRow &action);
     void perform(const WriteRow &action);
     void perform(const SendLeaseRequest &action);
--- a/tests/decision/routing_test.cpp
+++ b/tests/decision/routing_test.cpp
@@ -33,7 +33,7 @@
 {
     ReadRequirements requirements;
     requirements.statedAge = 1s;
-    requirements.deadlineIn = 500ms;
+    requirements.timeLeft = 500ms;
     return requirements;
 }
 
@@ -84,7 +84,7 @@
 {
     auto servers = makeGroup();
     ReadRequirements requirements;
-    requirements.deadlineIn = 500ms;
+    requirements.timeLeft = 500ms;
     Routing routing(0);
     Route route = routing.routeRead(requirements, servers, start);
     CHECK(route.server == "a");
@@ -228,7 +228,7 @@
     servers[1].queued = servers[2].queued = 30;
     Routing routing(50);
     ReadRequirements requirements = boundedRead();
-    requirements.deadlineIn = 20ms;
+    requirements.timeLeft = 20ms;
     Route route = routing.routeRead(requirements, servers, start);
     CHECK(route.server == "a");
     CHECK(route.cause == PrimaryCause::ReplicasBusy);
--- a/tests/entry/dispatcher_test.cpp
+++ b/tests/entry/dispatcher_test.cpp
@@ -111,8 +111,8 @@
     const inner::Execute execute = f.nextExecute();
     CHECK(f.lastLink == linkA);
     CHECK(execute.group == "offers");
-    CHECK(execute.deadlineIn > Duration(1900ms));
-    CHECK(execute.deadlineIn < Duration(2s));
+    CHECK(execute.timeLeft > Duration(1900ms));
+    CHECK(execute.timeLeft < Duration(2s));
     CHECK(f.dispatcher.inProgress() == 1);
     inner::ExecuteResult result = successFor(execute);
     result.position = Position {5, 77};
@@ -271,7 +271,7 @@
     }
     SECTION("its caller disconnects")
     {
-        f.dispatcher.onCallerGone(1);
+        f.dispatcher.onCallerDisconnected(1);
         const auto cancel = f.peers.take<inner::Cancel>();
         CHECK(cancel.requestId == execute.requestId);
         CHECK(cancel.transaction == request.transaction);
@@ -298,7 +298,7 @@
     }
     SECTION("its caller has disconnected")
     {
-        f.dispatcher.onCallerGone(1);
+        f.dispatcher.onCallerDisconnected(1);
         f.peers.sent.clear();
         f.dispatcher.onResult(linkA, begun);
         CHECK(f.peers.take<inner::Cancel>().transaction == "t-9");
@@ -315,7 +315,7 @@
     }
     SECTION("its answer never comes")
     {
-        f.dispatcher.onCallerGone(1);
+        f.dispatcher.onCallerDisconnected(1);
         CHECK(f.dispatcher.inProgress() == 1);
         f.timers.advance(60s);
         CHECK(f.dispatcher.inProgress() == 0);
--- a/tests/inner/handshake_test.cpp
+++ b/tests/inner/handshake_test.cpp
@@ -16,7 +16,7 @@
 }
 
 // Both ends of one link.
-struct Ends
+struct HandshakePair
 {
     HelloExchange connector {LinkRole::Connector, "key", helloOf("c"), "a"};
     HelloExchange acceptor {LinkRole::Acceptor, "key", helloOf("a")};
@@ -26,7 +26,7 @@
 
 TEST_CASE("Both ends authenticate each other")
 {
-    Ends ends;
+    HandshakePair ends;
     const HelloStep answer = ends.acceptor.onHello(ends.connector.first());
     REQUIRE(answer.status.ok());
     CHECK_FALSE(answer.isAuthenticated);
@@ -41,11 +41,11 @@
 
 TEST_CASE("A proof can't be replayed on another link or reflected")
 {
-    Ends first;
+    HandshakePair first;
     const Hello answer = *first.acceptor.onHello(first.connector.first()).reply;
     const Hello proof = *first.connector.onHello(answer).reply;
 
-    Ends second;
+    HandshakePair second;
     // An acceptor's proof for an older connector's nonce.
     CHECK(second.connector.onHello(answer).status.code() == absl::StatusCode::kUnauthenticated);
     // A connector's complete exchange, replayed to the acceptor.
@@ -53,11 +53,11 @@
     CHECK(second.acceptor.onHello(proof).status.code() == absl::StatusCode::kUnauthenticated);
     // The acceptor's own proof, reflected to it.
     HelloExchange acceptor(LinkRole::Acceptor, "key", helloOf("a"));
-    Hello mirror = helloOf("a");
-    mirror.nonce = makeNonce();
-    const Hello own = *acceptor.onHello(mirror).reply;
-    mirror.proof = own.proof;
-    CHECK(acceptor.onHello(mirror).status.code() == absl::StatusCode::kUnauthenticated);
+    Hello reflected = helloOf("a");
+    reflected.nonce = makeNonce();
+    const Hello own = *acceptor.onHello(reflected).reply;
+    reflected.proof = own.proof;
+    CHECK(acceptor.onHello(reflected).status.code() == absl::StatusCode::kUnauthenticated);
 }
 
 TEST_CASE("The proof covers every field of a Hello")
--- a/tests/inner/peerlinks_test.cpp
+++ b/tests/inner/peerlinks_test.cpp
@@ -129,15 +129,15 @@
                 pipe->to.connect(target_, unreachable);
             pipe->generation = generation_;
             if (!error && !unreachable) {
-                pump(pipe, pipe->from, pipe->to, pipe->forth);
-                pump(pipe, pipe->to, pipe->from, pipe->back);
+                forwardBytes(pipe, pipe->from, pipe->to, pipe->forth);
+                forwardBytes(pipe, pipe->to, pipe->from, pipe->back);
             }
             accept();
         });
     }
 
-    void pump(const PipePtr &pipe, tcp::socket &from, tcp::socket &to,
-              std::array<char, 4096> &chunk)
+    void forwardBytes(const PipePtr &pipe, tcp::socket &from, tcp::socket &to,
+                      std::array<char, 4096> &chunk)
     {
         from.async_read_some(
             boost::asio::buffer(chunk),
@@ -152,7 +152,7 @@
                 }
                 if (!isDropping)
                     boost::asio::write(to, boost::asio::buffer(chunk, count), ignored);
-                pump(pipe, from, to, chunk);
+                forwardBytes(pipe, from, to, chunk);
             });
     }
 
@@ -323,9 +323,9 @@
 
 TEST_CASE("Renewing a link that hangs while it opens is faster than its timeout")
 {
-    const auto byItself = timeToOpen(false);
-    const auto byRenewal = timeToOpen(true);
-    CHECK(2 * byRenewal < byItself);
+    const auto withoutRenewal = timeToOpen(false);
+    const auto withRenewal = timeToOpen(true);
+    CHECK(2 * withRenewal < withoutRenewal);
 }
 
 TEST_CASE("A renewal without an answer has no effect")
--- a/tests/inner/samplemessages.h
+++ b/tests/inner/samplemessages.h
@@ -20,7 +20,7 @@
     message.key = "key-1";
     message.keyDigest = std::string(64, 'd');
     message.statedAge = std::chrono::seconds(3);
-    message.deadlineIn = std::chrono::milliseconds(750);
+    message.timeLeft = std::chrono::milliseconds(750);
     message.sessionPosition = Position {makeTerm(7, 2), 991};
     message.attempt = 2;
     return message;
@@ -75,7 +75,7 @@
     return message;
 }
 
-inline StatementDone sampleDone()
+inline StatementDone sampleStatementDone()
 {
     StatementDone message;
     message.requestId = 77;
@@ -118,7 +118,7 @@
         OperatorRequest {10, OperatorCommand::Promote, "offers", "offers-2", true},
         OperatorAnswer {10, Reason::NoPrimary, "detail", 18, true, {group, group}},
         sampleStatement(),
-        sampleDone(),
+        sampleStatementDone(),
         EndTransaction {"offers", 5, 17},
         AliveRequest {3},
         AliveAnswer {4},
--- a/tests/owner/atmostonce_test.cpp
+++ b/tests/owner/atmostonce_test.cpp
@@ -48,7 +48,7 @@
         inner::Execute execute = hasStatement ? statement() : OwnerCluster::write("");
         execute.step = step;
         execute.transaction = transaction;
-        execute.deadlineIn = 1s;
+        execute.timeLeft = 1s;
         if (step == StatementStep::Single || step == StatementStep::Commit) {
             execute.key = key;
             execute.keyDigest = "digest of " + key;
--- a/tests/owner/owner_test.cpp
+++ b/tests/owner/owner_test.cpp
@@ -65,10 +65,10 @@
         const auto written = cluster.entry().execute(insertOffer(id));
         INFO(id << ": " << reasonInfo(written.reason).name << ' ' << written.detail);
         // Without an idempotency key an attempt whose answer was lost may have been executed.
-        const bool ranBefore = written.reason == Reason::StatementFailed
+        const bool executedEarlier = written.reason == Reason::StatementFailed
             && written.detail.find("UNIQUE") != std::string::npos;
-        REQUIRE((written.reason == Reason::None || ranBefore));
-        if (!ranBefore) {
+        REQUIRE((written.reason == Reason::None || executedEarlier));
+        if (!executedEarlier) {
             acknowledged.insert(id);
             position = written.position;
         }
@@ -300,7 +300,7 @@
     cluster.kill("b");
     cluster.kill("c");
     inner::Execute write = insertOffer("two");
-    write.deadlineIn = 1s;
+    write.timeLeft = 1s;
     const auto answer = cluster.entry().tryOnce(owner, write);
     REQUIRE(answer.has_value());
     CHECK(answer->reason != Reason::None);
@@ -347,7 +347,7 @@
     int number = 0;
     while (reason != Reason::LeaseLost && BootClock::now() < end) {
         inner::Execute write = insertOffer("lapsed" + std::to_string(++number));
-        write.deadlineIn = 500ms;
+        write.timeLeft = 500ms;
         const auto answer = cluster.entry().tryOnce(owner, write);
         reason = answer ? answer->reason : Reason::None;
     }
--- a/tests/owner/ownercluster.cpp
+++ b/tests/owner/ownercluster.cpp
@@ -265,7 +265,7 @@
     execute.group = testGroup;
     execute.sql = sql;
     execute.parameters = std::move(parameters);
-    execute.deadlineIn = 5s;
+    execute.timeLeft = 5s;
     return execute;
 }
 
--- a/tests/owner/ownermeasure.cpp
+++ b/tests/owner/ownermeasure.cpp
@@ -72,13 +72,13 @@
     }
 
     // Returns the longest time between two acknowledgements since ignoreServer().
-    Duration longestGap()
+    Duration maxGap()
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        Duration longest {0};
+        Duration gap {0};
         for (std::size_t i = 1; i < acknowledged_.size(); ++i)
-            longest = std::max(longest, acknowledged_[i].at - acknowledged_[i - 1].at);
-        return longest;
+            gap = std::max(gap, acknowledged_[i].at - acknowledged_[i - 1].at);
+        return gap;
     }
 
     std::uint64_t failed() const { return failed_; }
@@ -169,8 +169,8 @@
     OwnerCluster cluster(3, remoteZoneLimits());
     Writer writer(cluster);
     writer.firstAfter(BootClock::now());
-    std::vector<double> pauses;
-    std::vector<double> usual;
+    std::vector<double> handOverGaps;
+    std::vector<double> baselineGaps;
     for (int i = 0; i < count; ++i) {
         const std::string owner = cluster.waitForServingOwner();
         // Lets successors be listed and open their connections.
@@ -178,20 +178,20 @@
         cluster.entry().takeRefusals();
         writer.ignoreServer("");
         std::this_thread::sleep_for(200ms);
-        usual.push_back(toMilliseconds(writer.longestGap()));
+        baselineGaps.push_back(toMilliseconds(writer.maxGap()));
         writer.ignoreServer("");
         inner::OperatorRequest drain;
         drain.command = inner::OperatorCommand::Drain;
         drain.group = testGroup;
         cluster.entry().operate(owner, drain);
         std::this_thread::sleep_for(500ms);
-        pauses.push_back(toMilliseconds(writer.longestGap()));
+        handOverGaps.push_back(toMilliseconds(writer.maxGap()));
         for (const Reason reason : cluster.entry().takeRefusals())
             if (reason != Reason::NotOwner)
                 std::cout << "refused: " << reasonInfo(reason).name << std::endl;
     }
-    print("longest time between acknowledgements, usual", usual);
-    print("longest time between acknowledgements, with a hand-over", pauses);
+    print("longest time between acknowledgements, usual", baselineGaps);
+    print("longest time between acknowledgements, with a hand-over", handOverGaps);
     std::cout << "writes failed: " << writer.failed() << std::endl;
 }
 
--- a/tests/platform/fakeplatform.h
+++ b/tests/platform/fakeplatform.h
@@ -26,7 +26,7 @@
     std::string value(const std::string &table, const std::string &key);
 
     void onRequest(caller::HttpRequest request, caller::HttpReplyPtr reply) override;
-    void onCallerGone(caller::ConnectionId) override { }
+    void onCallerDisconnected(caller::ConnectionId) override { }
 
 private:
     struct Row
--- a/tests/session/callersession_test.cpp
+++ b/tests/session/callersession_test.cpp
@@ -97,7 +97,7 @@
 {
     runStatement(StatementKind::Begin);
     runStatement(StatementKind::Write);
-    session->onCallerGone();
+    session->onCallerDisconnected();
     CHECK(router.cancelled == std::vector<inner::RequestId> {1});
     CHECK(router.ended == std::vector<std::uint64_t> {7});
     router.answer();
