--- a/src/caller/httpsession.cpp
+++ b/src/caller/httpsession.cpp
@@ -151,7 +151,7 @@
     {
         if (state_ != State::Handling)
             return;
-        const bool closes = !reader_.keepAlive() || manager_->draining() || callerDisconnects_;
+        const bool closes = !reader_.keepAlive() || manager_->draining() || callerDisconnected_;
         write(response, closes);
     }
 
@@ -267,9 +267,9 @@
             return refuse(Reason::RequestTruncated, {});
         case State::Handling:
         case State::Writing:
-            if (!callerDisconnects_ && state_ == State::Handling)
+            if (!callerDisconnected_ && state_ == State::Handling)
                 manager_->onCallerDisconnected(id_);
-            callerDisconnects_ = true;
+            callerDisconnected_ = true;
             return;
         case State::Lingering:
             return close();
@@ -294,7 +294,7 @@
             [this, self = shared_from_this()](const ErrorCode &error, std::size_t) {
                 if (state_ == State::Closed)
                     return;
-                if (error || callerDisconnects_)
+                if (error || callerDisconnected_)
                     return close();
                 state_ = State::Reading;
                 processInput();
@@ -323,7 +323,7 @@
     void onWritten()
     {
         headOnly_ = false;
-        if (callerDisconnects_)
+        if (callerDisconnected_)
             return close();
         if (closesAfterWrite_)
             return linger();
@@ -356,7 +356,7 @@
         socketOf(stream_).close(ignored);
         if (!manager_)
             return;
-        if (handled && !callerDisconnects_)
+        if (handled && !callerDisconnected_)
             manager_->onCallerDisconnected(id_);
         manager_->onClosed(id_);
     }
@@ -368,7 +368,7 @@
     State state_ = State::Reading;
     Reason refusal_ = Reason::None;
     bool reading_ = false;
-    bool callerDisconnects_ = false;
+    bool callerDisconnected_ = false;
     bool closesAfterWrite_ = false;
     bool headOnly_ = false;
     Instant deadline_ = noDeadline;
