--- a/src/admin/ctl.cpp
+++ b/src/admin/ctl.cpp
@@ -24,15 +24,15 @@
     "\n"
     "  check FILE                    list the mistakes of a configuration\n"
     "  show [--number N]             print the newest configuration, or an older version\n"
-    "  diff FILE                     what FILE would change\n"
+    "  diff FILE                     print what FILE would change\n"
     "  apply FILE --expect VERSION   make FILE the version after VERSION\n"
-    "  history                       accepted versions, newest first\n"
-    "  status [--json]               processes, groups, servers\n"
+    "  history                       list the accepted versions, newest first\n"
+    "  status [--json]               print the status of processes, groups and servers\n"
     "  drain HOST                    stop giving work to the processes of a host\n"
     "  promote GROUP SERVER          make SERVER the primary [--accept-loss]\n"
-    "  explain REASON                what a refusal means and what to do\n"
+    "  explain REASON                explain a reason for a refusal and its remedy\n"
     "\n"
-    "kelptallyctl COMMAND --help tells the options of one command.\n";
+    "kelptallyctl COMMAND --help prints the options of one command.\n";
 
 // Options common to all commands that connect to a proxy.
 class CommonOptions
@@ -43,8 +43,8 @@
                    false, "ip:port", line),
           file_("o", "options", "INI file: [kelptallyctl] proxies=, key=, ca=", false, "", "file",
                 line),
-          timeout_("t", "timeout", "for each attempt at one proxy", false, defaultTimeoutSeconds,
-                   "seconds", line)
+          timeout_("t", "timeout", "time limit for each attempt at one proxy", false,
+                   defaultTimeoutSeconds, "seconds", line)
     { }
 
     // Reads the options; the command line and the environment take precedence over the options
@@ -60,7 +60,7 @@
             options.key = key;
         options.timeout = std::chrono::seconds(std::max(1, timeout_.getValue()));
         if (options.proxies.empty())
-            findings.add("command line", 0, "--proxy", "no proxy is named; see --help");
+            findings.add("command line", 0, "--proxy", "no proxy is given; see --help");
         if (options.key.empty())
             findings.add("command line", 0, keyVariable,
                          "no key: set this variable or give --options");
@@ -141,7 +141,7 @@
 
 CtlExit explain(const Arguments &arguments, CtlOutput output)
 {
-    Command command("explain", "What a refusal means and what to do");
+    Command command("explain", "Explain a reason for a refusal and its remedy");
     TextArgument reason("reason", "stable name of a reason", true, "", "REASON", command.line());
     command.parse(arguments);
     return explainReason(reason.getValue(), output);
@@ -161,7 +161,7 @@
 
 CtlExit diff(const Arguments &arguments, CtlOutput output)
 {
-    Command command("diff", "What a file would change");
+    Command command("diff", "Print what a file would change");
     CommonOptions common(command.line());
     TextArgument file("file", "INI document", true, "", "FILE", command.line());
     command.parse(arguments);
@@ -184,13 +184,14 @@
     TCLAP::ValueArg<ConfigVersion> expect("e", "expect",
                                           "version that is changed; 0 when there is none yet", true,
                                           0, "VERSION", command.line());
-    TCLAP::ValueArg<std::string> author("a", "author", "who changes it; $USER by default", false,
-                                        defaultAuthor(), "NAME", command.line());
-    TCLAP::ValueArg<std::string> changeId("c", "change-id", "of an earlier try at this change",
-                                          false, "", "ID", command.line());
+    TCLAP::ValueArg<std::string> author("a", "author", "author of the change; default: $USER",
+                                        false, defaultAuthor(), "NAME", command.line());
+    TCLAP::ValueArg<std::string> changeId("c", "change-id",
+                                          "id of an earlier attempt at this change", false, "",
+                                          "ID", command.line());
     TCLAP::SwitchArg wait("w", "wait", "Wait until every process has the version", command.line());
-    TCLAP::ValueArg<int> limit("", "wait-limit", "how long to wait", false, defaultWaitSeconds,
-                               "seconds", command.line());
+    TCLAP::ValueArg<int> limit("", "wait-limit", "maximum time for --wait", false,
+                               defaultWaitSeconds, "seconds", command.line());
     command.parse(arguments);
     ApplyOptions options;
     options.file = file.getValue();
@@ -205,10 +206,10 @@
 
 CtlExit history(const Arguments &arguments, CtlOutput output)
 {
-    Command command("history", "Accepted versions, newest first");
+    Command command("history", "List the accepted versions, newest first");
     CommonOptions common(command.line());
-    TCLAP::ValueArg<int> limit("l", "limit", "most versions", false, defaultHistoryLimit, "COUNT",
-                               command.line());
+    TCLAP::ValueArg<int> limit("l", "limit", "maximum number of versions", false,
+                               defaultHistoryLimit, "COUNT", command.line());
     command.parse(arguments);
     return withClient(common, output, [&](ProxyClient &client) {
         return showHistory(client, limit.getValue(), output);
@@ -217,7 +218,7 @@
 
 CtlExit status(const Arguments &arguments, CtlOutput output)
 {
-    Command command("status", "Processes, groups and servers");
+    Command command("status", "Print the status of processes, groups and servers");
     CommonOptions common(command.line());
     TCLAP::SwitchArg json("j", "json", "Print the JSON document", command.line());
     command.parse(arguments);
@@ -270,7 +271,7 @@
     for (const NamedCommand &command : commands)
         if (arguments.front() == command.name)
             return command.run(arguments, output);
-    output.err << "kelptallyctl: there is no command " << arguments.front() << "\n" << usage;
+    output.err << "kelptallyctl: unknown command " << arguments.front() << "\n" << usage;
     return CtlExit::Usage;
 }
 
--- a/src/admin/ctlcommands.cpp
+++ b/src/admin/ctlcommands.cpp
@@ -146,7 +146,7 @@
 {
     const Reason reason = reasonFromName(name);
     if (reason == Reason::None) {
-        output.err << "there is no reason " << name << "; the reasons are:\n";
+        output.err << "unknown reason " << name << "; the reasons are:\n";
         for (const ReasonInfo &info : allReasons())
             output.err << "  " << info.name << "\n";
         return CtlExit::Usage;
@@ -154,8 +154,8 @@
     const ReasonInfo &info = reasonInfo(reason);
     output.out << info.name << ": " << info.explanation << "\n  HTTP status " << info.httpStatus
                << ", executed: " << executedName(info.executed)
-               << (info.retryable ? ", may succeed when sent again\n"
-                                  : ", fails again when sent again unchanged\n");
+               << (info.retryable ? ", a retry may succeed\n"
+                                  : ", a retry of the same request fails again\n");
     return CtlExit::Done;
 }
 
@@ -216,7 +216,7 @@
     const auto answer = client.post("/admin/v1/configuration/apply", json.take());
     if (const auto failure = reportFailure(answer, output)) {
         if (*failure == CtlExit::Unknown || *failure == CtlExit::Unreachable)
-            output.err << "to ask again for the same change: --change-id " << changeId << "\n";
+            output.err << "to retry the same change: --change-id " << changeId << "\n";
         return *failure;
     }
     const JsonValue *version = answer->body.find("version");
@@ -263,7 +263,7 @@
             const bool drains = accepted && accepted->boolean;
             all = all && drains;
             output.out << process.textOf("address")
-                       << (drains ? " drains; see status" : ": " + process.textOf("problem"))
+                       << (drains ? " is draining; see status" : ": " + process.textOf("problem"))
                        << "\n";
         }
     }
@@ -282,7 +282,7 @@
     const auto answer = client.post("/admin/v1/promote", json.take());
     if (const auto failure = reportFailure(answer, output))
         return *failure;
-    output.out << "the owner of " << group << " promotes " << server << "; see status\n";
+    output.out << "the owner of " << group << " is promoting " << server << "; see status\n";
     if (!answer->body.textOf("detail").empty())
         output.out << answer->body.textOf("detail") << "\n";
     return CtlExit::Done;
--- a/src/admin/operatorapi.cpp
+++ b/src/admin/operatorapi.cpp
@@ -182,7 +182,7 @@
         const auto matches = [&](const char *allowed) { return name == allowed; };
         if (std::none_of(required.begin(), required.end(), matches)
             && std::none_of(optional.begin(), optional.end(), matches))
-            problem.findings.push_back({"/" + name, "there is no such field here"});
+            problem.findings.push_back({"/" + name, "unknown field"});
     }
     if (problem.findings.empty())
         return true;
@@ -312,7 +312,7 @@
 {
     const bool accepted = applied.ok() && applied->accepted;
     const std::string cause = !applied.ok() ? std::string(applied.status().message())
-        : accepted                          ? "operator asked"
+        : accepted                          ? "requested by an operator"
                                             : "another version is newest";
     LOG(INFO) << "event=config_apply expected=" << record.version - 1 << " accepted=" << accepted
               << " author=" << logValue(record.author) << " change=" << logValue(record.changeId)
--- a/src/admin/operatorapiprocesses.cpp
+++ b/src/admin/operatorapiprocesses.cpp
@@ -45,7 +45,8 @@
     const settings::Host *host = current ? current->inventory.findHost(name) : nullptr;
     if (!host)
         return refuse(call.reply, Reason::UnknownPath, "there is no host " + name);
-    LOG(INFO) << "event=operator_drain host=" << logValue(name) << " cause=\"operator asked\"";
+    LOG(INFO) << "event=operator_drain host=" << logValue(name)
+              << " cause=\"requested by an operator\"";
     inner::OperatorRequest request;
     request.command = inner::OperatorCommand::Drain;
     const std::vector<std::string> addresses = {host->entryAddress, host->ownerAddress};
@@ -92,7 +93,7 @@
         return refuse(call.reply, Reason::Forbidden);
     LOG(INFO) << "event=operator_promote group=" << request.group
               << " server=" << logValue(request.server) << " accept_loss=" << request.acceptLoss
-              << " cause=\"operator asked\"";
+              << " cause=\"requested by an operator\"";
     parts_.calls.gatherStatus(
         current->inventory, [this, call, request](const SystemStatus &status) {
             for (const inner::GroupStatus &group : status.groups)
--- a/src/admin/platformconfigstore.cpp
+++ b/src/admin/platformconfigstore.cpp
@@ -266,8 +266,8 @@
         return callback(absl::UnavailableError("the table service could not be reached; nothing was"
                                                " written"));
     default:
-        return callback(absl::UnknownError("the table service did not tell whether the version was"
-                                           " accepted; apply again with the same change id"));
+        return callback(absl::UnknownError("it is unknown whether the table service accepted the"
+                                           " version; apply again with the same change id"));
     }
 }
 
--- a/src/admin/startup.cpp
+++ b/src/admin/startup.cpp
@@ -23,7 +23,7 @@
     line.setExceptionHandling(false);
     TCLAP::ValueArg<std::string> file("s", "settings", "INI file with the settings of this process",
                                       true, "", "file", line);
-    TCLAP::SwitchArg check("c", "check", "Check the settings file, print every mistake, and end",
+    TCLAP::SwitchArg check("c", "check", "Check the settings file, print all mistakes and exit",
                            line);
     line.parse(argc, argv);
     return {file.getValue(), check.getValue()};
--- a/src/caller/callerrequest.cpp
+++ b/src/caller/callerrequest.cpp
@@ -124,7 +124,7 @@
         else if (name == "deadlineMs")
             readMilliseconds(place, value, request_.deadline, 1);
         else
-            add(place, "there is no such field here; allowed: " + allowed());
+            add(place, "unknown field; allowed: " + allowed());
     }
 
     std::string allowed() const
--- a/src/core/reason.cpp
+++ b/src/core/reason.cpp
@@ -14,7 +14,7 @@
 const std::vector<ReasonInfo> &table()
 {
     static const std::vector<ReasonInfo> rows = {
-        {Reason::None, "none", 200, yes, false, "The request was done."},
+        {Reason::None, "none", 200, yes, false, "The request was executed."},
         {Reason::MalformedRequest, "malformed_request", 400, no, false,
          "The request is not valid HTTP, JSON, or lacks a field; the detail names the place."},
         {Reason::RequestTooLarge, "request_too_large", 413, no, false,
--- a/src/entry/entrymetrics.cpp
+++ b/src/entry/entrymetrics.cpp
@@ -14,7 +14,7 @@
 prometheus::Counter &droppedAnswers(Metrics &metrics, const char *cause)
 {
     return metrics.counter("kelptally_entry_answers_dropped_total",
-                           "Answers of owners that went to no caller", {{"cause", cause}});
+                           "Answers of owners that were dropped", {{"cause", cause}});
 }
 
 } // namespace
@@ -25,7 +25,7 @@
                                   "Time from the arrival of an answered request to its answer",
                                   latencyBounds)),
       callerDisconnects_(metrics.counter("kelptally_entry_callers_gone_total",
-                                         "Requests whose caller went away before the answer")),
+                                         "Requests whose caller disconnected before the answer")),
       lateAnswers_(droppedAnswers(metrics, "late")),
       damagedAnswers_(droppedAnswers(metrics, "damaged")),
       staleAnswers_(droppedAnswers(metrics, "stale")),
--- a/src/inner/linkrefusal.cpp
+++ b/src/inner/linkrefusal.cpp
@@ -57,7 +57,7 @@
         return;
     for (const char *cause : {"key", "version", "address", "malformed", timeoutCause, silenceCause})
         counters_[cause] = &metrics->counter("kelptally_peer_links_refused_total",
-                                             "Peer links given up by this end", {{"cause", cause}});
+                                             "Peer links closed by this end", {{"cause", cause}});
 }
 
 void RefusalCounters::count(const char *cause)
--- a/src/inner/linkrefusal.h
+++ b/src/inner/linkrefusal.h
@@ -14,20 +14,20 @@
 // 6455, section 7.4.2).
 std::uint16_t closeCodeOf(const absl::Status &reason);
 
-// Whether a close code of the other end is one of these.
+// Whether the other end's close code is one of closeCodeOf().
 bool isRefusal(std::uint16_t closeCode);
 
-// Whether a link that this end closed for the reason is likely to be closed again. Not after a
-// timeout: a silent peer may answer again at any time.
+// Whether a link that this end closed for this reason is likely to be closed for it again after a
+// redial. False for a timeout: a silent peer may answer again at any time.
 bool isPersistent(const absl::Status &reason);
 
-// Returns the cause for logs and counters.
+// Returns the cause that logs and counters show for a close code.
 const char *refusalCause(std::uint16_t closeCode);
 
 constexpr const char *timeoutCause = "timeout";
 constexpr const char *silenceCause = "silence";
 
-// Counts the links that this end closed. All series exist from the start.
+// Counts the links that this end closed, by cause. All series exist from the start.
 class RefusalCounters
 {
 public:
--- a/src/inner/messages.h
+++ b/src/inner/messages.h
@@ -327,8 +327,8 @@
 {
     GroupName group;
     std::uint64_t session = 0;
-    // Only a transaction begun by a request up to this id is rolled back, as the message may be
-    // repeated after the session has begun another one.
+    // Only a transaction begun by a request with at most this id is rolled back, as the message may
+    // be repeated after the session has begun another one.
     RequestId beginRequestId = 0;
 };
 
--- a/src/inner/peerlink.h
+++ b/src/inner/peerlink.h
@@ -36,9 +36,10 @@
     // undone by a drop().
     virtual void connect(const std::string &address) = 0;
     virtual void drop(const std::string &address) = 0;
-    // Opens a second link to the address, which replaces the current one once it is up. For a link
-    // without answers: an open connection may be dead while new ones work, and one dialled while
-    // the peer was down opens late. If the second link can't be opened, the current one stays.
+    // Opens a second link to the address, which replaces the current one once it is up. Used when
+    // the current link carries no answers: an open connection may be dead while new ones work, and
+    // one dialled while the peer was down opens late. If the second link can't be opened, the
+    // current one stays.
     virtual void renew(const std::string &address) = 0;
 
     // Returns the link that sendTo() would use for the address; 0 when there is none.
--- a/src/owner/groupservers.h
+++ b/src/owner/groupservers.h
@@ -12,8 +12,8 @@
 
 namespace kelptally::owner {
 
-// The servers of one group: the lane to each server, whether it is reachable and how fresh its data
-// is.
+// The servers of one group: the executor of each server, whether it is reachable and how fresh its
+// data is.
 class GroupServers
 {
 public:
--- a/src/services/storecircuitbreaker.cpp
+++ b/src/services/storecircuitbreaker.cpp
@@ -206,7 +206,7 @@
         return;
     const char *state = storeStateName(health_.state());
     parts_.metrics
-        .counter("kelptally_store_losses_total", "Times that the table service was lost",
+        .counter("kelptally_store_losses_total", "Times that the table service became unavailable",
                  {{"state", state}})
         .Increment();
     parts_.log.warning("store_lost", state)
@@ -298,8 +298,8 @@
     parts_.probe([this, alive = alive_](bool reached) {
         if (!*alive || !reached || health_.state() != decision::StoreState::Silent)
             return;
-        // New connections work while open ones are silent, and may stay so. Aborts their calls only
-        // once an outage, as a slow service may still answer later ones.
+        // New connections work, but open ones may stay silent. Their calls are aborted only once
+        // per outage, as a slow service may still answer later ones.
         if (!hasAbortedOpenCalls_)
             abortOpenCalls();
         hasAbortedOpenCalls_ = true;
@@ -315,7 +315,7 @@
     const auto found = std::find_if(waiting_.begin(), waiting_.end(),
                                     [](const CallPtr &call) { return call->isRetryable; });
     // No retryable call is queued. Closes the breaker, so that the queued writes or the next call
-    // take the part of the trial.
+    // serve as the trial.
     if (found == waiting_.end())
         return onAnswered(Duration(0));
     trial_ = *found;
--- a/src/services/textdifference.cpp
+++ b/src/services/textdifference.cpp
@@ -134,13 +134,14 @@
     Writer writer(after);
     std::size_t next = 0;
     for (const absl::string_view piece : piecesOf(after)) {
-        // 1. The next piece of the earlier text follows.
+        // 1. The piece equals the next piece of the earlier text.
         if (next < old.size() && old[next] == piece) {
             writer.copy(std::size_t(old[next].data() - before.data()), piece.size());
             ++next;
             continue;
         }
-        // 2. A new piece, which is taken to replace the next one, or one from elsewhere.
+        // 2. The piece is new, and is assumed to replace the next piece of the earlier text, or it
+        // equals a piece at another place.
         const auto found = indexByPiece.find(std::string(piece));
         if (found == indexByPiece.end()) {
             writer.add(piece);
--- a/src/settings/inidocument.cpp
+++ b/src/settings/inidocument.cpp
@@ -181,7 +181,7 @@
         const auto [first, isNew] = sectionLines_.emplace(section.title(), line_);
         if (!isNew)
             add(section.title(),
-                "the section stands twice, first at line " + std::to_string(first->second));
+                "duplicate section; first defined at line " + std::to_string(first->second));
     }
 
     void addEntry(const char *key, const char *value)
@@ -196,7 +196,7 @@
             section_->entries.push_back({key, value, line_});
         else
             add(section_->title() + "/" + key,
-                "the key stands twice, first at line " + std::to_string(first->second));
+                "duplicate key; first defined at line " + std::to_string(first->second));
     }
 
     void reportUnparsedLine()
--- a/tests/admin/operatorapi_test.cpp
+++ b/tests/admin/operatorapi_test.cpp
@@ -154,7 +154,8 @@
     REQUIRE(fixture.ctl({"apply", fileName, "--expect", "0"}) == CtlExit::Done);
     REQUIRE(fixture.program.waitForVersion(1));
     CHECK(fixture.ctl({"drain", "h1"}) == CtlExit::Done);
-    CHECK(fixture.out == "127.0.0.1:2 drains; see status\n127.0.0.1:1 drains; see status\n");
+    CHECK(fixture.out
+          == "127.0.0.1:2 is draining; see status\n127.0.0.1:1 is draining; see status\n");
     CHECK(fixture.program.takeRequests(inner::OperatorCommand::Drain).size() == 1);
     CHECK(fixture.ctl({"status", "--json"}) == CtlExit::Done);
     CHECK(contains(fixture.out, R"("role":"entry","address":"127.0.0.1:2","reachable":true)"));
@@ -164,7 +165,7 @@
     fixture.frame.peers().setLinks(nullptr);
     CHECK(fixture.ctl({"drain", "h1"}) == CtlExit::Refused);
     CHECK(contains(fixture.out, "127.0.0.1:2: "));
-    CHECK(contains(fixture.out, "127.0.0.1:1 drains"));
+    CHECK(contains(fixture.out, "127.0.0.1:1 is draining"));
 
     CHECK(fixture.ctl({"promote", "ledger", "ledger-s3", "--accept-loss"}) == CtlExit::Done);
     const auto requests = fixture.program.takeRequests(inner::OperatorCommand::Promote);
--- a/tests/owner/ownermeasure.cpp
+++ b/tests/owner/ownermeasure.cpp
@@ -71,7 +71,7 @@
         acknowledged_.clear();
     }
 
-    // Returns the longest time between two acknowledgements since ignoreServer().
+    // Returns the maximum time between two acknowledgements since ignoreServer().
     Duration maxGap()
     {
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -190,8 +190,8 @@
             if (reason != Reason::NotOwner)
                 std::cout << "refused: " << reasonInfo(reason).name << std::endl;
     }
-    print("longest time between acknowledgements, usual", baselineGaps);
-    print("longest time between acknowledgements, with a hand-over", handOverGaps);
+    print("maximum time between acknowledgements, without a hand-over", baselineGaps);
+    print("maximum time between acknowledgements, with a hand-over", handOverGaps);
     std::cout << "writes failed: " << writer.failed() << std::endl;
 }
 
--- a/tests/services/storecircuitbreaker_test.cpp
+++ b/tests/services/storecircuitbreaker_test.cpp
@@ -340,8 +340,7 @@
     CHECK(*last == int(absl::StatusCode::kUnavailable));
 }
 
-// A read whose attempt was refused after its deadline called back twice. Each retrying caller then
-// sent two reads in place of one, and so on.
+// Guards against a second callback, which multiplies the reads of callers that retry.
 TEST_CASE_METHOD(Fixture, "A read that is refused after its deadline calls back once")
 {
     store.latency = 150ms;
@@ -404,8 +403,7 @@
 
 } // namespace
 
-// With one timeout for a whole table, hosts that started together took a busy service for silent
-// and read their tables again from the start.
+// Guards against one timeout for a whole table, which makes a busy service look silent.
 TEST_CASE_METHOD(PagedFixture, "A table with slow pages does not open the breaker")
 {
     paged.latency = 300ms;
--- a/tests/services/storelimit_test.cpp
+++ b/tests/services/storelimit_test.cpp
@@ -96,8 +96,8 @@
 
 } // namespace
 
-// Hosts that start together exceed the service's rate limit. A host that sent its whole queue after
-// one successful trial was refused again, which kept the service overloaded.
+// Guards against hosts that send their whole queue after one successful trial, which keeps the
+// service overloaded when many hosts start together.
 TEST_CASE("Hosts refused by the rate limit share it without overloading the service")
 {
     constexpr int hosts = 300;
--- a/tests/settings/inventory_test.cpp
+++ b/tests/settings/inventory_test.cpp
@@ -157,14 +157,14 @@
     };
     const Case cases[] = {
         {"[zone b]", "[zone]", "f:4: zone: the name is empty"},
-        {"[zone b]", "[zone a]", "f:4: zone a: the section stands twice, first at line 2"},
+        {"[zone b]", "[zone a]", "f:4: zone a: duplicate section; first defined at line 2"},
         {"[zone b]", "[zonk b]", "f:4: zonk b: unknown section"},
         {"[zone b]", "[zone b", "f:4: not a section"},
         {"[zone b]", "nonsense\n[zone b]", "f:4: neither a section nor key = value"},
         {"[zone b]", "[zone \xC3\xA5]", "f:4: zone ??: not a name"},
         {"\n[zone a]", "x = 1\n[zone a]", "f:1: x: a key before the first section"},
         {"region = north", "region = north\nregion = north",
-         "f:4: zone a/region: the key stands twice, first at line 3"},
+         "f:4: zone a/region: duplicate key; first defined at line 3"},
         {"region = north", "region =", "f:3: zone a/region: the value is empty"},
         {"region = north", "region = no\x01rth", "f:3: zone a/region: the value holds a byte"},
         {"zone = a", "zone = c", "f:7: host h1/zone: there is no [zone c]"},
