--- a/src/admin/adminhandler.cpp
+++ b/src/admin/adminhandler.cpp
@@ -31,8 +31,9 @@
     if (reads && request.path == "/healthz")
         return reply->send(plainText(200, "ok"));
     if (reads && request.path == "/readyz") {
-        const std::string why = parts_.notReady();
-        return reply->send(plainText(why.empty() ? 200 : 503, why.empty() ? "ready" : why));
+        const std::string notReadyReason = parts_.notReady();
+        return reply->send(plainText(notReadyReason.empty() ? 200 : 503,
+                                     notReadyReason.empty() ? "ready" : notReadyReason));
     }
     if (reads && request.path == "/metrics") {
         parts_.collect();
--- a/src/entry/requestinbox.h
+++ b/src/entry/requestinbox.h
@@ -52,7 +52,7 @@
     void onPeerUp(inner::LinkId link, const inner::Hello &peer) override;
     void onPeerMessage(inner::LinkId link, inner::Message message) override;
     void onPeerDown(inner::LinkId link, const std::string &address,
-                    const absl::Status &why) override;
+                    const absl::Status &reason) override;
 
 private:
     struct ReceivedMessage
--- a/tests/owner/cutoff_test.cpp
+++ b/tests/owner/cutoff_test.cpp
@@ -29,10 +29,10 @@
     // 1. The group changes owner, but at most once per process.
     int ownerChanges = 0;
     for (const Instant end = BootClock::now() + observationTime; BootClock::now() < end;) {
-        const std::string now = cluster.currentOwner();
-        if (!now.empty() && now != currentOwner) {
+        const std::string owner = cluster.currentOwner();
+        if (!owner.empty() && owner != currentOwner) {
             ++ownerChanges;
-            currentOwner = now;
+            currentOwner = owner;
         }
         std::this_thread::sleep_for(2ms);
     }
--- a/tests/owner/testentry.cpp
+++ b/tests/owner/testentry.cpp
@@ -47,7 +47,7 @@
 {
     std::unique_lock<std::mutex> lock(mutex_);
     const inner::RequestId id = ++lastId_;
-    const int downs = disconnects_[owner];
+    const int disconnectsBefore = disconnects_[owner];
     execute.requestId = id;
     lock.unlock();
     if (!links_->sendTo(owner, std::move(execute)).ok()) {
@@ -56,8 +56,9 @@
         return unsent;
     }
     lock.lock();
-    arrived_.wait_for(lock, answerTimeout,
-                      [&] { return results_.count(id) != 0 || disconnects_[owner] != downs; });
+    arrived_.wait_for(lock, answerTimeout, [&] {
+        return results_.count(id) != 0 || disconnects_[owner] != disconnectsBefore;
+    });
     const auto found = results_.find(id);
     if (found == results_.end())
         return std::nullopt;
