--- a/src/group/grouprunnertransactions.cpp
+++ b/src/group/grouprunnertransactions.cpp
@@ -11,7 +11,7 @@
 
 void GroupRunner::endTransaction(inner::LinkId origin, const inner::EndTransaction &end)
 {
-    rollBack({origin, end.session}, end.begunBy);
+    rollBack({origin, end.session}, end.beginRequestId);
 }
 
 // Rolls back the session's transaction if its first statement's number is at most maxBeginRequest.
--- a/src/settings/inidocument.cpp
+++ b/src/settings/inidocument.cpp
@@ -181,7 +181,7 @@
         const auto [first, isNew] = sectionLines_.emplace(section.title(), line_);
         if (!isNew)
             add(section.title(),
-                "the section stands twice, first at line " + std::to_string(first->second));
+                "duplicate section; first defined at line " + std::to_string(first->second));
     }
 
     void addEntry(const char *key, const char *value)
@@ -196,7 +196,7 @@
             section_->entries.push_back({key, value, line_});
         else
             add(section_->title() + "/" + key,
-                "the key stands twice, first at line " + std::to_string(first->second));
+                "duplicate key; first defined at line " + std::to_string(first->second));
     }
 
     void reportUnparsedLine()
@@ -224,7 +224,7 @@
     std::map<std::string, int> keys_;
 };
 
-std::string tooLarge()
+std::string tooLargeProblem()
 {
     return "the file is larger than " + std::to_string(maxDocumentBytes) + " bytes";
 }
@@ -244,7 +244,7 @@
               const SectionHandler &onSection)
 {
     if (text.size() > maxDocumentBytes) {
-        findings.add(file, 0, "", tooLarge());
+        findings.add(file, 0, "", tooLargeProblem());
         return;
     }
     constexpr std::string_view byteOrderMark = "\xEF\xBB\xBF";
@@ -264,7 +264,7 @@
         text.append(block.data(), static_cast<std::size_t>(in.gcount()));
     }
     if (text.size() > maxDocumentBytes) {
-        findings.add(path, 0, "", tooLarge());
+        findings.add(path, 0, "", tooLargeProblem());
         return {};
     }
     if (!in.eof()) {
