--- a/src/group/grouprunner.h
+++ b/src/group/grouprunner.h
@@ -128,7 +128,7 @@
         // Whether the commit requires a replica's confirmation.
         bool wrote = false;
         // Request number of the statement that began the transaction.
-        inner::RequestId beginRequest = 0;
+        inner::RequestId beginRequestId = 0;
         // The statement that is queued or running in the transaction; null between statements.
         JobPtr job;
         // Whether the transaction ends with its running statement.
--- a/src/group/grouprunnertransactions.cpp
+++ b/src/group/grouprunnertransactions.cpp
@@ -20,7 +20,7 @@
     const auto open = transactions_.find(origin);
     if (open == transactions_.end())
         return cancelBegin(origin, maxBeginRequest);
-    if (open->second.beginRequest > maxBeginRequest)
+    if (open->second.beginRequestId > maxBeginRequest)
         return;
     // 1. While a statement is running, only closing the connection ends the transaction. A commit
     // that was sent may have taken effect.
