--- a/src/admin/snapshotwriter.h
+++ b/src/admin/snapshotwriter.h
@@ -9,8 +9,9 @@
 
 namespace kelptally::admin {
 
-// Brings the snapshot of the newest configuration version in the object store up to date, trying
-// again until it is done. Never lowers it: each write is conditional on the snapshot it has read.
+// Updates the snapshot of the newest configuration version in the object store, retrying until it
+// succeeds. Never replaces it by an older version: each write is conditional on the snapshot read
+// before.
 class SnapshotWriter
 {
 public:
@@ -21,8 +22,8 @@
 
     void update(services::ConfigVersionRow row);
 
-    // Whether nothing is left to write.
-    bool idle() const { return !wanted_; }
+    // Returns whether no update is pending.
+    bool idle() const { return !pending_; }
 
     static constexpr Duration retryPeriod = std::chrono::seconds(1);
 
@@ -31,12 +32,12 @@
     void onRead(const absl::StatusOr<std::optional<services::TableRow>> &read);
     void onWritten(ConfigVersion version, const absl::Status &status);
     void retry();
-    void done();
+    void finish();
 
     TimerService &timers_;
     services::ObjectStore &objects_;
-    std::optional<services::ConfigVersionRow> wanted_;
-    bool busy_ = false;
+    std::optional<services::ConfigVersionRow> pending_;
+    bool running_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/bench/measure.h
+++ b/src/bench/measure.h
@@ -7,27 +7,28 @@
 #include <cstddef>
 #include <ctime>
 
-// Processor time and memory of pieces of this process.
+// CPU time and memory of code in this process.
 namespace kelptally::bench {
 
-inline Duration processorTime()
+// Returns the CPU time of the calling thread.
+inline Duration threadProcessorTime()
 {
     timespec time {};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
     return std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
 }
 
-// Mean processor time of one call.
+// Returns the mean CPU time per call.
 template <typename Function>
-Duration timeOfCall(int calls, Function function)
+Duration meanCallTime(int calls, Function function)
 {
-    const Duration before = processorTime();
+    const Duration before = threadProcessorTime();
     for (int i = 0; i < calls; ++i)
         function();
-    return (processorTime() - before) / calls;
+    return (threadProcessorTime() - before) / calls;
 }
 
-// Bytes that are allocated at the moment.
+// Returns the number of bytes currently allocated with malloc().
 inline std::size_t allocatedBytes()
 {
     const auto info = mallinfo2();
--- a/src/bench/pressure.h
+++ b/src/bench/pressure.h
@@ -7,43 +7,43 @@
 
 namespace kelptally::bench {
 
-// In which order what waits is served.
+// Order in which queued requests are served.
 enum class PressureOrder {
-    // As the product does.
+    // The order of the production code.
     Ranked,
-    // By arrival, to compare with.
+    // By arrival, as a baseline.
     Arrival,
 };
 
 struct PressureCount
 {
-    int asked = 0;
+    int offered = 0;
     int inTime = 0;
     int late = 0;
-    // Refused for good, after all repeats.
+    // Refused after all repeats.
     int refused = 0;
-    // Of these, such as had waited for over a quarter of their objective in an attempt.
-    int held = 0;
-    // Sent, and given up without an answer.
+    // Refused requests, one attempt of which had waited for over a quarter of the objective.
+    int refusedLate = 0;
+    // Sent to a server without an answer.
     int unanswered = 0;
     int repeats = 0;
     double worth = 0;
-    double worthAsked = 0;
+    double offeredWorth = 0;
     std::vector<Duration> waits;
 };
 
 struct PressureResult
 {
     std::map<std::string, PressureCount> kinds;
-    // All kinds, by the second in which they were asked.
+    // All kinds, by the second in which a request was first sent.
     std::map<int, PressureCount> seconds;
     PressureCount all;
 
-    double worthShare() const { return all.worthAsked > 0 ? all.worth / all.worthAsked : 0; }
+    double worthShare() const { return all.offeredWorth > 0 ? all.worth / all.offeredWorth : 0; }
 };
 
-// Plays the plan in virtual time with the decisions of a group's owner: slotadmission,
-// positionrouting and commitwatch. The same seed and plan give the same result.
-PressureResult playPressure(const PressurePlan &plan, std::uint64_t seed, PressureOrder order);
+// Simulates the plan in virtual time with the admission control, routing and commit supervision of
+// a group owner. The result is deterministic for a seed and plan.
+PressureResult simulatePressure(const PressurePlan &plan, std::uint64_t seed, PressureOrder order);
 
 } // namespace kelptally::bench
--- a/src/bench/replaycommand.cpp
+++ b/src/bench/replaycommand.cpp
@@ -35,9 +35,9 @@
 {
     absl::PrintF(
         "%-24s %-12s %6d %6d %6d %5d %7d %8.2f %8.2f %6d %6.0f %7.0f %7.1f %7.1f\n", trace.name,
-        policy, figures.requests, figures.violations.all(), figures.missedOutcomes, figures.refused,
-        figures.unknown, percentOf(figures.byReplica, figures.agedReads),
-        percentOf(figures.byReplica, figures.couldReplica), figures.gaps.size(),
+        policy, figures.requests, figures.violations.all(), figures.unexpectedOutcomes,
+        figures.refused, figures.unknown, percentOf(figures.replicaReads, figures.statedAgeReads),
+        percentOf(figures.replicaReads, figures.replicaEligibleReads), figures.gaps.size(),
         toMilliseconds(quantile(figures.gaps, 50)), toMilliseconds(quantile(figures.gaps, 100)),
         toMilliseconds(quantile(figures.writeLatency, 99)),
         toMilliseconds(quantile(figures.readLatency, 99)));
@@ -48,39 +48,42 @@
     const Violations &broken = figures.violations;
     absl::PrintF("  violations: read-your-writes %d, stated age %d, lost %d, doubled %d, "
                  "false not-run %d, mixed %d, leaving %d, cut off %d\n",
-                 broken.readYourWrites, broken.statedAge, broken.lostWrites, broken.doubledWrites,
-                 broken.falseNotRun, broken.mixedAnswers, broken.workOnLeaving, broken.cutOff);
+                 broken.readYourWrites, broken.statedAge, broken.lostWrites, broken.duplicateWrites,
+                 broken.executedDespiteRefusal, broken.misdirectedAnswers,
+                 broken.statementsOnLeavingServer, broken.abortedRequests);
     for (const auto &[reason, count] : figures.refusals) {
         const std::string name(reasonInfo(reason).name);
         absl::PrintF("  not done: %s %d\n", name, count);
     }
 }
 
-// Reads of all traces of a site together.
+// Sums over all traces of a site.
 struct SiteReads
 {
-    int byReplica = 0;
-    int couldReplica = 0;
+    int replicaReads = 0;
+    int replicaEligibleReads = 0;
 };
 
-SiteReads &siteOf(std::map<std::string, SiteReads> &sites, const Trace &trace)
+SiteReads &siteReadsOf(std::map<std::string, SiteReads> &sites, const Trace &trace)
 {
     return sites[trace.name.substr(0, trace.name.find('-'))];
 }
 
-bool enoughReads(const std::map<std::string, SiteReads> &sites)
+// Prints, for each site, the share of the eligible reads that replicas answered. Returns whether
+// all shares reach 98 percent.
+bool checkReplicaShares(const std::map<std::string, SiteReads> &sites)
 {
-    bool enough = true;
+    bool sufficient = true;
     for (const auto &[site, reads] : sites) {
         absl::PrintF("%s: replicas answered %.2f%% of the reads that could go there\n", site,
-                     percentOf(reads.byReplica, reads.couldReplica));
-        enough = enough && reads.byReplica * 100 >= reads.couldReplica * 98;
+                     percentOf(reads.replicaReads, reads.replicaEligibleReads));
+        sufficient = sufficient && reads.replicaReads * 100 >= reads.replicaEligibleReads * 98;
     }
-    return enough;
+    return sufficient;
 }
 
-bool runAll(const std::vector<Trace> &traces, const std::vector<std::string> &policies,
-            bool details)
+bool replayAll(const std::vector<Trace> &traces, const std::vector<std::string> &policies,
+               bool details)
 {
     bool good = true;
     std::map<std::string, SiteReads> sites;
@@ -93,15 +96,15 @@
                 printDetails(*figures);
             if (policy != "kelptally")
                 continue;
-            good = good && figures->violations.all() == 0 && figures->missedOutcomes == 0;
-            siteOf(sites, trace).byReplica += figures->byReplica;
-            siteOf(sites, trace).couldReplica += figures->couldReplica;
+            good = good && figures->violations.all() == 0 && figures->unexpectedOutcomes == 0;
+            siteReadsOf(sites, trace).replicaReads += figures->replicaReads;
+            siteReadsOf(sites, trace).replicaEligibleReads += figures->replicaEligibleReads;
         }
     }
-    return enoughReads(sites) && good;
+    return checkReplicaShares(sites) && good;
 }
 
-bool runLive(const std::vector<Trace> &traces, const LiveOptions &options)
+bool replayAllLive(const std::vector<Trace> &traces, const LiveOptions &options)
 {
     bool good = true;
     for (const Trace &trace : traces) {
@@ -114,14 +117,14 @@
         absl::PrintF("%s: requests %d, done %d, refused %d, unknown %d, missed outcomes %d, faults "
                      "not caused %d\n",
                      trace.name, figures.requests, figures.done, figures.refused, figures.unknown,
-                     figures.missedOutcomes, figures.faultsNotCaused);
+                     figures.unexpectedOutcomes, figures.faultsNotInjected);
         absl::PrintF("  violations: read-your-writes %d, stated age %d, lost %d, doubled %d, "
                      "false not-run %d\n",
                      figures.readYourWrites, figures.statedAge, figures.lostWrites,
-                     figures.doubledWrites, figures.falseNotRun);
+                     figures.duplicateWrites, figures.executedDespiteRefusal);
         absl::PrintF("  reads that state an age at replicas %.2f%%; ms: writes p50 %.1f p99 %.1f, "
                      "reads p50 %.1f p99 %.1f\n",
-                     percentOf(figures.byReplica, figures.agedReads),
+                     percentOf(figures.replicaReads, figures.statedAgeReads),
                      toMilliseconds(quantile(figures.writeLatency, 50)),
                      toMilliseconds(quantile(figures.writeLatency, 99)),
                      toMilliseconds(quantile(figures.readLatency, 50)),
@@ -143,13 +146,13 @@
     return parseTrace(text.str());
 }
 
-std::vector<Trace> select(const std::string &name)
+std::vector<Trace> selectTraces(const std::string &name)
 {
     std::vector<Trace> all = shippedTraces();
-    const auto other = [&name](const Trace &trace) {
+    const auto doesNotMatch = [&name](const Trace &trace) {
         return trace.name.find(name) == std::string::npos;
     };
-    all.erase(std::remove_if(all.begin(), all.end(), other), all.end());
+    all.erase(std::remove_if(all.begin(), all.end(), doesNotMatch), all.end());
     return all;
 }
 
@@ -157,30 +160,31 @@
 
 int runReplay(int argc, char **argv)
 {
-    TCLAP::CmdLine line("Replays traces through the decisions on a manual clock and checks every "
-                        "outcome. Exit code 1 when kelptally broke a promise, missed a stated "
-                        "outcome or sent fewer than 98% of the reads to replicas that could go "
-                        "there.");
-    TCLAP::ValueArg<std::string> file("t", "trace", "a trace file (default: the shipped traces)",
+    TCLAP::CmdLine line(
+        "Replays traces in a model on a manual clock and checks every outcome. Exit "
+        "code 1 if kelptally violated a guarantee, missed an expected outcome or "
+        "sent fewer than 98% of the eligible reads to replicas.");
+    TCLAP::ValueArg<std::string> file("t", "trace", "trace file (default: the shipped traces)",
                                       false, "", "FILE", line);
-    TCLAP::ValueArg<std::string> only("", "only", "only shipped traces whose name holds this",
+    TCLAP::ValueArg<std::string> only("", "only", "only shipped traces whose name contains this",
                                       false, "", "TEXT", line);
     TCLAP::ValueArg<std::string> policy("p", "policy", "kelptally, primary-only or round-robin",
                                         false, "kelptally", "NAME", line);
-    TCLAP::SwitchArg table("", "table", "all three policies side by side", line);
-    TCLAP::SwitchArg details("d", "details", "violations and refusals by kind", line);
-    TCLAP::SwitchArg live("", "live", "against running processes instead of the model", line);
+    TCLAP::SwitchArg table("", "table", "compare all three policies", line);
+    TCLAP::SwitchArg details("d", "details", "print violations and refusals by kind", line);
+    TCLAP::SwitchArg live("", "live", "replay against running processes instead of the model",
+                          line);
     TCLAP::MultiArg<std::string> entries("", "entry", "with --live: caller port of an entry", false,
                                          "IP:PORT", line);
-    TCLAP::ValueArg<std::string> key("", "key", "with --live: the callers' key", false, "demo-key",
-                                     "KEY", line);
+    TCLAP::ValueArg<std::string> key("", "key", "with --live: caller key", false, "demo-key", "KEY",
+                                     line);
     TCLAP::ValueArg<std::string> standin("", "standin", "with --live: control port of the stand-in",
                                          false, "", "IP:PORT", line);
-    TCLAP::ValueArg<int> slower("", "slower", "with --live: stretch the trace's times so often",
-                                false, 1, "N", line);
+    TCLAP::ValueArg<int> timeFactor(
+        "", "slower", "with --live: factor that stretches the trace's times", false, 1, "N", line);
     line.parse(argc, argv);
 
-    std::vector<Trace> traces = select(only.getValue());
+    std::vector<Trace> traces = selectTraces(only.getValue());
     if (file.isSet()) {
         auto trace = readTrace(file.getValue());
         if (!trace.ok()) {
@@ -199,17 +203,18 @@
         options.entries = entries.getValue();
         options.callerKey = key.getValue();
         options.standin = standin.getValue();
-        options.slower = slower.getValue();
-        return runLive(traces, options) ? 0 : 1;
+        options.timeFactor = timeFactor.getValue();
+        return replayAllLive(traces, options) ? 0 : 1;
     }
-    const std::vector<std::string> one = {policy.getValue()};
-    return runAll(traces, table.getValue() ? policyNames : one, details.getValue()) ? 0 : 1;
+    const std::vector<std::string> singlePolicy = {policy.getValue()};
+    return replayAll(traces, table.getValue() ? policyNames : singlePolicy, details.getValue()) ? 0
+                                                                                                : 1;
 }
 
 int runTraces(int argc, char **argv)
 {
     TCLAP::CmdLine line("Writes the shipped traces as text files; docs/TRACES.md describes them.");
-    TCLAP::ValueArg<std::string> out("o", "out", "directory that exists", true, "", "DIR", line);
+    TCLAP::ValueArg<std::string> out("o", "out", "existing directory", true, "", "DIR", line);
     line.parse(argc, argv);
     for (const Trace &trace : shippedTraces()) {
         const std::string file = out.getValue() + "/" + trace.name + ".trace";
--- a/src/bench/shippedtraces.cpp
+++ b/src/bench/shippedtraces.cpp
@@ -3,8 +3,7 @@
 #include <algorithm>
 #include <random>
 
-// The shipped traces, drawn from fixed seeds: the rates and mixes are assumptions about the two
-// sites' days, the sizes and delays those that the sites have given.
+// Generates the shipped traces from fixed seeds.
 namespace kelptally::bench {
 
 using namespace std::chrono_literals;
@@ -14,10 +13,10 @@
 
 constexpr int hostCount = 6;
 constexpr int sessionCount = 200;
-// Until a replica's readers see a record that it holds; an assumption.
+// Delay until a record received by a replica is visible to reads.
 constexpr Duration replicationDelay = 10ms;
 
-// What callers of one site do.
+// Topology and workload of a site.
 struct Site
 {
     std::string name;
@@ -25,13 +24,11 @@
     std::vector<GroupName> groups;
     Duration zoneDelay;
     Duration clientDelay;
-    // Arrivals in one second.
-    int rate = 0;
-    // Of a hundred requests.
-    int writes = 0;
-    int newestReads = 0;
+    int requestsPerSecond = 0;
+    int writePercent = 0;
+    int newestReadPercent = 0;
     std::vector<Duration> statedAges;
-    // Between the names of a group and of its servers.
+    // Separates the group's name from the letter in a server's name.
     std::string separator;
 };
 
@@ -83,34 +80,36 @@
             + std::string(1, static_cast<char>('a' + server));
     }
 
-    void fault(Duration at, FaultKind kind, const std::string &subject, Duration time = {},
-               int factor = 1)
+    void addFault(Duration at, FaultKind kind, const std::string &target, Duration time = {},
+                  int factor = 1)
     {
         TraceEvent event;
         event.at = at;
-        event.fault = TraceFault {kind, subject, time, factor};
+        event.fault = TraceFault {kind, target, time, factor};
         trace_.events.push_back(std::move(event));
     }
 
-    // Requests from one instant to another, at the site's rate times a percentage. Those expected
-    // otherwise than done lie in a disturbed stretch.
-    void requests(Duration from, Duration to, int percent = 100, Expect expect = Expect::Done)
+    // Adds requests in a time range, at a percentage of the site's rate. Use an expected outcome
+    // other than Done where faults may cause refusals or losses.
+    void addRequests(Duration from, Duration to, int percent = 100,
+                     ExpectedOutcome expect = ExpectedOutcome::Done)
     {
         const std::uint64_t meanGap =
-            100000000 / (site_.rate * static_cast<std::uint64_t>(percent));
-        for (Duration at = from; at < to; at += 1us * below(2 * meanGap)) {
+            100000000 / (site_.requestsPerSecond * static_cast<std::uint64_t>(percent));
+        for (Duration at = from; at < to; at += 1us * randomBelow(2 * meanGap)) {
             TraceEvent event;
             event.at = at;
             event.request = drawRequest(expect);
             const TraceRequest request = *event.request;
             trace_.events.push_back(std::move(event));
             if (request.write)
-                lookAtOwnWrite(at, request);
+                addReadOfOwnWrite(at, request);
         }
     }
 
-    // Sessions stay with one host unless they move.
-    void setMoves(bool moves) { moves_ = moves; }
+    // Whether each request of a session may go to another host. By default a session keeps its
+    // host.
+    void setSessionsMove(bool sessionsMove) { sessionsMove_ = sessionsMove; }
 
     Trace take()
     {
@@ -120,52 +119,52 @@
     }
 
 private:
-    std::int64_t below(std::uint64_t bound)
+    std::int64_t randomBelow(std::uint64_t bound)
     {
         return static_cast<std::int64_t>(random_() % std::max<std::uint64_t>(bound, 1));
     }
 
-    // Soon after a write its session reads, at whatever host it is sent to.
-    void lookAtOwnWrite(Duration writtenAt, const TraceRequest &write)
+    // Adds a read by the same session shortly after a write, to test read-your-writes.
+    void addReadOfOwnWrite(Duration writtenAt, const TraceRequest &write)
     {
         TraceEvent event;
-        event.at = writtenAt + 10ms + 1us * below(60000);
+        event.at = writtenAt + 10ms + 1us * randomBelow(60000);
         event.request = write;
         event.request->id = ++lastId_;
         event.request->write = false;
         event.request->repeatable = true;
-        if (moves_)
-            event.request->entry = hostName(static_cast<int>(below(hostCount)));
+        if (sessionsMove_)
+            event.request->entry = hostName(static_cast<int>(randomBelow(hostCount)));
         drawRead(*event.request, false);
         trace_.events.push_back(std::move(event));
     }
 
-    TraceRequest drawRequest(Expect expect)
+    TraceRequest drawRequest(ExpectedOutcome expect)
     {
         TraceRequest request;
         request.id = ++lastId_;
-        request.session = static_cast<SessionId>(below(sessionCount));
-        request.entry = hostName(moves_ ? static_cast<int>(below(hostCount))
-                                        : static_cast<int>(request.session) % hostCount);
-        // A session keeps to one group, as a caseworker to a municipality.
+        request.session = static_cast<SessionId>(randomBelow(sessionCount));
+        request.entry = hostName(sessionsMove_ ? static_cast<int>(randomBelow(hostCount))
+                                               : static_cast<int>(request.session) % hostCount);
+        // A session uses one group only.
         request.group = site_.groups[request.session % site_.groups.size()];
         request.team = request.session % 4 == 0 ? "batch" : "web";
         request.expect = expect;
-        const std::int64_t draw = below(100);
-        if (draw < site_.writes)
+        const std::int64_t draw = randomBelow(100);
+        if (draw < site_.writePercent)
             drawWrite(request);
         else
-            drawRead(request, draw < site_.writes + site_.newestReads);
+            drawRead(request, draw < site_.writePercent + site_.newestReadPercent);
         return request;
     }
 
     void drawWrite(TraceRequest &request)
     {
         request.write = true;
-        request.repeatable = below(3) == 0;
+        request.repeatable = randomBelow(3) == 0;
         request.requestClass = request.repeatable ? RequestClass::Write : RequestClass::Critical;
         request.deadline = 5s;
-        request.cost = 2ms + 1us * below(2000);
+        request.cost = 2ms + 1us * randomBelow(2000);
     }
 
     void drawRead(TraceRequest &request, bool newest)
@@ -173,37 +172,36 @@
         request.requestClass = newest ? RequestClass::FreshRead : RequestClass::Browse;
         if (!newest)
             request.statedAge =
-                site_.statedAges[static_cast<std::size_t>(below(site_.statedAges.size()))];
+                site_.statedAges[static_cast<std::size_t>(randomBelow(site_.statedAges.size()))];
         request.deadline = newest ? 5s : 1s;
-        request.cost = 1ms + 1us * below(3000);
+        request.cost = 1ms + 1us * randomBelow(3000);
     }
 
     const Site &site_;
     std::mt19937_64 random_;
     Trace trace_;
     RequestId lastId_ = 0;
-    bool moves_ = false;
+    bool sessionsMove_ = false;
 };
 
-Trace usual(const Site &site)
+Trace normalLoad(const Site &site)
 {
-    // The agency: a billing run comes on top, whole municipalities at once. Lagon: offers and
-    // deposits while browsing dominates.
+    // A burst of requests between two phases of half the normal rate.
     Generator generator(site, site.name == "agency" ? "billing-burst" : "browsing", 11);
-    generator.requests(0s, 10s, 50);
-    generator.requests(10s, 20s, site.name == "agency" ? 160 : 120);
-    generator.requests(20s, 30s, 50);
+    generator.addRequests(0s, 10s, 50);
+    generator.addRequests(10s, 20s, site.name == "agency" ? 160 : 120);
+    generator.addRequests(20s, 30s, 50);
     return generator.take();
 }
 
 Trace failover(const Site &site)
 {
     Generator generator(site, "failover", 12);
-    generator.requests(0s, 40s, 60);
+    generator.addRequests(0s, 40s, 60);
     for (std::size_t g = 0; g < 3; ++g) {
         const Duration at = 5s + 10s * static_cast<int>(g);
-        generator.fault(at, FaultKind::KillServer, generator.serverName(g, 0));
-        generator.fault(at + 8s, FaultKind::StartServer, generator.serverName(g, 0));
+        generator.addFault(at, FaultKind::KillServer, generator.serverName(g, 0));
+        generator.addFault(at + 8s, FaultKind::StartServer, generator.serverName(g, 0));
     }
     return generator.take();
 }
@@ -211,48 +209,49 @@
 Trace partition(const Site &site)
 {
     Generator generator(site, "partition", 13);
-    generator.requests(0s, 5900ms, 50);
-    // Hosts in the lost zone can't reach the others' groups; their callers get no promise.
-    generator.requests(5900ms, 20s, 50, Expect::Any);
-    generator.requests(20s, 30s, 50);
-    generator.fault(6s, FaultKind::CutZone, site.zones[0]);
-    generator.fault(15s, FaultKind::HealZone, site.zones[0]);
+    generator.addRequests(0s, 5900ms, 50);
+    // Hosts in the partitioned zone can't reach the groups of other zones, so any outcome is
+    // allowed.
+    generator.addRequests(5900ms, 20s, 50, ExpectedOutcome::Any);
+    generator.addRequests(20s, 30s, 50);
+    generator.addFault(6s, FaultKind::CutZone, site.zones[0]);
+    generator.addFault(15s, FaultKind::HealZone, site.zones[0]);
     return generator.take();
 }
 
-Trace lag(const Site &site)
+Trace replicaLag(const Site &site)
 {
     Generator generator(site, "lag", 14);
-    generator.requests(0s, 30s, 50, Expect::DoneOrRefused);
-    generator.fault(5s, FaultKind::LagServer, generator.serverName(0, 1), 3s);
-    generator.fault(8s, FaultKind::HangServer, generator.serverName(1, 2));
-    generator.fault(10s, FaultKind::LagServer, generator.serverName(0, 2), 400ms);
-    generator.fault(15s, FaultKind::SlowServer, generator.serverName(2, 1), {}, 5);
-    generator.fault(16s, FaultKind::LeaveServer, generator.serverName(2, 2));
-    generator.fault(20s, FaultKind::HealServer, generator.serverName(1, 2));
-    generator.fault(22s, FaultKind::LagServer, generator.serverName(0, 1), 0s);
-    generator.fault(22s, FaultKind::LagServer, generator.serverName(0, 2), 0s);
+    generator.addRequests(0s, 30s, 50, ExpectedOutcome::DoneOrRefused);
+    generator.addFault(5s, FaultKind::LagServer, generator.serverName(0, 1), 3s);
+    generator.addFault(8s, FaultKind::HangServer, generator.serverName(1, 2));
+    generator.addFault(10s, FaultKind::LagServer, generator.serverName(0, 2), 400ms);
+    generator.addFault(15s, FaultKind::SlowServer, generator.serverName(2, 1), {}, 5);
+    generator.addFault(16s, FaultKind::LeaveServer, generator.serverName(2, 2));
+    generator.addFault(20s, FaultKind::HealServer, generator.serverName(1, 2));
+    generator.addFault(22s, FaultKind::LagServer, generator.serverName(0, 1), 0s);
+    generator.addFault(22s, FaultKind::LagServer, generator.serverName(0, 2), 0s);
     return generator.take();
 }
 
 Trace storeOutage(const Site &site)
 {
     Generator generator(site, "store-outage", 15);
-    generator.requests(0s, 40s, 60);
-    generator.fault(2s, FaultKind::StopStore, {});
-    generator.fault(10s, FaultKind::KillServer, generator.serverName(0, 0));
-    generator.fault(38s, FaultKind::StartStore, {});
+    generator.addRequests(0s, 40s, 60);
+    generator.addFault(2s, FaultKind::StopStore, {});
+    generator.addFault(10s, FaultKind::KillServer, generator.serverName(0, 0));
+    generator.addFault(38s, FaultKind::StartStore, {});
     return generator.take();
 }
 
 Trace rollingRestart(const Site &site)
 {
     Generator generator(site, "rolling-restart", 16);
-    generator.requests(0s, 40s, 60);
+    generator.addRequests(0s, 40s, 60);
     for (int i = 0; i < hostCount; ++i) {
         const Duration at = 4s + 6s * i;
-        generator.fault(at, FaultKind::StopHost, Generator::hostName(i));
-        generator.fault(at + 4s, FaultKind::StartHost, Generator::hostName(i));
+        generator.addFault(at, FaultKind::StopHost, Generator::hostName(i));
+        generator.addFault(at + 4s, FaultKind::StartHost, Generator::hostName(i));
     }
     return generator.take();
 }
@@ -260,22 +259,22 @@
 Trace hostCrash(const Site &site)
 {
     Generator generator(site, "host-crash", 17);
-    generator.requests(0s, 7s, 60);
-    // Callers of the dead host get no answer, and others wait for the lease to end.
-    generator.requests(7s, 12s, 60, Expect::Any);
-    generator.requests(12s, 20s, 60);
-    generator.fault(8s, FaultKind::CrashHost, Generator::hostName(0));
-    generator.fault(8s, FaultKind::CrashHost, Generator::hostName(1));
-    generator.fault(14s, FaultKind::StartHost, Generator::hostName(0));
-    generator.fault(14s, FaultKind::StartHost, Generator::hostName(1));
+    generator.addRequests(0s, 7s, 60);
+    // Callers of the crashed hosts get no answer, and others wait until the leases expire.
+    generator.addRequests(7s, 12s, 60, ExpectedOutcome::Any);
+    generator.addRequests(12s, 20s, 60);
+    generator.addFault(8s, FaultKind::CrashHost, Generator::hostName(0));
+    generator.addFault(8s, FaultKind::CrashHost, Generator::hostName(1));
+    generator.addFault(14s, FaultKind::StartHost, Generator::hostName(0));
+    generator.addFault(14s, FaultKind::StartHost, Generator::hostName(1));
     return generator.take();
 }
 
 Trace sessionMoves(const Site &site)
 {
     Generator generator(site, "session-moves", 18);
-    generator.setMoves(true);
-    generator.requests(0s, 30s, 60);
+    generator.setSessionsMove(true);
+    generator.addRequests(0s, 30s, 60);
     return generator.take();
 }
 
@@ -285,8 +284,8 @@
 {
     std::vector<Trace> traces;
     for (const Site *site : {&agency, &lagon}) {
-        for (const auto make : {usual, failover, partition, lag, storeOutage, rollingRestart,
-                                hostCrash, sessionMoves})
+        for (const auto make : {normalLoad, failover, partition, replicaLag, storeOutage,
+                                rollingRestart, hostCrash, sessionMoves})
             traces.push_back(make(*site));
     }
     return traces;
--- a/src/bench/slopes.cpp
+++ b/src/bench/slopes.cpp
@@ -16,7 +16,7 @@
 
 #include <memory>
 
-// The slopes that docs/CAPACITY.md is worked out from, measured in this process.
+// Measures, in this process, the costs on which docs/CAPACITY.md is based.
 namespace kelptally::bench {
 
 using namespace decision;
@@ -31,7 +31,7 @@
     return std::chrono::duration<double, std::micro>(duration).count();
 }
 
-void title(const char *text)
+void printTitle(const char *text)
 {
     absl::PrintF("\n%s\n", text);
 }
@@ -52,8 +52,8 @@
 void measureMessage(const std::string &name, const inner::Message &message)
 {
     const std::string bytes = *inner::encode(message);
-    const Duration encoding = timeOfCall(20000, [&] { (void)inner::encode(message); });
-    const Duration decoding = timeOfCall(20000, [&] { (void)inner::decode(bytes); });
+    const Duration encoding = meanCallTime(20000, [&] { (void)inner::encode(message); });
+    const Duration decoding = meanCallTime(20000, [&] { (void)inner::decode(bytes); });
     absl::PrintF("  %-34s %6d bytes  encode %6.2f us  decode %6.2f us\n", name, bytes.size(),
                  microseconds(encoding), microseconds(decoding));
 }
@@ -80,7 +80,7 @@
 
 void measureMessages()
 {
-    title("messages between processes (CBOR alone; frame and transport come on top)");
+    printTitle("messages between processes (CBOR only, without frame and transport)");
     for (const int groups : {1, 2, 4, 16}) {
         measureMessage(absl::StrCat("heartbeat, groups ", groups), heartbeatOf(groups));
         measureMessage(absl::StrCat("heartbeat answer, groups ", groups),
@@ -95,7 +95,7 @@
     execute.parameters = {std::string("12345")};
     execute.readOnly = true;
     execute.statedAge = 1s;
-    execute.deadlineIn = 1s;
+    execute.timeLeft = 1s;
     execute.sessionPosition = Position {makeTerm(1000, 1), 1000000};
     measureMessage("execute", execute);
     inner::ExecuteResult result;
@@ -158,32 +158,32 @@
     }
 }
 
-// Processor time of the group's ticks in one second, with all answers there at once.
-Duration secondOfOwner(Ownership &owner, Instant &now)
+// Returns the CPU time of one second of ticks with immediate answers.
+Duration timeOwnershipTicks(Ownership &owner, Instant &now)
 {
-    const Duration before = processorTime();
+    const Duration before = threadProcessorTime();
     for (Duration at = 0s; at < 1s; at += Ownership::tickPeriod) {
         now += Ownership::tickPeriod;
         answerLeases(owner, now, owner.onTick(now));
     }
-    return processorTime() - before;
+    return threadProcessorTime() - before;
 }
 
-Duration secondOfFailover(Failover &failover, Instant &now, int &probes)
+Duration timeFailoverTicks(Failover &failover, Instant &now, int &probes)
 {
-    const Duration before = processorTime();
+    const Duration before = threadProcessorTime();
     for (Duration at = 0s; at < 1s; at += Failover::tickPeriod) {
         now += Failover::tickPeriod;
         const FailoverActions actions = failover.onTick(now);
         probes += static_cast<int>(actions.size());
         answerProbes(failover, now, actions);
     }
-    return processorTime() - before;
+    return threadProcessorTime() - before;
 }
 
 void measureGroups()
 {
-    title("one group in steady state, for one second");
+    printTitle("one group in steady state, for one second");
     constexpr int groups = 1000;
     std::vector<std::unique_ptr<Ownership>> owners;
     std::size_t before = allocatedBytes();
@@ -193,7 +193,7 @@
     Duration ownerTime {0};
     for (const auto &owner : owners) {
         Instant now = start;
-        ownerTime += secondOfOwner(*owner, now);
+        ownerTime += timeOwnershipTicks(*owner, now);
     }
     absl::PrintF("  ownership, owner: %d bytes, %.1f us\n", ownerBytes,
                  microseconds(ownerTime / groups));
@@ -209,7 +209,7 @@
     int probes = 0;
     for (const auto &failover : failovers) {
         Instant now = start;
-        failoverTime += secondOfFailover(*failover, now, probes);
+        failoverTime += timeFailoverTicks(*failover, now, probes);
     }
     absl::PrintF("  failover: %d bytes, %.1f us, %.1f probes (primary %s)\n", failoverBytes,
                  microseconds(failoverTime / groups), static_cast<double>(probes) / groups,
@@ -224,14 +224,14 @@
     for (int i = 0; i < count; ++i) {
         const std::string address = processOf(i).address;
         hosts.push_back({absl::StrCat("host-", i), absl::StrCat("zone-", i % 6), address, address,
-                         settings::Presence::Active});
+                         settings::AdministrativeState::Active});
     }
     return hosts;
 }
 
 void measureMembership()
 {
-    title("membership");
+    printTitle("membership");
     for (const int nodes : {8, 130, 1300}) {
         const std::size_t before = allocatedBytes();
         Membership membership;
@@ -240,13 +240,13 @@
             membership.onPeerUp(start, processOf(i));
         const std::size_t bytes = allocatedBytes() - before;
         int group = 0;
-        const Duration wanted =
-            timeOfCall(200, [&] { (void)membership.preferredOwner(groupOf(++group), "zone-1"); });
-        const Duration choice = timeOfCall(
+        const Duration preferredOwnerTime =
+            meanCallTime(200, [&] { (void)membership.preferredOwner(groupOf(++group), "zone-1"); });
+        const Duration successorsTime = meanCallTime(
             200, [&] { (void)membership.successorCandidates(groupOf(++group), processOf(0)); });
-        absl::PrintF("  %5d nodes: %7d bytes, wanted owner of a group %7.1f us, "
+        absl::PrintF("  %5d nodes: %7d bytes, preferred owner of a group %7.1f us, "
                      "its successors %7.1f us\n",
-                     nodes, bytes, microseconds(wanted), microseconds(choice));
+                     nodes, bytes, microseconds(preferredOwnerTime), microseconds(successorsTime));
     }
 }
 
@@ -276,7 +276,7 @@
 
 void measureConfiguration()
 {
-    title("configuration: one document, parsed and kept");
+    printTitle("configuration: one document, parsed and stored");
     for (const auto &[hosts, groups] :
          {std::pair(8, 3), std::pair(130, 210), std::pair(1300, 2100)}) {
         const std::string document = documentOf(hosts, groups);
@@ -285,7 +285,7 @@
         auto inventory = std::make_unique<settings::Inventory>(
             settings::parseInventory("capacity.ini", document, findings));
         const std::size_t bytes = allocatedBytes() - before;
-        const Duration time = timeOfCall(
+        const Duration time = meanCallTime(
             3, [&] { (void)settings::parseInventory("capacity.ini", document, findings); });
         if (!findings.empty())
             absl::PrintF("%s", findings.toText());
@@ -300,15 +300,15 @@
 
 void measureTokens()
 {
-    title("session tokens");
+    printTitle("session tokens");
     const std::string key = "a key of thirty-two bytes length";
     for (const int groups : {1, 3, 16, 64}) {
         SessionToken token;
         for (int i = 0; i < groups; ++i)
             token.advance(groupOf(i), {makeTerm(1000, 1), 1000000});
         const std::string text = token.seal(key);
-        const Duration sealing = timeOfCall(20000, [&] { (void)token.seal(key); });
-        const Duration opening = timeOfCall(20000, [&] { (void)SessionToken::open(text, key); });
+        const Duration sealing = meanCallTime(20000, [&] { (void)token.seal(key); });
+        const Duration opening = meanCallTime(20000, [&] { (void)SessionToken::open(text, key); });
         absl::PrintF("  %2d groups: %4d bytes, seal %6.2f us, open %6.2f us\n", groups, text.size(),
                      microseconds(sealing), microseconds(opening));
     }
@@ -325,14 +325,14 @@
         servers[i].age = 20ms;
         servers[i].applied = Position {1, 100};
     }
-    ReadRequirements needs;
-    needs.statedAge = 1s;
-    needs.deadlineIn = 1s;
+    ReadRequirements requirements;
+    requirements.statedAge = 1s;
+    requirements.timeLeft = 1s;
     Routing routing(50);
     Instant now = start;
-    const Duration route = timeOfCall(100000, [&] {
+    const Duration route = meanCallTime(100000, [&] {
         now += 10us;
-        (void)routing.routeRead(needs, servers, now);
+        (void)routing.routeRead(requirements, servers, now);
     });
     absl::PrintF("  route a read: %.2f us\n", microseconds(route));
 }
@@ -347,7 +347,7 @@
     };
     for (int i = 0; i < waiting; ++i)
         offer();
-    const Duration time = timeOfCall(100000, [&] {
+    const Duration time = meanCallTime(100000, [&] {
         offer();
         if (const auto work = admission.next(start))
             admission.finished(*work, 2ms);
@@ -362,7 +362,7 @@
     Freshness freshness;
     LogOffset offset = 0;
     Instant now = start;
-    const Duration time = timeOfCall(100000, [&] {
+    const Duration time = meanCallTime(100000, [&] {
         now += 1ms;
         freshness.onPrimarySample(now, {1, ++offset});
         freshness.onReplicaReport("b", {1, offset});
@@ -374,16 +374,16 @@
 
 int runSlopes(int argc, char **argv)
 {
-    TCLAP::CmdLine line("Measures, in this process, the slopes of docs/CAPACITY.md: bytes and "
-                        "processor time against groups, nodes, size of the configuration and "
-                        "requests.");
+    TCLAP::CmdLine line("Measures, in this process, the costs on which docs/CAPACITY.md is based: "
+                        "bytes and processor time by groups, nodes, size of the configuration "
+                        "and requests.");
     line.parse(argc, argv);
     measureMessages();
     measureGroups();
     measureMembership();
     measureConfiguration();
     measureTokens();
-    title("decisions on one request");
+    printTitle("decisions on one request");
     measureRouting();
     measureAdmission(0);
     measureAdmission(250);
--- a/src/group/serverpool.h
+++ b/src/group/serverpool.h
@@ -56,7 +56,7 @@
     {
         // Null if no connection is available yet.
         PooledConnectionPtr connection;
-        decision::ConnectionAction place = decision::ConnectionAction::Use;
+        decision::ConnectionAction connectionAction = decision::ConnectionAction::Use;
     };
 
     // Takes an idle connection of the organisation, preferably one with these values. If there is
@@ -107,7 +107,8 @@
     decision::OwnerShare ownerShare_;
     std::optional<int> limit_;
     Duration minIdleTime_ {0};
-    // After a refusal as full, limits the pool to reducedShare_ connections until this time.
+    // After the server refused a connection as it was full, limits the pool to reducedShare_
+    // connections until this time.
     Instant reducedShareUntil_ {};
     int reducedShare_ = 0;
     // Ordered by last use, the most recent last.
--- a/src/host/hostprocess.cpp
+++ b/src/host/hostprocess.cpp
@@ -40,7 +40,7 @@
               ports.cancelStoreCalls, [this] { return draw(); }}),
       tableRelay_({ports.timers, store_, relayLinks_, ports.log, ports.metrics, self_.address,
                    settings.zone, group::OwnershipTable::table,
-                   decision::hasRoom(settings.processors, 0), [this] { return draw(); }}),
+                   decision::hasCapacity(settings.processors, 0), [this] { return draw(); }}),
       renotifiedGroups_(ports.metrics.scannedEntries("retold_groups")),
       serverList_(ports.timers, ports.log, ports.metrics,
                   [this](const GroupName &group, const std::vector<group::ListedServer> &servers) {
@@ -86,14 +86,14 @@
         [this](const GroupName &group) { onOwnerChanged(group); },
         [this](Instant since) { closeStaleConnections(since); },
         [this] { return store_.isSilent(); },
-        {settings_.quotaWindow, settings_.quotaOver, settings_.quotaSlack},
-        settings_.ways});
+        {settings_.quotaWindow, settings_.quotaOvershoot, settings_.quotaSlack},
+        settings_.policies});
     router_ = std::make_unique<session::Router>(
         session::Router::Parts {timers, *links_, groups_->ownership(), *groups_, localReads_,
                                 ports_.log, ports_.metrics, stageTimes_, self_});
     groups_->setServerLeaveTime(settings_.serverLeaveTime);
     groups_->start();
-    store_.onRecovery([this](Duration lostFor) { groups_->ownership().onStoreRecovered(lostFor); });
+    store_.onRecovery([this](Duration outage) { groups_->ownership().onStoreRecovered(outage); });
     return absl::OkStatus();
 }
 
@@ -109,12 +109,12 @@
 // Sends to at most maxRecipients peers, in rotation over all links.
 void HostProcess::sendToSomePeers(std::size_t maxRecipients, const inner::Message &message)
 {
-    auto next = linkAddresses_.upper_bound(lastAskedLink_);
+    auto next = linkAddresses_.upper_bound(lastRecipientLink_);
     const std::size_t count = std::min(maxRecipients, linkAddresses_.size());
     for (std::size_t i = 0; i < count; ++i, ++next) {
         if (next == linkAddresses_.end())
             next = linkAddresses_.begin();
-        lastAskedLink_ = next->first;
+        lastRecipientLink_ = next->first;
         static_cast<void>(links_->sendOn(next->first, message));
     }
 }
@@ -235,7 +235,7 @@
 
 void HostProcess::reload(const settings::HostSettings &settings)
 {
-    settings_.grace = settings.grace;
+    settings_.gracePeriod = settings.gracePeriod;
     settings_.serverLeaveTime = settings.serverLeaveTime;
     groups_->setServerLeaveTime(settings.serverLeaveTime);
 }
@@ -266,12 +266,12 @@
         callers_->closeIdle(maxClosedPerStep);
     }
     // 3. Statements that could not finish in time are refused.
-    if (passed >= settings_.grace - statementReserve)
+    if (passed >= settings_.gracePeriod - statementReserve)
         router_->refuseNewOperations();
     // 4. Ends when nothing is left or the grace period is nearly over.
     const bool empty = passed >= balancerDetectionTime && callers_->count() == 0
         && groups_->isIdle() && router_->inProgress() == 0;
-    if (!empty && passed < settings_.grace - shutdownReserve) {
+    if (!empty && passed < settings_.gracePeriod - shutdownReserve) {
         ports_.timers.subscribeAfter(drainStepPeriod, [this] { drainStep(); });
         return;
     }
@@ -416,7 +416,7 @@
 
 void HostProcess::handle(inner::LinkId, inner::TakeOver &message)
 {
-    if (draining_ || (message.needsCapacity && !groups_->ownership().hasRoom()))
+    if (draining_ || (message.needsCapacity && !groups_->ownership().hasCapacity()))
         return;
     if (message.requiredEndpoint.empty())
         return groups_->ownership().onTakeOverRequested(message.group, message.epoch);
--- a/src/owner/groupservers.cpp
+++ b/src/owner/groupservers.cpp
@@ -76,8 +76,8 @@
 
 void GroupServers::release(const ServerName &name, const ConnectionPtr &connection, bool reusable)
 {
-    if (ServerExecutor *known = executor(name))
-        known->release(connection, reusable);
+    if (ServerExecutor *found = executor(name))
+        found->release(connection, reusable);
     else
         connection->close();
 }
@@ -86,7 +86,8 @@
 {
     const auto found = servers_.find(name);
     return found == servers_.end()
-        || found->second.executor->server().presence == settings::Presence::Leaving;
+        || found->second.executor->server().administrativeState
+        == settings::AdministrativeState::Leaving;
 }
 
 void GroupServers::onReport(const ServerName &name, Instant sentAt,
@@ -183,7 +184,7 @@
     view.zone = settings.zone;
     view.primary = primary_ == name;
     view.reachable = server.reachable;
-    view.draining = settings.presence == settings::Presence::Leaving;
+    view.draining = settings.administrativeState == settings::AdministrativeState::Leaving;
     view.slots = settings.slots;
     view.busy = admission.busy();
     view.queued = admission.queued();
@@ -238,13 +239,13 @@
 {
     connectionShare_ = share;
     const auto remaining = std::make_shared<std::size_t>(servers_.size());
-    const auto onLaneWithinLimit = [remaining, onWithinShare] {
+    const auto onServerWithinLimit = [remaining, onWithinShare] {
         if (--*remaining == 0 && onWithinShare)
             onWithinShare();
     };
     for (auto &[name, server] : servers_)
         server.executor->setConnectionLimit(connectionLimit(server.executor->server(), share),
-                                            onLaneWithinLimit);
+                                            onServerWithinLimit);
 }
 
 std::size_t GroupServers::transactionLimit() const
@@ -257,14 +258,15 @@
     return static_cast<std::size_t>(limit);
 }
 
-void GroupServers::warm()
+void GroupServers::preconnect()
 {
     if (connectionShare_ == ConnectionShare::None)
         return;
     for (auto &[name, server] : servers_) {
         const settings::Server &settings = server.executor->server();
         const int open = std::min(settings.slots, successorReserve(settings) - controlConnections);
-        server.executor->warm(settings.presence == settings::Presence::Active ? open : 0);
+        server.executor->setMinConnections(
+            settings.administrativeState == settings::AdministrativeState::Active ? open : 0);
     }
 }
 
--- a/src/owner/groupservers.h
+++ b/src/owner/groupservers.h
@@ -12,8 +12,8 @@
 
 namespace kelptally::owner {
 
-// The servers of one group: the lane to each server, whether it is reachable and how fresh its data
-// is.
+// The servers of one group: the executor of each server, whether it is reachable and how fresh its
+// data is.
 class GroupServers
 {
 public:
@@ -69,7 +69,7 @@
     // Returns the limit of open transactions, which leaves one connection free for each slot.
     std::size_t transactionLimit() const;
     // Opens pooled connections ahead of need.
-    void warm();
+    void preconnect();
 
 private:
     struct Server
--- a/src/standin/databaseserver.h
+++ b/src/standin/databaseserver.h
@@ -20,7 +20,7 @@
 
 class WireSession;
 
-// What GET /state shows of a server.
+// State of one server as reported by GET /state.
 struct ServerState
 {
     ServerName name;
@@ -37,9 +37,9 @@
     ServerLimits limits;
 };
 
-// One server of a database group: a listening port, the sessions of its clients, its node, and the
-// faults that it is told to have. All of it runs on the server's own thread; the methods of the
-// first block may be called from any other thread.
+// One server of a database group: its listening port, client sessions, replicated state (Node) and
+// injected faults. Runs on its own thread; only the methods of the first block may be called from
+// other threads.
 class DatabaseServer
 {
 public:
@@ -47,37 +47,38 @@
                    PeerNetwork &network);
     ~DatabaseServer();
 
-    // Listens; the port is known afterwards. Throws boost::system::system_error when it can't.
-    void start(const ServerName &firstPrimary);
+    // Starts listening and sets port(). Throws boost::system::system_error on failure.
+    void start(const ServerName &initialPrimary);
     void stop();
     int port() const { return port_; }
     const ServerName &name() const { return settings_.name; }
-    // Runs a message of a peer after the delay, unless it is lost on the way.
+    // Runs a peer's message after the delay. Drops it if the server is down or partitioned from the
+    // peer.
     void deliver(const ServerName &from, Duration delay, std::function<void(Node &)> message);
-    // Runs a function on the server's thread and waits for it.
+    // Runs the function on the server's thread and blocks until it has returned.
     void callAndWait(const std::function<void(DatabaseServer &)> &function);
 
-    // Faults, on the server's thread.
+    // Fault injection, on the server's thread.
     void kill(bool keepState);
     void restart();
     void setPaused(bool paused);
-    void setPeerCut(const ServerName &peer, bool cut);
-    void setClientCut(const std::string &address, bool cut);
-    void setAllClientsCut(bool cut);
+    void setPeerPartitioned(const ServerName &peer, bool partitioned);
+    void setClientPartitioned(const std::string &address, bool partitioned);
+    void setAllClientsPartitioned(bool partitioned);
     void setLimits(const ServerLimits &limits);
     ServerState state();
 
-    // For the sessions.
+    // Used by the sessions.
     Node &node() { return node_; }
     TimerService &timers() { return thread_.timers(); }
     const ServerLimits &limits() const { return settings_.limits; }
     bool paused() const { return paused_; }
-    bool isCutOff(const std::string &clientAddress) const;
+    bool isPartitionedFrom(const std::string &clientAddress) const;
     ParsedStatementPtr parse(const std::string &sql);
-    // Counts a new connection; false when there are too many.
+    // Counts a new connection. Returns false if the connection limit is reached.
     bool admit();
     void cancel(std::uint32_t sessionId, std::uint32_t secret);
-    // Calls back when a slot was free and then held for the time.
+    // Waits for a free slot, occupies it for `time` and then calls `done`.
     void occupySlot(Duration time, std::function<void()> done);
     void onSessionClosed(WireSession &session);
 
@@ -91,7 +92,7 @@
     void listen();
     void accept();
     void tick();
-    void runSlots();
+    void startQueuedRequests();
     void resumeSessions();
     void receive(const ServerName &from, const std::function<void(Node &)> &message);
 
@@ -100,24 +101,24 @@
     Node node_;
     boost::asio::ip::tcp::acceptor acceptor_;
     std::atomic<int> port_ {0};
-    DelayLine peerLine_;
+    DelayQueue peerMessages_;
 
     bool running_ = false;
     bool paused_ = false;
-    // Goes up with each kill, so that what was under way is lost.
-    std::uint64_t run_ = 0;
-    std::set<ServerName> cutPeers_;
-    std::set<std::string> cutClients_;
-    bool allClientsCut_ = false;
-    std::vector<std::function<void()>> heldMessages_;
+    // Incremented by each kill, so that timers of an earlier run are ignored.
+    std::uint64_t incarnation_ = 0;
+    std::set<ServerName> partitionedPeers_;
+    std::set<std::string> partitionedClients_;
+    bool allClientsPartitioned_ = false;
+    std::vector<std::function<void()>> deferredMessages_;
 
     std::map<std::uint32_t, std::shared_ptr<WireSession>> sessions_;
-    std::uint32_t lastSession_ = 0;
+    std::uint32_t lastSessionId_ = 0;
     int connections_ = 0;
     int peakConnections_ = 0;
     int busySlots_ = 0;
-    std::deque<SlotRequest> slotRequests_;
-    std::unordered_map<std::string, ParsedStatementPtr> parsed_;
+    std::deque<SlotRequest> queuedRequests_;
+    std::unordered_map<std::string, ParsedStatementPtr> parseCache_;
 };
 
 } // namespace kelptally::standin
--- a/src/standin/sqlsession.h
+++ b/src/standin/sqlsession.h
@@ -10,37 +10,37 @@
 
 namespace kelptally::standin {
 
-// Whether a step is finished. One that waits is given again after the wake function was called.
-enum class Progress {
+// Result of a step. A pending step is repeated after the wake callback was called.
+enum class StepStatus {
     Done,
-    Waits,
+    Pending,
     Failed,
 };
 
-// The transaction and settings of one client of one server, apart from the wire. Reads see what is
-// committed (read committed); from its first write on a transaction holds the server's writer lock
-// and sees its own work.
+// Transaction and settings of one client, independent of the wire protocol. Isolation is read
+// committed; from its first write on, a transaction holds the server's writer lock and sees its own
+// changes.
 class SqlSession
 {
 public:
-    // The wake function must not call back into the session at once.
+    // `wake` must not call the session synchronously.
     SqlSession(Node &node, std::function<void()> wake);
     ~SqlSession();
 
-    // Columns that the statement will return; Failed when it does not compile.
-    Progress describe(const ParsedStatement &statement, std::vector<Column> &columns,
-                      SqlError &error);
-    // Runs one statement. The tag is that of CommandComplete, empty for an empty statement.
-    Progress execute(const ParsedStatement &statement, const std::vector<Parameter> &parameters,
-                     const RowSink &sink, std::string &tag, SqlError &error);
-    // Ends an implicit transaction: commits it.
-    Progress sync(SqlError &error);
-    // After any error: rolls back; an explicit transaction stays failed until it is ended.
+    // Returns the result columns of the statement. Fails if it doesn't compile.
+    StepStatus describe(const ParsedStatement &statement, std::vector<Column> &columns,
+                        SqlError &error);
+    // Runs one statement. `tag` is the tag for CommandComplete, empty for an empty statement.
+    StepStatus execute(const ParsedStatement &statement, const std::vector<Parameter> &parameters,
+                       const RowSink &sink, std::string &tag, SqlError &error);
+    // Commits the implicit transaction, if there is one.
+    StepStatus sync(SqlError &error);
+    // Rolls back after an error. An explicit transaction stays failed until it is ended.
     void fail();
-    // The client is gone.
-    void abandon();
+    // Rolls back any transaction.
+    void onClientDisconnected();
 
-    // As in ReadyForQuery: 'I' idle, 'T' in a transaction, 'E' in a failed one.
+    // Status for ReadyForQuery: 'I' idle, 'T' in a transaction, 'E' in a failed transaction.
     char transactionStatus() const;
 
     void setLockTimeout(Duration timeout) { lockTimeout_ = timeout; }
@@ -52,33 +52,36 @@
         Failed,
     };
 
-    Progress executeQuery(const ParsedStatement &statement,
-                          const std::vector<Parameter> &parameters, const RowSink &sink,
-                          std::string &tag, SqlError &error);
-    Progress executeControl(const ParsedStatement &statement,
+    StepStatus executeQuery(const ParsedStatement &statement,
                             const std::vector<Parameter> &parameters, const RowSink &sink,
-                            SqlError &error);
-    Progress callControl(const ParsedStatement &statement,
-                         const std::vector<std::string> &arguments, std::string &result,
-                         SqlError &error);
-    Progress raiseFence(OwnerEpoch epoch, SqlError &error);
-    Progress checkFence(OwnerEpoch epoch, SqlError &error);
-    Progress begin(const ParsedStatement &statement);
-    Progress end(bool commit, std::string &tag, SqlError &error);
-    Progress commit(SqlError &error);
-    // Makes this session the writer.
-    Progress lockForWriting(const std::string &verb, SqlError &error);
-    bool writing() const { return node_.writerLock().heldBy(lockUser_); }
-    SqliteDatabase &database() { return writing() ? node_.writing() : node_.committed(); }
+                            std::string &tag, SqlError &error);
+    StepStatus executeControl(const ParsedStatement &statement,
+                              const std::vector<Parameter> &parameters, const RowSink &sink,
+                              SqlError &error);
+    StepStatus callControlFunction(const ParsedStatement &statement,
+                                   const std::vector<std::string> &arguments, std::string &result,
+                                   SqlError &error);
+    StepStatus raiseFence(OwnerEpoch epoch, SqlError &error);
+    StepStatus checkFence(OwnerEpoch epoch, SqlError &error);
+    StepStatus beginTransaction(const ParsedStatement &statement);
+    StepStatus endTransaction(bool commit, std::string &tag, SqlError &error);
+    StepStatus commit(SqlError &error);
+    // Acquires the writer lock and begins the writer transaction.
+    StepStatus lockForWriting(const std::string &verb, SqlError &error);
+    bool holdsWriterLock() const { return node_.writerLock().isHeldBy(lockRequester_); }
+    SqliteDatabase &database()
+    {
+        return holdsWriterLock() ? node_.writerDatabase() : node_.committedDatabase();
+    }
     void rollBack();
 
     Node &node_;
-    WriterLock::User lockUser_;
+    WriterLock::Requester lockRequester_;
     Duration lockTimeout_ {std::chrono::seconds(5)};
     State state_ = State::Idle;
     bool readOnly_ = false;
-    // The writer's transaction was begun for this session.
-    bool begun_ = false;
+    // Whether this session has begun the writer transaction.
+    bool transactionBegun_ = false;
     std::vector<LoggedStatement> statements_;
     std::map<std::string, std::string> settings_;
 };
--- a/src/standin/statement.cpp
+++ b/src/standin/statement.cpp
@@ -13,7 +13,7 @@
     return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '_' || c == '.';
 }
 
-// Takes a statement's text apart into words, quoted texts and single signs.
+// Splits SQL text into words, quoted strings and single characters; skips comments.
 class Scanner
 {
 public:
@@ -54,22 +54,22 @@
     void skipBlanks()
     {
         while (position_ < text_.size()) {
-            const std::string_view ahead = text_.substr(position_);
-            if (std::isspace(static_cast<unsigned char>(ahead[0])) != 0)
+            const std::string_view remaining = text_.substr(position_);
+            if (std::isspace(static_cast<unsigned char>(remaining[0])) != 0)
                 ++position_;
-            else if (ahead.substr(0, 2) == "--")
+            else if (remaining.substr(0, 2) == "--")
                 skipPast("\n");
-            else if (ahead.substr(0, 2) == "/*")
+            else if (remaining.substr(0, 2) == "/*")
                 skipPast("*/");
             else
                 return;
         }
     }
 
-    void skipPast(std::string_view mark)
+    void skipPast(std::string_view delimiter)
     {
-        const std::size_t found = text_.find(mark, position_);
-        position_ = found == std::string_view::npos ? text_.size() : found + mark.size();
+        const std::size_t found = text_.find(delimiter, position_);
+        position_ = found == std::string_view::npos ? text_.size() : found + delimiter.size();
     }
 
     std::string_view text_;
@@ -90,7 +90,8 @@
     return std::find(std::begin(names), std::end(names), name) != std::end(names);
 }
 
-// After "SELECT": a control function's name, and its arguments up to the closing bracket.
+// Parses a control function and its arguments after "SELECT". Leaves `statement` unchanged if
+// another expression follows.
 void parseControl(Scanner &scanner, ParsedStatement &statement)
 {
     std::string name = scanner.next();
@@ -111,7 +112,7 @@
     }
 }
 
-// After "SET": [SESSION|LOCAL] name {=|TO} value.
+// Parses the rest of "SET [SESSION|LOCAL] name {=|TO} value".
 void parseSet(Scanner &scanner, ParsedStatement &statement)
 {
     statement.kind = StatementKind::Set;
@@ -188,9 +189,9 @@
     default:
         break;
     }
-    const bool ownView = sql.find("kelptally_status") != std::string::npos
+    const bool isServerView = sql.find("kelptally_status") != std::string::npos
         || sql.find("kelptally_history") != std::string::npos;
-    statement->costsService = statement->kind == StatementKind::Query && !ownView;
+    statement->usesServiceTime = statement->kind == StatementKind::Query && !isServerView;
     return statement;
 }
 
--- a/src/standin/wiresession.h
+++ b/src/standin/wiresession.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "standin/delayline.h"
+#include "standin/delayqueue.h"
 #include "standin/sqlsession.h"
 #include "standin/wire.h"
 
@@ -16,7 +16,7 @@
 
 class DatabaseServer;
 
-// One client's connection to one server. Lives as long as its operations on the socket.
+// One client connection. Kept alive by its pending socket operations.
 class WireSession : public std::enable_shared_from_this<WireSession>
 {
 public:
@@ -25,9 +25,9 @@
 
     void start();
     void close();
-    // Goes on with what came in; for a server that was paused or cut off.
+    // Continues reading, processing and writing after a pause or a partition.
     void resume();
-    // Ends the waiting of the running statement with an error.
+    // Cancels the waiting statement if the secret is that of the session.
     void cancel(std::uint32_t secret);
 
     std::uint32_t id() const { return id_; }
@@ -40,7 +40,7 @@
         Connecting,
         Ready,
     };
-    struct Prepared
+    struct PreparedStatement
     {
         ParsedStatementPtr statement;
         std::vector<int> typeOids;
@@ -53,32 +53,33 @@
 
     void read();
     void onBytes(std::string bytes);
-    // Handles the messages that are whole, until one has to wait.
+    // Handles the complete messages in the buffer until one has to wait.
     void process();
-    // One step each; false when the message is not whole or has to wait.
+    // Each handles one message or startup step. Returns false if it is incomplete or has to wait.
     bool step();
     bool processStartup();
-    bool greet();
+    bool completeStartup();
     bool processMessage();
     void authenticate();
 
-    // Each handles one message; Waits means: call again with the same message.
-    Progress handle(char type, std::string_view body);
-    Progress handleParse(std::string_view body, SqlError &error);
-    Progress handleBind(std::string_view body, SqlError &error);
-    Progress handleDescribe(std::string_view body, SqlError &error);
-    Progress handleExecute(std::string_view body, SqlError &error);
-    Progress handleClose(std::string_view body, SqlError &error);
-    Progress handleSync();
-    Progress handleSimpleQuery(std::string_view body);
-    Progress runSimple(const std::string &sql, SqlError &error);
-    Progress runStatement(const ParsedStatement &statement,
-                          const std::vector<Parameter> &parameters, SqlError &error);
-    // Takes a slot for the service time of the statements that are here; Waits while it lasts.
-    Progress payForService(const ParsedStatement &statement);
-    int executesAhead() const;
-
-    void fatal(const SqlError &error);
+    // Each handles one message. On Pending, call it again with the same message after the wake-up.
+    StepStatus handle(char type, std::string_view body);
+    StepStatus handleParse(std::string_view body, SqlError &error);
+    StepStatus handleBind(std::string_view body, SqlError &error);
+    StepStatus handleDescribe(std::string_view body, SqlError &error);
+    StepStatus handleExecute(std::string_view body, SqlError &error);
+    StepStatus handleClose(std::string_view body, SqlError &error);
+    StepStatus handleSync();
+    StepStatus handleSimpleQuery(std::string_view body);
+    StepStatus runSimpleStatement(const std::string &sql, SqlError &error);
+    StepStatus runStatement(const ParsedStatement &statement,
+                            const std::vector<Parameter> &parameters, SqlError &error);
+    // Occupies a slot for the service time of the buffered statements. Returns Pending until it has
+    // passed.
+    StepStatus reserveServiceTime(const ParsedStatement &statement);
+    int countBufferedStatements() const;
+
+    void sendFatalError(const SqlError &error);
     void waitFor(Duration delay);
     std::function<void()> wakeFunction();
     void flush();
@@ -91,32 +92,32 @@
     std::string clientAddress_;
     SqlSession sql_;
 
-    std::array<char, 16384> chunk_;
-    DelayLine inward_;
-    DelayLine outward_;
-    std::string in_;
-    std::size_t consumed_ = 0;
-    WireWriter out_;
-    std::string sending_;
-    std::string ready_;
+    std::array<char, 16384> readBuffer_;
+    DelayQueue inboundQueue_;
+    DelayQueue outboundQueue_;
+    std::string inputBuffer_;
+    std::size_t consumedBytes_ = 0;
+    WireWriter writer_;
+    std::string sendBuffer_;
+    std::string pendingOutput_;
     bool reading_ = false;
 
     Phase phase_ = Phase::Startup;
-    // Counts among the server's connections.
+    // Whether the session counts towards the server's connection limit.
     bool admitted_ = false;
     bool waiting_ = false;
     bool canceled_ = false;
     bool skipToSync_ = false;
     bool closed_ = false;
     bool closeWhenSent_ = false;
-    // Statements whose service time has passed already.
-    int paid_ = 0;
+    // Buffered statements whose service time is already accounted for.
+    int reservedStatements_ = 0;
 
-    std::map<std::string, Prepared, std::less<>> prepared_;
+    std::map<std::string, PreparedStatement, std::less<>> preparedStatements_;
     std::map<std::string, Portal, std::less<>> portals_;
-    std::vector<std::string> simpleParts_;
-    std::size_t simpleNext_ = 0;
-    bool simpleRunning_ = false;
+    std::vector<std::string> simpleStatements_;
+    std::size_t nextSimpleStatement_ = 0;
+    bool simpleQueryActive_ = false;
 };
 
 } // namespace kelptally::standin
--- a/tests/admin/startup_test.cpp
+++ b/tests/admin/startup_test.cpp
@@ -32,7 +32,7 @@
                                      "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f200"
                                      "15ad\n";
 
-// A file in the working directory that is gone with the object.
+// Creates a file in the working directory and removes it on destruction.
 class TemporaryFile
 {
 public:
@@ -41,13 +41,14 @@
     const char *path() const { return "startup_test.ini"; }
 };
 
-// Catches what a program prints.
-class Printed
+// Captures what is printed to a stream.
+class CapturedOutput
 {
 public:
-    explicit Printed(std::ostream &stream) : stream_(stream), before_(stream.rdbuf(text_.rdbuf()))
+    explicit CapturedOutput(std::ostream &stream)
+        : stream_(stream), before_(stream.rdbuf(text_.rdbuf()))
     { }
-    ~Printed() { stream_.rdbuf(before_); }
+    ~CapturedOutput() { stream_.rdbuf(before_); }
     std::string text() const { return text_.str(); }
 
 private:
@@ -56,7 +57,7 @@
     std::streambuf *before_;
 };
 
-StartUp startWith(std::initializer_list<const char *> arguments)
+StartupResult startWith(std::initializer_list<const char *> arguments)
 {
     std::vector<const char *> argv = {"program"};
     argv.insert(argv.end(), arguments);
@@ -65,18 +66,18 @@
 
 } // namespace
 
-TEST_CASE("A good settings file starts the process")
+TEST_CASE("A valid settings file is accepted")
 {
     const TemporaryFile file(goodSettings);
-    const StartUp result = startWith({"--settings", file.path()});
+    const StartupResult result = startWith({"--settings", file.path()});
     CHECK_FALSE(result.exitCode);
     CHECK(result.settings.peerAddress() == "127.0.0.1:7001");
-    const Printed out(std::cout);
+    const CapturedOutput out(std::cout);
     CHECK(startWith({"--settings", file.path(), "--check"}).exitCode == exitOk);
     CHECK(out.text() == "startup_test.ini: no mistakes\n");
 }
 
-TEST_CASE("Every mistake of the settings is printed in one go")
+TEST_CASE("All mistakes of a settings file are printed at once")
 {
     std::string text = goodSettings;
     text.replace(text.find("7001"), 4, "0000");
@@ -84,7 +85,7 @@
     text.replace(text.find("host-list"), 9, "host-lost");
     text += "[extra]\n[limits]\nmax-request-bytes = x\n";
     const TemporaryFile file(text);
-    const Printed out(std::cerr);
+    const CapturedOutput out(std::cerr);
     CHECK(startWith({"--settings", file.path(), "--check"}).exitCode == exitFailed);
     const std::string report = out.text();
     CAPTURE(report);
@@ -93,19 +94,19 @@
         CHECK(report.find(place) != std::string::npos);
 }
 
-TEST_CASE("A wrong command line is told from a wrong file")
+TEST_CASE("A wrong command line and a wrong settings file have different exit codes")
 {
-    const Printed out(std::cerr);
+    const CapturedOutput out(std::cerr);
     CHECK(startWith({"--settings", "/nowhere/x.ini"}).exitCode == exitFailed);
     CHECK(out.text().find("/nowhere/x.ini") == 0);
     CHECK(startWith({}).exitCode == exitUsage);
     CHECK(startWith({"--no-such-option"}).exitCode == exitUsage);
-    const Printed version(std::cout);
+    const CapturedOutput version(std::cout);
     CHECK(startWith({"--version"}).exitCode == exitOk);
     CHECK(version.text().find(buildVersion()) != std::string::npos);
 }
 
-TEST_CASE("Values of log lines stay one field each")
+TEST_CASE("A log value with spaces or quotes stays one field")
 {
     CHECK(logValue("offers-1") == "offers-1");
     CHECK(logValue("") == "\"\"");
--- a/tests/bench/replay_test.cpp
+++ b/tests/bench/replay_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-Trace shipped(const std::string &name)
+Trace shippedTrace(const std::string &name)
 {
     const auto all = shippedTraces();
     const auto found = std::find_if(all.begin(), all.end(),
@@ -21,9 +21,9 @@
     return *found;
 }
 
-Figures figuresOf(const std::string &trace, const std::string &policy)
+Figures replayFigures(const std::string &trace, const std::string &policy)
 {
-    const auto figures = replay(shipped(trace), policy);
+    const auto figures = replay(shippedTrace(trace), policy);
     REQUIRE(figures.ok());
     return *figures;
 }
@@ -45,48 +45,48 @@
 
 } // namespace
 
-TEST_CASE("kelptally keeps its promises through each kind of fault")
+TEST_CASE("kelptally violates no guarantee under each kind of fault")
 {
     for (const std::string name : {"agency-failover", "lagon-rolling-restart",
                                    "agency-store-outage", "lagon-session-moves"}) {
         INFO(name);
-        const Figures figures = figuresOf(name, "kelptally");
+        const Figures figures = replayFigures(name, "kelptally");
         CHECK(figures.violations.all() == 0);
-        CHECK(figures.missedOutcomes == 0);
+        CHECK(figures.unexpectedOutcomes == 0);
         CHECK(figures.requests > 10000);
         CHECK(figures.done == figures.requests);
-        CHECK(figures.byReplica * 100 >= figures.couldReplica * 98);
+        CHECK(figures.replicaReads * 100 >= figures.replicaEligibleReads * 98);
     }
 }
 
-TEST_CASE("the checker sees what the baselines break")
+TEST_CASE("the checker detects violations of the baseline policies")
 {
-    const Figures partition = figuresOf("agency-partition", "primary-only");
+    const Figures partition = replayFigures("agency-partition", "primary-only");
     CHECK(partition.violations.lostWrites > 0);
-    const Figures lag = figuresOf("lagon-lag", "round-robin");
+    const Figures lag = replayFigures("lagon-lag", "round-robin");
     CHECK(lag.violations.statedAge > 0);
     CHECK(lag.violations.readYourWrites > 0);
-    const Figures failover = figuresOf("agency-failover", "primary-only");
-    CHECK(failover.missedOutcomes > 0);
+    const Figures failover = replayFigures("agency-failover", "primary-only");
+    CHECK(failover.unexpectedOutcomes > 0);
     REQUIRE_FALSE(failover.gaps.empty());
     CHECK(*std::max_element(failover.gaps.begin(), failover.gaps.end()) > 3s);
 }
 
-TEST_CASE("a replay gives the same figures twice")
+TEST_CASE("a replay is deterministic")
 {
-    const Figures first = figuresOf("lagon-host-crash", "kelptally");
-    const Figures second = figuresOf("lagon-host-crash", "kelptally");
-    CHECK(first.byReplica == second.byReplica);
+    const Figures first = replayFigures("lagon-host-crash", "kelptally");
+    const Figures second = replayFigures("lagon-host-crash", "kelptally");
+    CHECK(first.replicaReads == second.replicaReads);
     CHECK(first.gaps == second.gaps);
     CHECK(first.writeLatency == second.writeLatency);
 }
 
-TEST_CASE("an unknown policy is refused")
+TEST_CASE("an unknown policy is an error")
 {
-    CHECK(absl::IsInvalidArgument(replay(shipped("agency-failover"), "best").status()));
+    CHECK(absl::IsInvalidArgument(replay(shippedTrace("agency-failover"), "best").status()));
 }
 
-TEST_CASE("the checker counts each kind of broken promise")
+TEST_CASE("the checker counts each kind of violation")
 {
     GroupLogs logs;
     Checker checker([&logs](const GroupName &) -> const GroupLogs & { return logs; });
@@ -105,16 +105,16 @@
     checker.onAnswer(requestOf(13, true), {13, Executed::No, Reason::QueueFull, {}, "", false},
                      start + 5ms);
 
-    // A read by the same session that sees nothing of its writes, and an answer of another request.
+    // A read that misses the writes of its own session, answered with another request's id.
     TraceRequest read = requestOf(20, false);
     read.statedAge = 1s;
     checker.onSent(read, start + 10ms);
     checker.onAnswer(read, doneAt(21, begin), start + 20ms);
     CHECK(checker.figures().violations.readYourWrites == 1);
-    CHECK(checker.figures().violations.mixedAnswers == 1);
+    CHECK(checker.figures().violations.misdirectedAnswers == 1);
     CHECK(checker.figures().violations.statedAge == 0);
 
-    // The same by another session, once the writes are older than the stated age.
+    // A read by another session that misses writes older than its stated age.
     read.id = 22;
     read.session = 9;
     checker.onSent(read, start + 2s);
@@ -122,18 +122,18 @@
     CHECK(checker.figures().violations.statedAge == 1);
     CHECK(checker.figures().violations.readYourWrites == 1);
 
-    checker.onWorkOnLeaving(1s);
-    checker.onWorkOnLeaving(3s);
-    CHECK(checker.figures().violations.workOnLeaving == 1);
-    checker.onCutOff(2);
-    CHECK(checker.figures().violations.cutOff == 2);
+    checker.onStatementOnLeavingServer(1s);
+    checker.onStatementOnLeavingServer(3s);
+    CHECK(checker.figures().violations.statementsOnLeavingServer == 1);
+    checker.onRequestsAborted(2);
+    CHECK(checker.figures().violations.abortedRequests == 2);
 
-    // A new primary whose log ends after the first write: the second is lost.
+    // The log of a new primary ends after the first write, so the second is lost.
     logs.beginTerm(2, one, start + 3s);
-    checker.atEnd("g", 2);
+    checker.checkFinalLog("g", 2);
     CHECK(checker.figures().violations.lostWrites == 1);
-    CHECK(checker.figures().violations.falseNotRun == 0);
-    checker.atEnd("g", 1);
-    CHECK(checker.figures().violations.doubledWrites == 1);
-    CHECK(checker.figures().violations.falseNotRun == 1);
+    CHECK(checker.figures().violations.executedDespiteRefusal == 0);
+    checker.checkFinalLog("g", 1);
+    CHECK(checker.figures().violations.duplicateWrites == 1);
+    CHECK(checker.figures().violations.executedDespiteRefusal == 1);
 }
--- a/tests/settings/inventory_test.cpp
+++ b/tests/settings/inventory_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A whole document that holds.
+// A valid document.
 const std::string goodDocument = R"(
 [zone a]
 region = north
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE("the documents of the demonstration hold")
+TEST_CASE("the documents of the demonstration are valid")
 {
     for (const char *name : {"/agency.ini", "/lagon.ini"}) {
         Findings findings;
@@ -87,7 +87,7 @@
     }
 }
 
-TEST_CASE("the stand-ins of the demonstration play the documents' servers")
+TEST_CASE("the stand-ins of the demonstration listen on the addresses of the documents' servers")
 {
     for (const std::string site : {"agency", "lagon"}) {
         Findings findings;
@@ -108,14 +108,14 @@
     }
 }
 
-TEST_CASE("a document is read with its types and defaults")
+TEST_CASE("a document is parsed with types and defaults")
 {
     Findings findings;
     const Inventory inventory = parseInventory("f", goodDocument, findings);
     REQUIRE(findings.toText().empty());
     const Group *group = inventory.findGroup("g");
     REQUIRE(group);
-    CHECK(group->servers[2].presence == Presence::Leaving);
+    CHECK(group->servers[2].administrativeState == AdministrativeState::Leaving);
     CHECK(group->servers[1].address == "127.0.0.1");
     CHECK(group->servers[1].port == 12);
     CHECK(group->statements.promote == GroupStatements().promote);
@@ -131,7 +131,7 @@
     CHECK(inventory.findTeam("nobody") == nullptr);
 }
 
-TEST_CASE("five mistakes give five findings with line, key and what is allowed")
+TEST_CASE("each mistake gives a finding with line, key and allowed values")
 {
     std::string text = replaced(goodDocument, "slots = 3", "slots = many");
     text = replaced(text, "access = read", "access = look");
@@ -147,7 +147,7 @@
              "f:41: kind pay/teams: there is no [team x]\n");
 }
 
-TEST_CASE("each rule of a document has its finding")
+TEST_CASE("each violated rule of a document gives a finding")
 {
     struct Case
     {
@@ -157,14 +157,14 @@
     };
     const Case cases[] = {
         {"[zone b]", "[zone]", "f:4: zone: the name is empty"},
-        {"[zone b]", "[zone a]", "f:4: zone a: the section stands twice, first at line 2"},
+        {"[zone b]", "[zone a]", "f:4: zone a: duplicate section; first defined at line 2"},
         {"[zone b]", "[zonk b]", "f:4: zonk b: unknown section"},
         {"[zone b]", "[zone b", "f:4: not a section"},
         {"[zone b]", "nonsense\n[zone b]", "f:4: neither a section nor key = value"},
         {"[zone b]", "[zone \xC3\xA5]", "f:4: zone ??: not a name"},
         {"\n[zone a]", "x = 1\n[zone a]", "f:1: x: a key before the first section"},
         {"region = north", "region = north\nregion = north",
-         "f:4: zone a/region: the key stands twice, first at line 3"},
+         "f:4: zone a/region: duplicate key; first defined at line 3"},
         {"region = north", "region =", "f:3: zone a/region: the value is empty"},
         {"region = north", "region = no\x01rth", "f:3: zone a/region: the value holds a byte"},
         {"zone = a", "zone = c", "f:7: host h1/zone: there is no [zone c]"},
@@ -190,14 +190,14 @@
         {"state = leaving", "state = gone", "f:33: server s3/state: unknown value; allowed"},
         {"[kind look]", "[limits x]", "f:34: limits x: [limits] takes no name"},
     };
-    for (const Case &one : cases) {
-        INFO(one.to);
-        CHECK_THAT(findingsOf(replaced(goodDocument, one.from, one.to)),
-                   Catch::Contains(one.finding));
+    for (const Case &testCase : cases) {
+        INFO(testCase.to);
+        CHECK_THAT(findingsOf(replaced(goodDocument, testCase.from, testCase.to)),
+                   Catch::Contains(testCase.finding));
     }
 }
 
-TEST_CASE("any bytes give findings and no crash")
+TEST_CASE("invalid bytes, lines and sizes give findings")
 {
     CHECK_THAT(findingsOf(""), Catch::Contains("there is no [group NAME]"));
     CHECK_THAT(findingsOf(std::string(20, '\0')), Catch::Contains("f:1: the line holds a NUL"));
--- a/tests/standin/testgroup.h
+++ b/tests/standin/testgroup.h
@@ -5,16 +5,16 @@
 
 namespace kelptally::standin {
 
-// A running group of servers a, b and c on free ports; a is the first primary.
+// A running group of servers a, b and c on free ports; a is the initial primary.
 class TestGroup
 {
 public:
-    explicit TestGroup(const ServerLimits &limits = noCost()) : group_(settings(limits))
+    explicit TestGroup(const ServerLimits &limits = zeroConnectionCost()) : group_(settings(limits))
     {
         group_.start();
     }
 
-    static ServerLimits noCost()
+    static ServerLimits zeroConnectionCost()
     {
         ServerLimits limits;
         limits.connectionCost = Duration(0);
@@ -25,18 +25,18 @@
     DatabaseServer &server(const ServerName &name) { return *group_.find(name); }
     int port(const ServerName &name) { return server(name).port(); }
 
-    // First value that a new client reads.
+    // Returns the first value of the result, read by a new client.
     std::string read(const ServerName &name, const std::string &sql)
     {
         return TestClient(port(name)).query(sql).value();
     }
 
-    Answer run(const ServerName &name, const std::string &sql)
+    QueryResult run(const ServerName &name, const std::string &sql)
     {
         return TestClient(port(name)).query(sql);
     }
 
-    // Prepares two servers for a term, promotes the first and lets the second follow it.
+    // Prepares both servers for the term, promotes the first and makes the second follow it.
     void promote(const ServerName &primary, const ServerName &replica, Term term)
     {
         const std::string number = std::to_string(term);
@@ -46,7 +46,7 @@
         run(replica, "SELECT kelptally_follow('" + primary + "', " + number + ")");
     }
 
-    bool reaches(const ServerName &name, const std::string &sql, const std::string &value)
+    bool eventuallyReads(const ServerName &name, const std::string &sql, const std::string &value)
     {
         return eventually([&] { return read(name, sql) == value; });
     }
