--- a/src/bench/loadplot.cpp
+++ b/src/bench/loadplot.cpp
@@ -143,7 +143,7 @@
         byQuantile.push_back(quantileSeries(statement.name, statement.latencyMicroseconds));
     const std::vector<Series> overTime = {timeSeries("median", result.seconds, 0.5),
                                           timeSeries("99%", result.seconds, 0.99),
-                                          timeSeries("maximum", result.seconds, 1)};
+                                          timeSeries("greatest", result.seconds, 1)};
     const std::vector<std::pair<double, std::string>> quantileTicks = {
         {0, "0"}, {0.25, "90%"}, {0.5, "99%"}, {0.75, "99.9%"}, {1, "99.99%"}};
     const std::string end = absl::StrFormat("%d s", result.seconds.size());
