--- a/bench/causes.sh
+++ b/bench/causes.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Counts what was refused or left in doubt by cause, and by second, from the structured logs of a
-# played day (`fleetbench run SITE DAY --log all > FILE`) or of hosts (one JSON object a line).
-# Usage: bench/causes.sh FILE [FROM TO]   (seconds of the day; all without them)
+# Counts refused statements by cause and by second. Reads the structured logs of a fleetbench run
+# (`fleetbench run SITE DAY --log all > FILE`) or of hosts (one JSON object per line).
+# Usage: bench/causes.sh FILE [FROM TO]   (seconds of the run; the whole run by default)
 set -euo pipefail
 file=$1 from=${2:--1000000} to=${3:-1000000}
 
--- a/bench/owndays.sh
+++ b/bench/owndays.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Writes days of our own for the users' bench: disruptions drawn at random from all kinds that it
-# knows, overlapping and more than once, also in ways that no site has.
-# Usage: bench/owndays.sh DIRECTORY SEED COUNT; play one with `fleetbench run SITE DIRECTORY/own-1.toml`.
+# Generates random fault schedules ("days") for fleetbench, with overlapping and repeated faults of
+# all kinds that it supports.
+# Usage: bench/owndays.sh DIRECTORY SEED COUNT; run one with `fleetbench run SITE DIRECTORY/own-1.toml`.
 set -euo pipefail
 directory=$1 count=$3
 RANDOM=$2
--- a/cmake/kelptally.cmake
+++ b/cmake/kelptally.cmake
@@ -1,11 +1,11 @@
-# Helpers shared by all packages.
+# Functions and compiler flags shared by all packages.
 
 add_library(kelptally_flags INTERFACE)
 target_compile_options(kelptally_flags INTERFACE -Wall -Wextra -Werror)
 target_include_directories(kelptally_flags INTERFACE ${PROJECT_SOURCE_DIR}/src)
 target_link_libraries(kelptally_flags INTERFACE Threads::Threads)
 if(KELPTALLY_FUZZ)
-    # Coverage for the fuzzer, and its bugs found where they happen.
+    # Coverage instrumentation for libFuzzer, and sanitizers that abort at the first error.
     target_compile_options(kelptally_flags INTERFACE
         -fsanitize=fuzzer-no-link,address,undefined -fno-sanitize-recover=all -fno-omit-frame-pointer)
     target_link_options(kelptally_flags INTERFACE -fsanitize=address,undefined)
@@ -15,7 +15,7 @@
     target_link_options(kelptally_flags INTERFACE -fsanitize=${KELPTALLY_SANITIZE})
 endif()
 
-# The thread sanitizer knows no atomic_thread_fence; asio's handlers need none beside its locks.
+# The thread sanitizer doesn't support atomic_thread_fence. Asio's locks suffice without its fences.
 if(KELPTALLY_SANITIZE MATCHES thread)
     target_compile_definitions(kelptally_flags INTERFACE BOOST_ASIO_DISABLE_FENCED_BLOCK)
 endif()
@@ -27,7 +27,7 @@
     target_link_libraries(kelptally_${name} PUBLIC kelptally_flags ${ARG_LIBS})
 endfunction()
 
-# kelptally_program(NAME SOURCES... LIBS...): a program that is shipped.
+# kelptally_program(NAME SOURCES... LIBS...): program in build/PRESET/bin.
 function(kelptally_program name)
     cmake_parse_arguments(ARG "" "" "SOURCES;LIBS" ${ARGN})
     add_executable(${name} ${ARG_SOURCES})
@@ -35,7 +35,7 @@
     set_target_properties(${name} PROPERTIES RUNTIME_OUTPUT_DIRECTORY ${PROJECT_BINARY_DIR}/bin)
 endfunction()
 
-# kelptally_test(NAME SOURCES... LIBS...): a Catch2 test program, run by ctest.
+# kelptally_test(NAME SOURCES... LIBS... ARGS...): Catch2 test program, run by ctest.
 function(kelptally_test name)
     cmake_parse_arguments(ARG "" "" "SOURCES;LIBS;ARGS" ${ARGN})
     add_executable(${name} ${ARG_SOURCES})
--- a/fuzz/decoder.cpp
+++ b/fuzz/decoder.cpp
@@ -3,7 +3,7 @@
 
 using namespace kelptally;
 
-// Whatever decodes can be sent on, and then means the same.
+// Every message that decodes can be encoded, and encoding is stable after another round trip.
 int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     const auto message = inner::decode(fuzz::textOf(data, size));
--- a/fuzz/entry.cpp
+++ b/fuzz/entry.cpp
@@ -4,7 +4,7 @@
 
 using namespace kelptally;
 
-// An entry of a server names a server that can be used, or none.
+// A server's registry entry is either rejected or parsed with all required fields valid.
 int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     const std::string text(fuzz::textOf(data, size));
--- a/fuzz/fuzz.h
+++ b/fuzz/fuzz.h
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <string_view>
 
-// Each target is one file with this function; a broken rule is told to the fuzzer by abort().
+// Entry point of libFuzzer; each target is one file that defines it.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size);
 
 namespace kelptally::fuzz {
@@ -15,6 +15,7 @@
     return {reinterpret_cast<const char *>(data), size};
 }
 
+// Aborts, which libFuzzer reports as a crash, if the condition is false.
 inline void require(bool condition)
 {
     if (!condition)
--- a/fuzz/httpreader.cpp
+++ b/fuzz/httpreader.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t maxHeaderBytes = 1024;
 constexpr std::size_t maxBodyBytes = 1024;
 
-// Takes what is whole off the reader; false when the connection can't go on.
+// Takes all complete requests from the reader. Returns false if the connection must be closed.
 bool takeRequests(HttpReader &reader)
 {
     HttpReader::State state = reader.next();
@@ -26,7 +26,7 @@
 
 } // namespace
 
-// The first byte says how large the pieces are in which the rest arrives.
+// The rest of the input is fed in pieces whose size is given by the first byte.
 int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     if (size == 0)
--- a/fuzz/run.sh
+++ b/fuzz/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds the fuzz targets and runs each for a fixed number of inputs from a fixed seed, beginning with
-# the inputs that fuzz_seeds_test writes. Usage: fuzz/run.sh [RUNS [SEED]]
+# Builds the fuzz targets and runs each for a fixed number of inputs with a fixed random seed, starting
+# from the corpus that fuzz_seeds_test writes. Usage: fuzz/run.sh [RUNS [SEED]]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 runs=${1:-20000}
--- a/fuzz/settings.cpp
+++ b/fuzz/settings.cpp
@@ -4,7 +4,7 @@
 
 using namespace kelptally;
 
-// Any document is either used or refused with findings that name their place.
+// Parsing never crashes, and each finding states its file and problem.
 int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     const std::string text(fuzz::textOf(data, size));
--- a/fuzz/token.cpp
+++ b/fuzz/token.cpp
@@ -18,7 +18,7 @@
 constexpr std::string_view key = "fuzz key";
 constexpr std::size_t macBytes = 16;
 
-// Signs a body as SessionToken does, so that the fuzzer gets past the signature.
+// Signs a body as SessionToken does, so that the fuzzer passes the signature check.
 std::string signedToken(std::string_view body)
 {
     const std::string input = "kelptally session token:" + std::string(body);
@@ -36,7 +36,7 @@
 
 } // namespace
 
-// A token that opens is the one text of its positions; an id that is read is the one text of it.
+// Tokens and transaction ids are canonical: each that parses is formatted to the same text.
 int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     const std::string_view input = fuzz::textOf(data, size);
--- a/fuzz/wire.cpp
+++ b/fuzz/wire.cpp
@@ -4,7 +4,8 @@
 
 using namespace kelptally;
 
-// Lines come out the same however the bytes arrive, and no line, report or document does harm.
+// Splitting into lines doesn't depend on how the bytes are divided, and no parser crashes on any
+// line or document.
 int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     const std::string text(fuzz::textOf(data, size));
--- a/run-demo.sh
+++ b/run-demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds, and runs the agency's site on the stand-ins of this repository:
-# three owners and two entries, a write, a read elsewhere with its token, and a primary's failure.
+# Installs missing packages, builds, and demonstrates the agency's site on the stand-ins with three
+# owners and two entries: a write, a read through another entry with its session token, and a failure
+# of a primary.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -20,7 +21,7 @@
     trap - EXIT
     kill "${pids[@]}" 2> /dev/null || true
     sleep 1
-    # With every process stopping at once nobody takes the groups over: a second signal ends the wait.
+    # Owners wait for a successor, but all stop at once; the second signal ends this wait.
     kill "${pids[@]}" 2> /dev/null || true
     wait 2> /dev/null || true
 }
@@ -33,7 +34,7 @@
     pids+=($!)
 }
 
-waitFor() { # waitFor WHAT COMMAND...: tries for 30 seconds
+waitFor() { # waitFor WHAT COMMAND...: retries the command for 30 seconds
     local what=$1
     shift
     for _ in $(seq 300); do
@@ -44,7 +45,7 @@
     exit 1
 }
 
-request() { # request ENTRY KIND SQL [CURL OPTIONS...]: answer with its headers
+request() { # request ENTRY KIND SQL [CURL OPTIONS...]: prints the answer with its headers
     local entry=$1 kind=$2 sql=$3
     shift 3
     curl -si --max-time 10 "http://$entry/v1/statement" -H 'Authorization: Bearer demo-key' "$@" \
--- a/run-tests.sh
+++ b/run-tests.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds everything and runs all tests.
+# Installs missing packages, builds everything and runs all tests.
 # Usage: ./run-tests.sh [release|asan|tsan]
 set -euo pipefail
 cd "$(dirname "$0")"
@@ -9,7 +9,7 @@
 cmake --preset "$preset" > /dev/null
 cmake --build --preset "$preset"
 
-# Tests that KNOWN-RED.txt names run and are printed, and fail nothing.
+# Tests listed in KNOWN-RED.txt are run and printed; their failures are ignored.
 known=$(cut -d: -f1 KNOWN-RED.txt 2> /dev/null | paste -sd'|' || true)
 if [ -n "$known" ]; then
     cat KNOWN-RED.txt
--- a/setup.sh
+++ b/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs every package that kelptally needs to build, test and lint itself (Debian 12).
+# Installs all packages required to build, test and lint kelptally (Debian 12).
 set -euo pipefail
 
 packages=(
--- a/src/bench/baseline.cpp
+++ b/src/bench/baseline.cpp
@@ -20,7 +20,7 @@
     bool alive = true;
     bool stopping = false;
     int unanswered = 0;
-    // Number of restarts; answers from before a restart are ignored.
+    // Incremented at each restart, so that answers to earlier requests are ignored.
     int incarnation = 0;
     // By group: the primary that this proxy assumes, its consecutive failed checks, and the
     // round-robin index of reads.
--- a/src/bench/checker.cpp
+++ b/src/bench/checker.cpp
@@ -75,7 +75,7 @@
     if (missesOwnWrite(request, answer.position))
         ++figures_.violations.readYourWrites;
     const Instant sent = sent_[request.id].at;
-    // A read without a maximum age must see all writes acknowledged before it was sent.
+    // A read without a stated age must see all writes acknowledged before it was sent.
     const Instant committedBy = request.statedAge ? now - *request.statedAge : sent;
     const Instant acknowledgedBy = request.statedAge ? now : sent;
     if (isStale(request.group, answer.position, committedBy, acknowledgedBy))
--- a/src/bench/checker.h
+++ b/src/bench/checker.h
@@ -27,13 +27,16 @@
     Duration retryAfter {0};
 };
 
-// Numbers of broken consistency and availability guarantees.
+// Number of violations of each consistency and availability guarantee.
 struct Violations
 {
     int readYourWrites = 0;
     int statedAge = 0;
+    // Acknowledged writes that are not in the final log.
     int lostWrites = 0;
+    // Repeated executions of writes that must not be executed twice.
     int duplicateWrites = 0;
+    // Writes answered as not executed that are in the final log.
     int executedDespiteRefusal = 0;
     int misdirectedAnswers = 0;
     int statementsOnLeavingServer = 0;
@@ -56,7 +59,7 @@
 struct Figures
 {
     Violations violations;
-    // Requests whose final answer differs from those that the trace allows.
+    // Requests whose final answer the trace doesn't allow.
     int unexpectedOutcomes = 0;
     int requests = 0;
     int done = 0;
@@ -64,8 +67,8 @@
     int inTime = 0;
     int refused = 0;
     int unknown = 0;
-    // Reads with a maximum age: all, those that a replica was fresh enough to answer, and those
-    // that a replica answered.
+    // Reads with a stated age: all, those that a replica was fresh enough to answer, and those that
+    // a replica answered.
     int statedAgeReads = 0;
     int replicaEligibleReads = 0;
     int replicaReads = 0;
@@ -93,7 +96,7 @@
     // The caller sends a refused request again; latency is measured from this attempt.
     void onRetried(const TraceRequest &request, Instant now) { sent_[request.id].at = now; }
     void onAnswer(const TraceRequest &request, const Answer &answer, Instant now);
-    // A replica was fresh enough to answer a read with a maximum age.
+    // A replica was fresh enough to answer a read with a stated age.
     void onReplicaEligibleRead() { ++figures_.replicaEligibleReads; }
     // A statement starts on a server that was marked as leaving this long ago.
     void onStatementOnLeavingServer(Duration since);
@@ -111,7 +114,8 @@
     // Whether a read of this prefix misses a write committed and acknowledged by these instants.
     bool isStale(const GroupName &group, Position prefix, Instant committedBy,
                  Instant acknowledgedBy) const;
-    // Whether a read of this prefix misses a write that its session knew when it sent the read.
+    // Whether a read of this prefix misses a write of its session that was acknowledged before the
+    // read was sent.
     bool missesOwnWrite(const TraceRequest &request, Position prefix) const;
 
 private:
--- a/src/bench/commands.h
+++ b/src/bench/commands.h
@@ -13,7 +13,7 @@
 int runPressure(int argc, char **argv);
 // Simulates hosts that follow the tables of one store.
 int runRelays(int argc, char **argv);
-// Measures the memory and processor costs on which docs/CAPACITY.md is based.
+// Measures the memory and CPU costs on which docs/CAPACITY.md is based.
 int runSlopes(int argc, char **argv);
 // Measures the load on the table service when hosts are lost.
 int runLosses(int argc, char **argv);
--- a/src/bench/livereplay.h
+++ b/src/bench/livereplay.h
@@ -16,7 +16,7 @@
     // Caller ports ("ip:port"). The trace's hosts are mapped to them in order.
     std::vector<std::string> entries;
     std::string callerKey;
-    // Control port of the database stand-in, which causes the server faults; empty for no faults.
+    // Control port of the database stand-in, which injects the server faults; empty for no faults.
     std::string standin;
     // Factor by which the trace's times are stretched.
     int timeFactor = 1;
@@ -34,11 +34,12 @@
     int readYourWrites = 0;
     int statedAge = 0;
     int lostWrites = 0;
+    // Non-repeatable writes with more than one row.
     int duplicateWrites = 0;
     int executedDespiteRefusal = 0;
     int statedAgeReads = 0;
     int replicaReads = 0;
-    // Faults of the trace that the stand-in doesn't support or failed to cause.
+    // Faults of the trace that the stand-in doesn't support or failed to inject.
     int faultsNotInjected = 0;
     std::vector<Duration> writeLatency;
     std::vector<Duration> readLatency;
--- a/src/bench/loadgap.cpp
+++ b/src/bench/loadgap.cpp
@@ -18,10 +18,10 @@
 using namespace std::chrono_literals;
 
 constexpr auto pollInterval = 20ms;
-// The measurement ends if the group isn't healthy, or acknowledges no write, for this long.
+// The measurement ends early if the group is unhealthy, or acknowledges no write, for this long.
 constexpr Duration healthyTimeout = 60s;
 constexpr Duration ackTimeout = 60s;
-// Records that a replica of a healthy group may be behind under load.
+// Maximum number of records by which a replica of a healthy group may lag.
 constexpr LogOffset maxLagRecords = 500;
 // Upper bound of the random delay between a healthy group and the fault.
 constexpr int maxFaultDelayMs = 300;
--- a/src/bench/loadplan.h
+++ b/src/bench/loadplan.h
@@ -53,7 +53,7 @@
     int workers = 2;
     // Sessions of all workers together. More are opened if all have a request in flight.
     int sessions = 200;
-    // A request isn't retried any more this long after its intended time.
+    // Time after a request's intended time of sending at which its retries end.
     Duration requestTimeout {std::chrono::seconds(30)};
     // Seed of the arrival times and of the choice of statements.
     int seed = 1;
--- a/src/bench/loadverify.h
+++ b/src/bench/loadverify.h
@@ -19,7 +19,7 @@
     std::uint64_t lost = 0;
     // Ids that are in the table more than once.
     std::uint64_t duplicates = 0;
-    // Writes answered with "executed: no" that are in the table.
+    // Writes answered as not executed that are in the table.
     std::uint64_t executedDespiteRefusal = 0;
     // Writes without a definite outcome, whether or not they are in the table.
     std::uint64_t unknown = 0;
--- a/src/bench/losses.cpp
+++ b/src/bench/losses.cpp
@@ -8,7 +8,7 @@
 
 #include <algorithm>
 
-// Load on the table service when hosts are lost, in the replay model without callers.
+// Measures the load on the table service when hosts are lost, in the replay model without callers.
 namespace kelptally::bench {
 
 using namespace std::chrono_literals;
--- a/src/bench/model.h
+++ b/src/bench/model.h
@@ -110,7 +110,7 @@
     Position position_;
     Position applied_;
     OwnerEpoch fence_ = 0;
-    // Number of kills; work started before the last one is ignored.
+    // Incremented by each kill, so that work started before it is ignored.
     int incarnation_ = 0;
     int running_ = 0;
     std::deque<std::shared_ptr<Call>> queuedCalls_;
@@ -126,7 +126,7 @@
 
     // One-way network delay, or nothing while a partition separates the zones.
     std::optional<Duration> networkDelay(const ZoneName &from, const ZoneName &to) const;
-    // Calls the function after the network delay, unless a partition separates the zones.
+    // Calls the function after the network delay; drops it if a partition separates the zones.
     void send(const ZoneName &from, const ZoneName &to, std::function<void()> function);
 
     ModelServer &server(const ServerName &name);
--- a/src/bench/overload.cpp
+++ b/src/bench/overload.cpp
@@ -9,7 +9,7 @@
 #include <algorithm>
 #include <random>
 
-// Overload runs in the replay model. Each prints one table.
+// Measurements under overload in the replay model. Each prints one table.
 namespace kelptally::bench {
 
 using namespace std::chrono_literals;
@@ -136,7 +136,7 @@
     }
 }
 
-// Callers send every refused request again.
+// Callers retry every refused request.
 void measureRetryStorm()
 {
     printHeader("retry storm at 150%: callers send refused requests again, up to 5 times");
--- a/src/bench/pressure.cpp
+++ b/src/bench/pressure.cpp
@@ -18,9 +18,9 @@
 constexpr Duration stepTime = 1ms;
 // Time after the plan in which open requests are completed.
 constexpr Duration drainTime = 5s;
-// Time for which a write without an answer holds its slot.
+// Time for which a write without an answer occupies its slot.
 constexpr Duration hungWriteSlotTime = 220ms;
-// A refused attempt counts as held after more than 1/lateRefusalDivisor of the objective.
+// An attempt is refused late if it has waited for more than 1/lateRefusalDivisor of the objective.
 constexpr int lateRefusalDivisor = 4;
 const Instant start = Instant(1h);
 
@@ -34,7 +34,7 @@
     Instant offered;
     int attempts = 0;
     Instant nextAttempt;
-    // A refused attempt has waited too long; see lateRefusalDivisor.
+    // Whether an attempt was refused late; see lateRefusalDivisor.
     bool refusedLate = false;
     decision::WaitingStatement waiting;
 };
--- a/src/bench/pressure.h
+++ b/src/bench/pressure.h
@@ -22,7 +22,7 @@
     int late = 0;
     // Refused after all repeats.
     int refused = 0;
-    // Refused requests with an attempt that had waited for over a quarter of the objective.
+    // Refused requests, one attempt of which had waited for over a quarter of the objective.
     int refusedLate = 0;
     // Sent to a server without an answer.
     int unanswered = 0;
--- a/src/bench/relaymodel.cpp
+++ b/src/bench/relaymodel.cpp
@@ -91,7 +91,7 @@
 
     void start();
 
-    // Store. Only changes and snapshots are implemented.
+    // TableService and TableFeed; only changes() and snapshot() are implemented.
     template <typename Result>
     void call(std::function<Result()> work, std::function<void(absl::StatusOr<Result>)> callback);
     void read(const std::string &, const std::string &, services::RowCallback callback) override
@@ -121,7 +121,7 @@
 
     void onOwner(const services::TableRow &row);
     void onVersion(std::map<std::string, int> &seen, const services::TableRow &row);
-    // Whether the host is up and has had no fault since then.
+    // Whether the host is up and has had no fault since this instant.
     bool isUnaffected(Instant since) const { return up && faultedUntil < since; }
 
     Model &model;
@@ -230,7 +230,7 @@
            [this](const services::TableRow &row) { onVersion(configurations, row); });
 }
 
-// The value is the owner's address and zone.
+// The row's value is the owner's address and zone.
 void Host::onOwner(const services::TableRow &row)
 {
     const std::size_t blank = row.value.find(' ');
@@ -238,7 +238,7 @@
     timers.post([this] { tableRelay->setCandidates(relayOrder); });
 }
 
-// The value is a version and padding.
+// The row's value is a version and padding.
 void Host::onVersion(std::map<std::string, int> &seen, const services::TableRow &row)
 {
     const int version = std::atoi(row.value.c_str());
--- a/src/bench/relaymodel.h
+++ b/src/bench/relaymodel.h
@@ -13,7 +13,7 @@
 enum class RelayFaultKind {
     Kill,
     Freeze,
-    // The store is unreachable for it; other hosts still are reachable.
+    // The relay can't reach the store but still reaches other hosts.
     CutFromStore,
 };
 
@@ -38,7 +38,8 @@
     // Bounds within which all hosts must know a new configuration and a leaving server.
     Duration configurationTime {std::chrono::seconds(6)};
     Duration leaveTime {std::chrono::seconds(10)};
-    // Interval between changes of the configuration and a server, from twelve seconds on.
+    // Interval between changes, each of the configuration and of a server. The first change comes
+    // after twelve seconds.
     Duration changePeriod {std::chrono::seconds(5)};
     int configurationBytes = 12'000;
     std::vector<RelayFault> faults;
--- a/src/bench/replay.cpp
+++ b/src/bench/replay.cpp
@@ -19,7 +19,7 @@
 // Upper bound on the time until a configuration change has reached every proxy
 // (docs/design/configuration.md).
 constexpr Duration configurationDelay = 500ms;
-// How long the oracle router may wait for a replica to catch up; the same as the real router.
+// Maximum wait of the oracle router for a replica to catch up; equal to that of the real router.
 constexpr Duration oracleWait = 30ms;
 constexpr Duration oraclePollInterval = 1ms;
 
--- a/src/bench/replay.h
+++ b/src/bench/replay.h
@@ -12,7 +12,7 @@
 
 struct ReplayOptions
 {
-    // How often a caller retries a request that was refused as not run.
+    // Maximum retries of a request that was refused as not executed.
     int callerRetries = 0;
     // Delay before a retry; by default the retryAfter of the answer.
     std::optional<Duration> callerRetryDelay;
--- a/src/bench/scripts.cpp
+++ b/src/bench/scripts.cpp
@@ -25,7 +25,8 @@
 const std::vector<GroupName> groupNames = {"deposits", "listings", "offers"};
 const std::vector<TeamName> teamNames = {"brokers", "caseworkers", "web"};
 
-// Uses modulo instead of the standard distributions, which differ between libraries.
+// Reproducible random numbers. Uses modulo, since the standard distributions differ between
+// libraries.
 class Random
 {
 public:
--- a/src/bench/slopes.cpp
+++ b/src/bench/slopes.cpp
@@ -158,7 +158,7 @@
     }
 }
 
-// Processor time of one second of ticks with immediate answers.
+// Returns the CPU time of one second of ticks with immediate answers.
 Duration timeOwnershipTicks(Ownership &owner, Instant &now)
 {
     const Duration before = threadProcessorTime();
--- a/src/bench/trace.h
+++ b/src/bench/trace.h
@@ -36,7 +36,7 @@
 // Final answers that are correct for a request under any policy.
 enum class ExpectedOutcome {
     Done,
-    // Done, or refused as not run.
+    // Done, or refused as not executed.
     DoneOrRefused,
     Any,
 };
--- a/src/standin/sqlitedatabase.h
+++ b/src/standin/sqlitedatabase.h
@@ -94,7 +94,8 @@
     // Replaces the content by a copy of the other database.
     void copyFrom(const SqliteDatabase &other);
 
-    // Implements the SQL function kelptally_fact(name), which the views of the server state use.
+    // Sets the implementation of the SQL function kelptally_fact(name), which the views of the
+    // server state use.
     using StateLookup = std::function<std::string(std::string_view)>;
     void setStateLookup(StateLookup stateLookup);
     const StateLookup &stateLookup() const { return stateLookup_; }
--- a/src/standin/sqlsession.h
+++ b/src/standin/sqlsession.h
@@ -27,7 +27,7 @@
     SqlSession(Node &node, std::function<void()> wake);
     ~SqlSession();
 
-    // Gives the result columns of the statement. Fails if it doesn't compile.
+    // Returns the result columns of the statement. Fails if it doesn't compile.
     StepStatus describe(const ParsedStatement &statement, std::vector<Column> &columns,
                         SqlError &error);
     // Runs one statement. `tag` is the tag for CommandComplete, empty for an empty statement.
--- a/src/standin/wiremessages.cpp
+++ b/src/standin/wiremessages.cpp
@@ -10,7 +10,7 @@
 
 const SqlError canceledError {"57014", "canceling statement due to user request"};
 
-// Maps a PostgreSQL type OID (pg_type) to the way a parameter is bound.
+// Returns the SQLite type as which a parameter of this PostgreSQL type OID (pg_type) is bound.
 ParameterType parameterTypeOf(int oid)
 {
     switch (oid) {
